--- a/cmd/scaleroute/backs.go
+++ b/cmd/scaleroute/backs.go
@@ -18,7 +18,7 @@
 		if engine.IsMail(e.Address) { // it may have been the other's
 			e.State = decide.Gone
 		}
-		if e.State != decide.Gone || l.Scope == decide.Changes {
+		if e.State != decide.Gone || l.Scope == decide.Delta {
 			web.Endpoints = append(web.Endpoints, e)
 		}
 	}
--- a/cmd/scaleroute/member.go
+++ b/cmd/scaleroute/member.go
@@ -241,10 +241,10 @@
 }
 
 // heldWaits has those that others were told held here, too.
-func heldWaits(held []straggler.Wait) (list []decide.PeerWait) {
+func heldWaits(held []straggler.Wait) (list []decide.PeerRetryAfter) {
 	for _, w := range held {
 		slog.Info("held by a wait that another forwarder was told", "target", w.Target, "left", w.Left)
-		list = append(list, decide.PeerWait{Target: w.Target, Wait: w.Left})
+		list = append(list, decide.PeerRetryAfter{Target: w.Target, RetryAfter: w.Left})
 	}
 	return list
 }
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -101,7 +101,7 @@
 		c.Settings.Slots = most
 	}
 	f.settings = c.Settings
-	f.platform = agent.New(c.Discovery, agent.Fleet{Forwarders: c.Settings.Forwarders, Asks: c.Settings.MustAsk, AskEvery: c.Settings.AskEvery})
+	f.platform = agent.New(c.Discovery, agent.Fleet{Forwarders: c.Settings.Forwarders, Asks: c.Settings.MustSubscribe, AskEvery: c.Settings.ResubscribeInterval})
 	if err := operators.apply(&f.settings); err != nil {
 		return err
 	}
@@ -183,14 +183,14 @@
 // back makes the calls; http is the part of it for HTTP.
 func (f *forwarder) back() (back engine.Back, http *httpcall.Back) {
 	set := &f.settings
-	http = httpcall.New(httpcall.Config{Connections: f.c.Limits.Endpoints(), ConnIdle: set.ConnIdle, ConnectLimit: set.ConnectLimit, DialControl: dialControl})
+	http = httpcall.New(httpcall.Config{Connections: f.c.Limits.Endpoints(), ConnIdle: set.ConnIdle, ConnectLimit: set.ConnectTimeout, DialControl: dialControl})
 	back = http
 	if f.operators.mail {
 		name := f.c.Name
 		if name == "" || strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' }) {
 			name = "scaleroute"
 		}
-		back = backs{http, smtpcall.New(smtpcall.Config{Name: name, Idle: mailIdle, ConnIdle: set.ConnIdle, ConnectLimit: set.ConnectLimit})}
+		back = backs{http, smtpcall.New(smtpcall.Config{Name: name, Idle: mailIdle, ConnIdle: set.ConnIdle, ConnectLimit: set.ConnectTimeout})}
 	}
 	if f.operators.plugins != nil {
 		back = f.operators.plugins.Back(back)
@@ -214,16 +214,16 @@
 	}
 	f.withdrawn = agent.OpenWithdrawn(f.c.State, &f.c.Known)
 	list := f.withdrawn.Known()
-	lists := []engine.List{list.As(decide.Restored)}
+	lists := []engine.List{list.As(decide.LastKnown)}
 	if f.partial != nil {
 		list = f.partial.start(list, from, j)
-		lists = []engine.List{list.As(decide.Whole)}
+		lists = []engine.List{list.As(decide.Snapshot)}
 		defer f.partial.started()
 	} else if known = f.knownFrom(from); known != nil {
-		lists = append(lists, known.As(decide.Whole))
+		lists = append(lists, known.As(decide.Snapshot))
 		f.withdrawn.Tell(known)
 		list = known
-	} else if f.settings.MustAsk && len(list.Endpoints) > 0 {
+	} else if f.settings.MustSubscribe && len(list.Endpoints) > 0 {
 		known = list // what has changed since is less work than the whole list
 	}
 	if configuration.Acting, err = f.fleet.acting(list, from); err != nil {
--- a/cmd/scaleroute/settings.go
+++ b/cmd/scaleroute/settings.go
@@ -241,7 +241,7 @@
 		s.list = now
 		l.Version = &version.Change{Cause: ledger.ListTold, Make: func(v *version.Vector) { v.List = now }}
 	}
-	if l.Scope == decide.Whole || len(l.Endpoints) > 0 || l.Version != nil {
+	if l.Scope == decide.Snapshot || len(l.Endpoints) > 0 || l.Version != nil {
 		s.to.List(l)
 	}
 }
--- a/cmd/scaleroutectl/plugin.go
+++ b/cmd/scaleroutectl/plugin.go
@@ -195,10 +195,10 @@
 		}
 	case q.Point == plugin.Reply:
 		var after decide.Outcome
-		if after, err = plugin.Caution(decide.Outcome{Result: decide.Done, Over: true}, r); err == nil {
-			o.NotDelivered = after.Result != decide.Done
-			if after.Wait > 0 {
-				o.Wait = after.Wait.String()
+		if after, err = plugin.Caution(decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}, r); err == nil {
+			o.NotDelivered = after.Result != decide.Succeeded
+			if after.RetryAfter > 0 {
+				o.Wait = after.RetryAfter.String()
 			}
 		}
 	case r.Changes():
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -84,9 +84,9 @@
 // Told is the list as told by a watch: whole, or what changed.
 func (l *List) Told() engine.List {
 	if l.Snapshot {
-		return l.As(decide.Whole)
+		return l.As(decide.Snapshot)
 	}
-	return l.As(decide.Changes)
+	return l.As(decide.Delta)
 }
 
 // Platform speaks to discovery and takes notices to the platform.
--- a/internal/back/httpcall/begin_test.go
+++ b/internal/back/httpcall/begin_test.go
@@ -27,7 +27,7 @@
 	s.Start()
 	defer s.Close()
 	b := testTargets()
-	b.List(engine.List{Scope: decide.Whole, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "t"}, Address: s.Listener.Addr().String()}}})
+	b.List(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "t"}, Address: s.Listener.Addr().String()}}})
 	may := false
 	a := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Begin: func() bool { return may }}
 	since := time.Time{}
@@ -49,7 +49,7 @@
 			t.Fatalf("called off: %+v, %d calls", o, calls.Load())
 		}
 	}
-	if o := b.Endpoint("t").Call(t.Context(), a); o.Result != decide.Done || calls.Load() != 1 || conns.Load() != 1 {
+	if o := b.Endpoint("t").Call(t.Context(), a); o.Result != decide.Succeeded || calls.Load() != 1 || conns.Load() != 1 {
 		t.Errorf("%+v, %d calls, %d connections", o, calls.Load(), conns.Load())
 	}
 }
--- a/internal/back/httpcall/call.go
+++ b/internal/back/httpcall/call.go
@@ -72,7 +72,7 @@
 
 // List takes what a source tells of addresses.
 func (b *Back) List(l engine.List) {
-	whole := l.Scope == decide.Whole || l.Scope == decide.Restored
+	whole := l.Scope == decide.Snapshot || l.Scope == decide.LastKnown
 	named := map[string]bool{}
 	for _, e := range l.Endpoints {
 		if whole {
@@ -142,7 +142,7 @@
 	}
 	c, err := t.pool.get(ctx, t.host, connect)
 	if err != nil {
-		o.Result, o.Took = decide.ConnectFailed, time.Since(began)
+		o.Result, o.Latency = decide.ConnectFailed, time.Since(began)
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || context.Cause(ctx) == engine.ErrHandOver {
 			o.Result = decide.NotSent // that is our own, and says nothing of the target
 		}
@@ -166,7 +166,7 @@
 	if _, err := request.WriteTo(c.Conn); err != nil { // before its last byte
 		stop()
 		t.pool.close(c)
-		if o.Result, o.Took = decide.ConnectFailed, time.Since(began); context.Cause(ctx) == engine.ErrHandOver {
+		if o.Result, o.Latency = decide.ConnectFailed, time.Since(began); context.Cause(ctx) == engine.ErrHandOver {
 			o.Result = decide.NotSent // it is begun anew by the next process
 		}
 		return o
@@ -198,7 +198,7 @@
 // await waits for the answer to a call that is written whole.
 func (t *target) await(ctx context.Context, c *conn, began, end time.Time, a *engine.Attempt, stop func() bool, o *decide.Outcome) {
 	resp, first, err := c.answer(ctx, end, a.Reply)
-	o.Took = first.Sub(began)
+	o.Latency = first.Sub(began)
 	if err != nil && a.Keep != nil && context.Cause(ctx) == engine.ErrHandOver && c.stopped && time.Now().Before(end) {
 		c.keepDeadline(stop)
 		t.pool.release()
@@ -209,9 +209,9 @@
 	case err == nil:
 		answered(o, resp)
 	case says200(c.record): // that is true, whatever follows
-		o.Result, o.Over = decide.Done, true
+		o.Result, o.NoAnswerNeeded = decide.Succeeded, true
 	case len(c.record) > 0: // it may have run, whatever it seems to say
-		o.Result, o.Wait = decide.Errored, c.told.left() // but who was told to wait was told
+		o.Result, o.RetryAfter = decide.Errored, c.told.left() // but who was told to wait was told
 		slog.Warn("a spoilt answer", "target", t.host.address, "begins", fmt.Sprintf("%.80q", c.record), "err", err)
 	case ctx.Err() != nil:
 		o.Result = decide.Cancelled
@@ -235,23 +235,23 @@
 	o.Allowance = allowance(resp.Header.Get("Srv-Load"))
 	switch resp.StatusCode {
 	case http.StatusOK:
-		o.Result, o.Over = decide.Done, true
+		o.Result, o.NoAnswerNeeded = decide.Succeeded, true
 	case http.StatusTooManyRequests:
 		wait, ok := waitIn(resp.Header)
 		if !ok {
 			o.Result = decide.Errored // no refusal that we know: it may have run
 			return
 		}
-		o.Result, o.Wait = decide.Full, wait
+		o.Result, o.RetryAfter = decide.Overloaded, wait
 	case http.StatusServiceUnavailable:
-		o.Result = decide.Full
+		o.Result = decide.Overloaded
 		if resp.Header.Get("X-Over-Slots") == "1" {
 			o.Result, o.NoSlot = decide.NotSent, true
 		}
 	case http.StatusGatewayTimeout:
 		o.Result = decide.NotSent
 	case http.StatusGone:
-		o.Result, o.Over = decide.NotSent, true
+		o.Result, o.NoAnswerNeeded = decide.NotSent, true
 	default: // 500, and what the protocol does not list: it may have run
 		o.Result = decide.Errored
 	}
@@ -267,9 +267,9 @@
 		}
 		switch name {
 		case "x0":
-			a.Told, a.Left = true, v
+			a.Reported, a.Remaining = true, v
 		case "x1":
-			a.Told, a.Rate = true, v
+			a.Reported, a.Rate = true, v
 		}
 	}
 	return a
--- a/internal/back/httpcall/call_test.go
+++ b/internal/back/httpcall/call_test.go
@@ -75,21 +75,21 @@
 
 // TestAnswers maps each row of the protocol's table to an outcome.
 func TestAnswers(t *testing.T) {
-	told := decide.Allowance{Told: true, Left: 0.4, Rate: 25}
+	told := decide.Allowance{Reported: true, Remaining: 0.4, Rate: 25}
 	for _, c := range []struct {
 		name, answer string
 		want         decide.Outcome
 		never        bool
 	}{
-		{"200", "200 OK\r\nSrv-Load: x0=0.4,x1=25", decide.Outcome{Result: decide.Done, Over: true, Allowance: told}, false},
+		{"200", "200 OK\r\nSrv-Load: x0=0.4,x1=25", decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true, Allowance: told}, false},
 		{"500", "500 No\r\nSrv-Load: x0=0.4, x1=25", decide.Outcome{Result: decide.Errored, Allowance: told}, false},
-		{"429", "429 No\r\nX-RateLimit-Wait-Ms: 700", decide.Outcome{Result: decide.Full, Wait: 700 * time.Millisecond}, true},
-		{"429 part", "429 No\r\nX-RateLimit-Wait-Ms: 0.2", decide.Outcome{Result: decide.Full, Wait: time.Millisecond}, true},
+		{"429", "429 No\r\nX-RateLimit-Wait-Ms: 700", decide.Outcome{Result: decide.Overloaded, RetryAfter: 700 * time.Millisecond}, true},
+		{"429 part", "429 No\r\nX-RateLimit-Wait-Ms: 0.2", decide.Outcome{Result: decide.Overloaded, RetryAfter: time.Millisecond}, true},
 		{"429 without a wait", "429 No", decide.Outcome{Result: decide.Errored}, false},
-		{"503", "503 No\r\nSrv-Load: x0=NaN,x9=1", decide.Outcome{Result: decide.Full}, true},
+		{"503", "503 No\r\nSrv-Load: x0=NaN,x9=1", decide.Outcome{Result: decide.Overloaded}, true},
 		{"503 slots", "503 No\r\nX-Over-Slots: 1", decide.Outcome{Result: decide.NotSent, NoSlot: true}, true},
 		{"504", "504 No", decide.Outcome{Result: decide.NotSent}, true},
-		{"410", "410 No", decide.Outcome{Result: decide.NotSent, Over: true}, true},
+		{"410", "410 No", decide.Outcome{Result: decide.NotSent, NoAnswerNeeded: true}, true},
 		{"redirect", "302 Found\r\nLocation: /elsewhere", decide.Outcome{Result: decide.Errored}, false},
 		{"unlisted", "202 Accepted", decide.Outcome{Result: decide.Errored}, false},
 		{"garbage", "", decide.Outcome{Result: decide.Errored}, false},
@@ -108,10 +108,10 @@
 			target := testTargets().open(address)
 			for range 3 {
 				o := target.Call(t.Context(), engine.Attempt{ID: "m1", Body: message.Bytes("two\r\nlines"), Timeout: time.Minute})
-				if o.Took <= 0 {
-					t.Errorf("took %v", o.Took)
+				if o.Latency <= 0 {
+					t.Errorf("took %v", o.Latency)
 				}
-				o.Took = 0
+				o.Latency = 0
 				if o != c.want {
 					t.Errorf("got %+v, want %+v", o, c.want)
 				}
@@ -188,7 +188,7 @@
 		mu.Unlock()
 		first := target.Call(t.Context(), engine.Attempt{ID: "first", Body: message.Bytes(body), Timeout: time.Minute})
 		second := target.Call(t.Context(), engine.Attempt{ID: "second", Body: message.Bytes(body), Timeout: time.Minute})
-		if first.Result != decide.Done || second.Result != decide.Reset {
+		if first.Result != decide.Succeeded || second.Result != decide.Reset {
 			t.Errorf("%+v, %+v", first, second)
 		}
 		mu.Lock()
@@ -209,8 +209,8 @@
 	const good, end = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "\r\nContent-Length: 2\r\n\r\nok"
 	const full = "HTTP/1.1 503 No" + end
 	endless := strings.Repeat("X-More: 0123456789\r\n", maxAnswer/10)
-	done := decide.Outcome{Result: decide.Done, Over: true}
-	turned := decide.Outcome{Result: decide.Full}
+	done := decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}
+	turned := decide.Outcome{Result: decide.Overloaded}
 	spoilt := decide.Outcome{Result: decide.Errored}
 	for _, c := range []struct {
 		name, answer string
@@ -253,7 +253,7 @@
 			})
 			target := testTargets().open(address)
 			o := target.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute})
-			o.Took = 0
+			o.Latency = 0
 			if o != c.want {
 				t.Errorf("got %+v, want %+v", o, c.want)
 			}
@@ -297,7 +297,7 @@
 		}
 	}()
 	target := testTargets().open(ln.Addr().String())
-	if o := target.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.Done {
+	if o := target.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.Succeeded {
 		t.Fatalf("%+v", o)
 	}
 	more <- true
@@ -335,7 +335,7 @@
 		call int
 		want string
 	}{{0, "a"}, {1, "ab"}, {0, "ba"}, {2, "ac"}, {0, "ca"}} {
-		if o := list[step.call].Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.Done {
+		if o := list[step.call].Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.Succeeded {
 			t.Fatalf("%+v", o)
 		}
 		if got := idle(); got != step.want {
@@ -359,17 +359,17 @@
 		return engine.Endpoint{Address: address, Target: decide.Target{ID: name, State: s}}
 	}
 	ts := testTargets()
-	ts.List(engine.List{Scope: decide.Whole, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Active), at("b", "127.0.0.1:2", decide.Active)}})
+	ts.List(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Active), at("b", "127.0.0.1:2", decide.Active)}})
 	a := ts.byName["a"]
-	ts.List(engine.List{Scope: decide.Changes, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Draining), at("b", "127.0.0.1:3", decide.Active)}})
+	ts.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Draining), at("b", "127.0.0.1:3", decide.Active)}})
 	if ts.byName["a"] != a || ts.byName["b"].host.address != "127.0.0.1:3" {
 		t.Errorf("after a change: %v", ts.byName)
 	}
-	ts.List(engine.List{Scope: decide.Changes, Endpoints: []engine.Endpoint{at("a", "", decide.Gone)}})
+	ts.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "", decide.Gone)}})
 	if ts.Endpoint("a") != nil || ts.Endpoint("b") == nil {
 		t.Errorf("after a is gone: %v", ts.byName)
 	}
-	ts.List(engine.List{Scope: decide.Whole})
+	ts.List(engine.List{Scope: decide.Snapshot})
 	if len(ts.byName) != 0 {
 		t.Errorf("left over: %v", ts.byName)
 	}
@@ -380,18 +380,18 @@
 func TestSharedAddress(t *testing.T) {
 	address, conns := rawTarget(t, func(*http.Request, string) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
 	ts := testTargets()
-	list := engine.List{Scope: decide.Whole, Endpoints: []engine.Endpoint{
+	list := engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{
 		{Address: address, Target: decide.Target{ID: "a"}}, {Address: address, Target: decide.Target{ID: "b"}}}}
 	ts.List(list)
 	call := func(name string) {
 		t.Helper()
 		a := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute}
-		if o := ts.Endpoint(name).Call(t.Context(), a); o.Result != decide.Done {
+		if o := ts.Endpoint(name).Call(t.Context(), a); o.Result != decide.Succeeded {
 			t.Errorf("%s: %+v", name, o)
 		}
 	}
 	call("a")
-	list.Scope, list.Endpoints[0].State = decide.Changes, decide.Gone
+	list.Scope, list.Endpoints[0].State = decide.Delta, decide.Gone
 	ts.List(list)
 	call("b")
 	if n := conns.Load(); n != 1 {
@@ -431,7 +431,7 @@
 	target := testTargets().open(ln.Addr().String())
 	for range 2 {
 		o := target.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute})
-		if o.Result != decide.Done || o.Took < answerTime {
+		if o.Result != decide.Succeeded || o.Latency < answerTime {
 			t.Errorf("%+v", o)
 		}
 	}
--- a/internal/back/httpcall/handover_test.go
+++ b/internal/back/httpcall/handover_test.go
@@ -23,8 +23,8 @@
 		result decide.Result
 		wait   time.Duration
 	}{
-		{"HTTP/1.1 200 OK\r\nSrv-Load: x0=0.4,x1=25\r\nContent-Length: 5\r\n\r\nhello", decide.Done, 0},
-		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 700\r\nContent-Length: 0\r\n\r\n", decide.Full, 700 * time.Millisecond},
+		{"HTTP/1.1 200 OK\r\nSrv-Load: x0=0.4,x1=25\r\nContent-Length: 5\r\n\r\nhello", decide.Succeeded, 0},
+		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 700\r\nContent-Length: 0\r\n\r\n", decide.Overloaded, 700 * time.Millisecond},
 	} {
 		for at := range len(answer.text) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +59,7 @@
 					}()
 				}
 			}()
-			list := engine.List{Scope: decide.Whole, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "t"}, Address: ln.Addr().String()}}}
+			list := engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "t"}, Address: ln.Addr().String()}}}
 			first, second := testTargets(), testTargets()
 			first.List(list)
 			second.List(list)
@@ -80,11 +80,11 @@
 			close(rest)
 			attempt.Keep = nil
 			o := second.Resume(t.Context(), "t", p, attempt)
-			if o.Result != answer.result || o.Wait != answer.wait || o.Over != (answer.result == decide.Done) {
+			if o.Result != answer.result || o.RetryAfter != answer.wait || o.NoAnswerNeeded != (answer.result == decide.Succeeded) {
 				t.Errorf("cut at %d: %+v", at, o)
 			}
 			// Its connection is kept there, and used for the next call.
-			if o := second.Endpoint("t").Call(t.Context(), engine.Attempt{ID: "next", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.Done {
+			if o := second.Endpoint("t").Call(t.Context(), engine.Attempt{ID: "next", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.Succeeded {
 				t.Errorf("cut at %d: the next call: %+v", at, o)
 			}
 			if idle := second.Release(); len(idle) != 1 || len(calls) != 2 || first.pool.open != 0 || second.pool.open != 0 {
@@ -112,23 +112,23 @@
 	})
 	b := testTargets()
 	e := engine.Endpoint{Target: decide.Target{ID: "t"}, Address: address}
-	b.List(engine.List{Scope: decide.Whole, Endpoints: []engine.Endpoint{e}})
+	b.List(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{e}})
 	to := b.Endpoint("t")
 	wrote := 0
 	call := func() decide.Outcome {
 		return to.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Wrote: func() { wrote++ }})
 	}
-	if o := call(); o.Result != decide.Done || wrote != 1 {
+	if o := call(); o.Result != decide.Succeeded || wrote != 1 {
 		t.Fatalf("%+v, written %d times", o, wrote)
 	}
 	e.State = decide.Draining
-	b.List(engine.List{Scope: decide.Changes, Endpoints: []engine.Endpoint{e}})
+	b.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
 	if o := call(); o.Result != decide.NotSent || served.Load() != 1 || wrote != 1 {
 		t.Errorf("drained: %+v, served %d times, written %d times", o, served.Load(), wrote)
 	}
 	e.State = decide.Active
-	b.List(engine.List{Scope: decide.Changes, Endpoints: []engine.Endpoint{e}})
-	if o := call(); o.Result != decide.Done {
+	b.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
+	if o := call(); o.Result != decide.Succeeded {
 		t.Errorf("put back: %+v", o)
 	}
 }
@@ -143,10 +143,10 @@
 	})
 	b := testTargets()
 	e := engine.Endpoint{Target: decide.Target{ID: "t"}, Address: address}
-	b.List(engine.List{Scope: decide.Whole, Endpoints: []engine.Endpoint{e}})
+	b.List(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{e}})
 	drain := func() bool {
 		e.State = decide.Draining
-		b.List(engine.List{Scope: decide.Changes, Endpoints: []engine.Endpoint{e}})
+		b.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
 		return true
 	}
 	o := b.Endpoint("t").Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Begin: drain})
--- a/internal/back/httpcall/late_test.go
+++ b/internal/back/httpcall/late_test.go
@@ -55,13 +55,13 @@
 			want := decide.TimedOut
 			switch {
 			case at == len(answer):
-				want = decide.Full
+				want = decide.Overloaded
 			case at > 0:
 				want = decide.Errored
 			case off:
 				want = decide.Cancelled
 			}
-			if o.Result != want || at == len(answer) && o.Wait < 59*time.Second {
+			if o.Result != want || at == len(answer) && o.RetryAfter < 59*time.Second {
 				t.Errorf("called off: %v, cut at %d: %+v", off, at, o)
 			}
 			cancel()
--- a/internal/back/httpcall/repeat_test.go
+++ b/internal/back/httpcall/repeat_test.go
@@ -63,9 +63,9 @@
 			t.Parallel()
 			target := restingTargets().open(repeatingTarget(t, behind))
 			for number := 1; number <= 20; number++ {
-				want := decide.Done
+				want := decide.Succeeded
 				if number%2 == 0 {
-					want = decide.Full
+					want = decide.Overloaded
 				}
 				attempt := engine.Attempt{ID: strconv.Itoa(number), Body: message.Bytes("x"), Timeout: time.Minute}
 				if o := target.Call(t.Context(), attempt); o.Result != want {
@@ -84,15 +84,15 @@
 	call := func(number int) decide.Result {
 		return target.Call(t.Context(), engine.Attempt{ID: strconv.Itoa(number), Body: message.Bytes("x"), Timeout: time.Minute}).Result
 	}
-	if got := call(1); got != decide.Done {
+	if got := call(1); got != decide.Succeeded {
 		t.Fatal(got)
 	}
 	time.Sleep(2 * behind) // the copy has come by then
 	call(2)
 	for number := 3; number < 9; number++ {
-		want := decide.Done
+		want := decide.Succeeded
 		if number%2 == 0 {
-			want = decide.Full
+			want = decide.Overloaded
 		}
 		if got := call(number); got != want {
 			t.Errorf("call %d: %v, want %v", number, got, want)
--- a/internal/back/httpcall/told_test.go
+++ b/internal/back/httpcall/told_test.go
@@ -62,13 +62,13 @@
 				var told atomic.Int64
 				call := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Told: func(d time.Duration) { told.Store(int64(d)) }}
 				o := testTargets().open(oneAnswer(t, answer[:n], end)).Call(t.Context(), call)
-				if want := n >= line; (told.Load() == int64(wait)) != want || (o.Wait > wait-5*time.Second) != want || o.Wait > wait {
+				if want := n >= line; (told.Load() == int64(wait)) != want || (o.RetryAfter > wait-5*time.Second) != want || o.RetryAfter > wait {
 					t.Errorf("%s, %s behind byte %d %q: told %v, the outcome %+v", name, how, n, answer[max(0, n-12):n], time.Duration(told.Load()), o)
 				}
 				wanted := decide.Errored
 				switch {
 				case n == len(answer):
-					wanted = decide.Full
+					wanted = decide.Overloaded
 				case n == 0:
 					wanted = decide.Reset
 				}
@@ -104,7 +104,7 @@
 			case o := <-over:
 				t.Fatalf("the call ended before anybody was told: %+v", o)
 			}
-			if o := <-over; o.Result != decide.Errored || o.Wait > time.Minute-answerTime/2 || o.Wait < time.Minute-10*time.Second {
+			if o := <-over; o.Result != decide.Errored || o.RetryAfter > time.Minute-answerTime/2 || o.RetryAfter < time.Minute-10*time.Second {
 				t.Errorf("%+v", o) // half a second of the wait was over
 			}
 		})
@@ -142,7 +142,7 @@
 	p.mu.Lock()
 	p.idle.first.since = time.Now().Add(-p.idleTime) // the timer, set for later, is late
 	p.mu.Unlock()
-	if o := target.Call(t.Context(), a); o.Result != decide.Done || conns.Load() != 2 {
+	if o := target.Call(t.Context(), a); o.Result != decide.Succeeded || conns.Load() != 2 {
 		t.Errorf("%+v by connection %d", o, conns.Load())
 	}
 }
@@ -168,7 +168,7 @@
 		var told atomic.Int64
 		o := testTargets().Resume(t.Context(), "t", &engine.Pending{Address: ln.Addr().String(), Conn: near, Read: []byte(answer[:cut]), Began: time.Now(), End: time.Now().Add(time.Minute)},
 			engine.Attempt{ID: "m", Told: func(d time.Duration) { told.Store(int64(d)) }})
-		if time.Duration(told.Load()) != time.Minute || o.Result != decide.Full || o.Wait != time.Minute {
+		if time.Duration(told.Load()) != time.Minute || o.Result != decide.Overloaded || o.RetryAfter != time.Minute {
 			t.Errorf("cut behind byte %d: told %v, %+v", cut, time.Duration(told.Load()), o)
 		}
 		far.Close()
@@ -264,7 +264,7 @@
 		target := testTargets().open(ln.Addr().String())
 		a := engine.Attempt{ID: "m", Body: message.Bytes(body), Timeout: time.Minute}
 		if s.used {
-			if o := target.Call(t.Context(), a); o.Result != decide.Done {
+			if o := target.Call(t.Context(), a); o.Result != decide.Succeeded {
 				t.Fatalf("%+v", o)
 			}
 		}
@@ -276,13 +276,13 @@
 			<-accepted
 		}
 		mu.Lock()
-		never := o.Result == decide.Full || o.Result == decide.ConnectFailed || o.Result == decide.NotSent
+		never := o.Result == decide.Overloaded || o.Result == decide.ConnectFailed || o.Result == decide.NotSent
 		switch {
 		case ran && never && s.write < len(s.answer):
 			t.Errorf("%+v: %+v, and it has run", s, o)
 		case never && o.Result != decide.ConnectFailed && s.write < len(s.answer):
 			t.Errorf("%+v: turned away by what did not come whole: %+v", s, o)
-		case strings.HasPrefix(s.answer, "HTTP/1.1 200") && s.write > strings.Index(s.answer, "\n") && o.Result != decide.Done:
+		case strings.HasPrefix(s.answer, "HTTP/1.1 200") && s.write > strings.Index(s.answer, "\n") && o.Result != decide.Succeeded:
 			t.Errorf("%+v: %+v", s, o)
 		case calls > 1:
 			t.Errorf("%+v: %d calls", s, calls)
--- a/internal/back/smtpcall/reply.go
+++ b/internal/back/smtpcall/reply.go
@@ -89,15 +89,15 @@
 	class := code / 100
 	switch {
 	case s == dot && class == 2:
-		return decide.Done, true
+		return decide.Succeeded, true
 	case s == data && code == 354, s < data && class == 2:
-		return decide.Done, true
+		return decide.Succeeded, true
 	case class == 4: // not now: the message was not taken (RFC 5321, section 4.2.1)
-		return decide.Full, false
+		return decide.Overloaded, false
 	case class == 5 && s >= mail: // not this message, ever
 		return decide.Rejected, false
 	case class == 5: // the server serves nobody, or not us
-		return decide.Full, false
+		return decide.Overloaded, false
 	case s == dot: // 3xx: what it did is not known
 		return decide.Errored, false
 	}
--- a/internal/back/smtpcall/smtpcall.go
+++ b/internal/back/smtpcall/smtpcall.go
@@ -68,7 +68,7 @@
 
 // List takes what a source tells of addresses; those for other backs are passed over.
 func (b *Back) List(l engine.List) {
-	whole := l.Scope == decide.Whole || l.Scope == decide.Restored
+	whole := l.Scope == decide.Snapshot || l.Scope == decide.LastKnown
 	named := map[string]bool{}
 	for _, e := range l.Endpoints {
 		old := b.byName[e.ID]
@@ -198,7 +198,7 @@
 // Call sends one message, once, and tells how that ended.
 func (t *target) Call(ctx context.Context, a engine.Attempt) (o decide.Outcome) {
 	began := time.Now()
-	defer func() { o.Took = time.Since(began) }()
+	defer func() { o.Latency = time.Since(began) }()
 	body, err := a.Body.Load()
 	if err != nil {
 		slog.Error("a body can't be read", "id", a.ID, "err", err)
@@ -234,12 +234,12 @@
 		alive := stop()
 		switch {
 		case f == nil:
-			o.Result, o.Over = decide.Done, true
+			o.Result, o.NoAnswerNeeded = decide.Succeeded, true
 		case f.stale && alive && time.Now().Before(end):
 			c.Close()
 			continue
 		default:
-			o.Result, o.Over = f.result, f.result == decide.Done
+			o.Result, o.NoAnswerNeeded = f.result, f.result == decide.Succeeded
 			if ctx.Err() != nil { // called off: before the dot that is no failure of the endpoint
 				switch o.Result {
 				case decide.ConnectFailed:
@@ -390,7 +390,7 @@
 		}
 		return &failure{result: result, closed: p.code == 421 || result == decide.Errored, err: fmt.Errorf("%d %s", p.code, strings.Join(p.lines, " "))}
 	case errors.As(err, &spoilt) && spoilt.first/100 == 2: // that is true, whatever follows
-		return &failure{result: decide.Done, closed: true, err: err}
+		return &failure{result: decide.Succeeded, closed: true, err: err}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &failure{result: decide.TimedOut, closed: true, err: err}
 	case errors.Is(err, errNoReply) || errors.Is(err, bufio.ErrBufferFull) || c.r.Buffered() > 0:
--- a/internal/back/smtpcall/smtpcall_test.go
+++ b/internal/back/smtpcall/smtpcall_test.go
@@ -24,7 +24,7 @@
 	}
 	t.Cleanup(m.Close)
 	b := New(Config{Name: "forwarder.test", Idle: 4, ConnIdle: time.Minute, ConnectLimit: time.Second})
-	b.List(engine.List{Scope: decide.Whole, Endpoints: []engine.Endpoint{{Address: engine.MailAddress{LMTP: protocol == engine.LMTP, At: m.Address(), From: "petitions@a.test", To: "office@b.test"}.String(), Target: decide.Target{ID: "m"}}}})
+	b.List(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{{Address: engine.MailAddress{LMTP: protocol == engine.LMTP, At: m.Address(), From: "petitions@a.test", To: "office@b.test"}.String(), Target: decide.Target{ID: "m"}}}})
 	t.Cleanup(func() { b.Endpoint("m").CloseIdle() })
 	return m, b
 }
@@ -55,17 +55,17 @@
 		two, four, five := strings.HasPrefix(name, "2xx") && !strings.Contains(name, "cut"), strings.HasPrefix(name, "4"), strings.HasPrefix(name, "5")
 		switch {
 		case s == standin.MailDot && (two || name == "2xx cut after its first line"):
-			return decide.Done
+			return decide.Succeeded
 		case s == standin.MailDot && name == "2xx cut in its first line":
 			return decide.Reset
 		case s == standin.MailData && name == "354", s != standin.MailDot && s != standin.MailData && two:
-			return decide.Done // it goes on
+			return decide.Succeeded // it goes on
 		case four:
-			return decide.Full
+			return decide.Overloaded
 		case five && s != standin.MailGreeting && s != standin.MailHello:
 			return decide.Rejected
 		case five:
-			return decide.Full
+			return decide.Overloaded
 		case s == standin.MailDot && name == "dropped":
 			return decide.Reset
 		case s == standin.MailDot && name == "silent":
@@ -92,25 +92,25 @@
 						})
 						expected := want(s, d.name)
 						if s == standin.MailHello && strings.HasPrefix(d.name, "5") && d.name != "554" && protocol == engine.SMTP {
-							expected = decide.Done // HELO does
+							expected = decide.Succeeded // HELO does
 						}
 						timeout := 5 * time.Second
 						if d.do.Silent || s == standin.MailDot && d.name == "354" || d.name == "2xx" {
 							timeout = 300 * time.Millisecond
 						}
 						o := send(b, "one", "body", timeout)
-						if o.Result != expected || o.Over != (expected == decide.Done) {
+						if o.Result != expected || o.NoAnswerNeeded != (expected == decide.Succeeded) {
 							t.Fatalf("%+v, want result %d", o, expected)
 						}
 						ran, _ := m.Ran("one")
-						if never := o.Result == decide.Full || o.Result == decide.Rejected || o.Result == decide.ConnectFailed; never && ran > 0 {
+						if never := o.Result == decide.Overloaded || o.Result == decide.Rejected || o.Result == decide.ConnectFailed; never && ran > 0 {
 							t.Error("it is said to have never run, and did")
 						}
-						if expected == decide.Done && ran != 1 {
+						if expected == decide.Succeeded && ran != 1 {
 							t.Errorf("ran %d times", ran)
 						}
 						again.Store(true)
-						if o := send(b, "two", "next", 5*time.Second); o.Result != decide.Done {
+						if o := send(b, "two", "next", 5*time.Second); o.Result != decide.Succeeded {
 							t.Errorf("the next one: %+v", o)
 						}
 						if ran, body := m.Ran("two"); ran != 1 || body != "next" {
@@ -145,19 +145,19 @@
 		}
 		cut.Store(nil)
 		id = fmt.Sprint("whole", n)
-		if o := send(b, id, body, time.Second); o.Result != decide.Done {
+		if o := send(b, id, body, time.Second); o.Result != decide.Succeeded {
 			t.Errorf("%d: %+v", n, o)
 		}
 		if ran, got := m.Ran(id); ran != 1 || got != body {
 			t.Errorf("%d: ran %d times, %d bytes of %d", n, ran, len(got), len(body))
 		}
 	}
-	if o := send(b, "idle", "x", time.Second); o.Result != decide.Done {
+	if o := send(b, "idle", "x", time.Second); o.Result != decide.Succeeded {
 		t.Fatal(o)
 	}
 	had := m.Connections()
 	for n := range 20 {
-		if o := send(b, fmt.Sprint("more", n), "x", time.Second); o.Result != decide.Done {
+		if o := send(b, fmt.Sprint("more", n), "x", time.Second); o.Result != decide.Succeeded {
 			t.Fatal(o)
 		}
 	}
@@ -165,7 +165,7 @@
 		t.Errorf("%d new connections for 20 messages", m.Connections()-had)
 	}
 	m.Drop() // the idle one is dead: that is no failure of the next message
-	if o := send(b, "dead", "x", time.Second); o.Result != decide.Done {
+	if o := send(b, "dead", "x", time.Second); o.Result != decide.Succeeded {
 		t.Errorf("on a dead connection: %+v", o)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -181,7 +181,7 @@
 	if o := send(b, "large", strings.Repeat("x", 5000), time.Second); o.Result != decide.Rejected {
 		t.Errorf("%+v", o)
 	}
-	if o := send(b, "small", "x", time.Second); o.Result != decide.Done || m.Connections() != 1 {
+	if o := send(b, "small", "x", time.Second); o.Result != decide.Succeeded || m.Connections() != 1 {
 		t.Errorf("%+v, %d connections", o, m.Connections())
 	}
 }
@@ -200,7 +200,7 @@
 			t.Errorf("%q read as %+v", text, p)
 		}
 		for s := greeting; s <= dot; s++ {
-			if result, ok := meaning(s, p.code); ok != (result == decide.Done) {
+			if result, ok := meaning(s, p.code); ok != (result == decide.Succeeded) {
 				t.Errorf("%d at %d: %v %v", p.code, s, result, ok)
 			}
 		}
--- a/internal/capacity/measure/model.go
+++ b/internal/capacity/measure/model.go
@@ -59,14 +59,14 @@
 
 func measureDecide(_ context.Context, _ *Lab, destinations int, seed uint64, into result) (err error) {
 	heap := heapOf(func() any {
-		settings := decide.Settings{Seed: seed, Slots: 64, MaxAttempts: 6, Forwarders: 1, Zone: "a", Weights: decide.ExactWeights, ConnIdle: 15 * time.Second, ConnectLimit: time.Second,
-			AdviceLimit: 3 * time.Second, DrainGrace: time.Second, StartCapacity: 0.2, Cold: 10 * time.Second, TipMultiple: 2, Fall: 3 * time.Second,
-			Classes: []decide.Class{{Name: "pure", Aim: time.Minute, Deadline: time.Hour, Worth: 1, LateShare: 0.4}}, Kinds: []decide.Kind{{Name: "std", PerCall: 1}}}
+		settings := decide.Settings{Seed: seed, Slots: 64, MaxAttempts: 6, Forwarders: 1, Zone: "a", Weights: decide.ExactWeights, ConnIdle: 15 * time.Second, ConnectTimeout: time.Second,
+			MaxRetryAfter: 3 * time.Second, DrainGrace: time.Second, StartCapacity: 0.2, SlowStart: 10 * time.Second, OverloadFactor: 2, OverloadOutage: 3 * time.Second,
+			Classes: []decide.Class{{Name: "pure", OnTime: time.Minute, Deadline: time.Hour, Value: 1, LateShare: 0.4}}, Kinds: []decide.Kind{{Name: "std", MaxBatch: 1}}}
 		var module *decide.Forwarder
 		if module, err = decide.New(settings); err != nil {
 			return nil
 		}
-		list := decide.TargetList{Scope: decide.Whole}
+		list := decide.TargetList{Scope: decide.Snapshot}
 		for d := range destinations {
 			list.Targets = append(list.Targets, decide.Target{ID: fmt.Sprintf("s-%07d", d), Destination: d, Kind: "std", Zone: "a", Weight: 1e6})
 		}
--- a/internal/decide/among_test.go
+++ b/internal/decide/among_test.go
@@ -15,28 +15,28 @@
 	for _, c := range []struct {
 		name  string
 		back  string // backups
-		among *Among
+		among *EndpointFilter
 		fails string // this target fails every call
 		most  string // gets most of the calls
 		none  string // these get no call
 	}{
 		{"none", "", nil, "", "", "other"},
-		{"only", "", &Among{Only: []string{"b"}}, "", "b", "a c"},
-		{"only one that fails", "", &Among{Only: []string{"b"}}, "b", "b", "a c"},
-		{"another destination's", "", &Among{Only: []string{"other"}}, "", "", "a b c other"},
-		{"one that there is not", "", &Among{Only: []string{"zz"}}, "", "", "a b c other"},
-		{"preferred", "", &Among{Prefer: []string{"c", "a"}}, "", "c", "other"},
-		{"the preferred one fails", "", &Among{Prefer: []string{"c", "a"}}, "c", "a", "other"},
+		{"only", "", &EndpointFilter{Only: []string{"b"}}, "", "b", "a c"},
+		{"only one that fails", "", &EndpointFilter{Only: []string{"b"}}, "b", "b", "a c"},
+		{"another destination's", "", &EndpointFilter{Only: []string{"other"}}, "", "", "a b c other"},
+		{"one that there is not", "", &EndpointFilter{Only: []string{"zz"}}, "", "", "a b c other"},
+		{"preferred", "", &EndpointFilter{Prefer: []string{"c", "a"}}, "", "c", "other"},
+		{"the preferred one fails", "", &EndpointFilter{Prefer: []string{"c", "a"}}, "c", "a", "other"},
 		{"a backup is not called", "c", nil, "", "", "c other"},
-		{"not even where it is preferred", "c", &Among{Prefer: []string{"c"}}, "", "", "c other"},
-		{"where it alone is permitted", "c", &Among{Only: []string{"c"}}, "", "c", "a b"},
+		{"not even where it is preferred", "c", &EndpointFilter{Prefer: []string{"c"}}, "", "", "c other"},
+		{"where it alone is permitted", "c", &EndpointFilter{Only: []string{"c"}}, "", "c", "a b"},
 		{"a backup for one that fails", "b c", nil, "a", "", "other"},
 		{"a backup that fails as well", "c", nil, "c", "", "c"},
-		{"another destination's preferred", "", &Among{Prefer: []string{"other"}}, "", "", "other"},
+		{"another destination's preferred", "", &EndpointFilter{Prefer: []string{"other"}}, "", "", "other"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f, err := New(Settings{Slots: 64, Seed: 7, ConnIdle: time.Minute, ConnectLimit: time.Second, AdviceLimit: time.Second, StartCapacity: 1,
-				TipMultiple: 2, Fall: time.Second, Classes: []Class{{Name: "note", Deadline: 10 * time.Second, Aim: 3 * time.Second, Worth: 1}}})
+			f, err := New(Settings{Slots: 64, Seed: 7, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second, StartCapacity: 1,
+				OverloadFactor: 2, OverloadOutage: time.Second, Classes: []Class{{Name: "note", Deadline: 10 * time.Second, OnTime: 3 * time.Second, Value: 1}}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -44,11 +44,11 @@
 			for i := range targets {
 				targets[i].Backup = slices.Contains(strings.Fields(c.back), targets[i].ID)
 			}
-			events := []Event{TargetList{Scope: Whole, Targets: targets}}
+			events := []Event{TargetList{Scope: Snapshot, Targets: targets}}
 			got, attempts, ended, all := map[string]int{}, map[string]int{}, 0, 0
 			for now := time.Duration(0); now < 40*time.Second; now += 10 * time.Millisecond {
 				if now < 20*time.Second {
-					events = append(events, Message{ID: fmt.Sprint(now), Class: "note", Destination: 1, Left: 10 * time.Second, Among: c.among})
+					events = append(events, Message{ID: fmt.Sprint(now), Class: "note", Destination: 1, TimeLeft: 10 * time.Second, Filter: c.among})
 				}
 				actions := f.Step(now, events)
 				events = []Event{Woken{}}
@@ -57,9 +57,9 @@
 					case Send:
 						got[a.Target]++
 						all++
-						o := Outcome{Message: a.Message, Attempt: attempts[a.Message], Target: a.Target, Result: Done, Over: true, Took: 10 * time.Millisecond}
+						o := Outcome{Message: a.Message, Attempt: attempts[a.Message], Target: a.Target, Result: Succeeded, NoAnswerNeeded: true, Latency: 10 * time.Millisecond}
 						if a.Target == c.fails {
-							o.Result, o.Over = ConnectFailed, false
+							o.Result, o.NoAnswerNeeded = ConnectFailed, false
 						} else {
 							ended++
 						}
--- a/internal/decide/call.go
+++ b/internal/decide/call.go
@@ -92,7 +92,7 @@
 	last = c.pending == 0
 	if last {
 		f.endCall(c)
-		if result.answered() || result == Errored || result == Full || result == NotSent {
+		if result.answered() || result == Errored || result == Overloaded || result == NotSent {
 			c.endpoint.idleSince = append(c.endpoint.idleSince, f.now) // its connection is kept
 		}
 	}
--- a/internal/decide/circuit.go
+++ b/internal/decide/circuit.go
@@ -18,7 +18,7 @@
 // recordOutcome updates the state of a call's route and endpoint from its outcome.
 func (f *Forwarder) recordOutcome(r *route, c *call, o Outcome) {
 	switch o.Result {
-	case Done, Rejected, Errored, Full:
+	case Succeeded, Rejected, Errored, Overloaded:
 		f.clearSuspicion(r)
 	case TimedOut:
 		if c.sentAt > r.lastSuccessSentAt {
@@ -45,13 +45,13 @@
 	}
 	f.observeAllowance(r, o)
 	r.outcomes++
-	unclear := oneIf(!good && o.Result != Full && o.Result != ConnectFailed)
+	unclear := oneIf(!good && o.Result != Overloaded && o.Result != ConnectFailed)
 	r.unclearShare.record(f.now, recentWindow, unclearWeight, unclear)
 	if o.Result != TimedOut { // a timeout is mostly the route's failure, not the endpoint's
 		c.endpoint.failureShare.record(f.now, forgetAfter, lossWeight, unclear)
 	}
 	if good {
-		f.recordSuccess(r, c, o.Took)
+		f.recordSuccess(r, c, o.Latency)
 	} else {
 		f.recordFailure(r, c, o)
 	}
@@ -64,7 +64,7 @@
 		r.failingSince = c.sentAt
 	}
 	weight := 1.0
-	if o.Result == Full {
+	if o.Result == Overloaded {
 		weight = 1 / rejectionsPerFailure
 	}
 	r.consecutiveFailures += weight
@@ -86,14 +86,14 @@
 		return
 	}
 	switch {
-	case o.Wait > 0 && o.Wait >= f.settings.Fall && f.settings.Fall > 0:
+	case o.RetryAfter > 0 && o.RetryAfter >= f.settings.OverloadOutage && f.settings.OverloadOutage > 0:
 		f.openCircuit(r, "shut")
 	case r.consecutiveFailures >= f.outageThreshold(r):
 		f.openCircuit(r, "failing")
 	case r.unclearShare.get(f.now, recentWindow) > halfFailingShare:
 		r.needsSlowStart = true // a partial outage is one, too
 		f.openCircuit(r, "half failing")
-	case o.Result == Full:
+	case o.Result == Overloaded:
 		f.cutRate(r)
 	}
 }
@@ -130,7 +130,7 @@
 func (f *Forwarder) avoidFailingEndpoint(r *route, ep *endpoint, result Result) (avoided bool) {
 	ep.consecutiveFailures++
 	routeWorks := !r.circuitOpen && r.lastSuccessAt > f.now-recentWindow
-	if result == Full || ep.consecutiveFailures < 2 || !routeWorks {
+	if result == Overloaded || ep.consecutiveFailures < 2 || !routeWorks {
 		return false
 	}
 	for _, other := range r.endpoints {
@@ -171,7 +171,7 @@
 // on its return each does so at the rate of its own messages in the outage, or its equal share of a limit,
 // times the capacity that a returning route has for probes; from a retry-after time on too, as all got it.
 func (f *Forwarder) nextProbeAt(r *route) time.Duration {
-	capacity := max(probeShare*f.settings.TipMultiple*f.settings.StartCapacity, minCapacityShare)
+	capacity := max(probeShare*f.settings.OverloadFactor*f.settings.StartCapacity, minCapacityShare)
 	earliest := max(r.lastProbeAt, r.retryAfter)
 	outage := earliest - r.failingSince
 	came := float64(r.dest.queued) - r.probeJitter/capacity // less those since the last probe
--- a/internal/decide/completion.go
+++ b/internal/decide/completion.go
@@ -24,7 +24,7 @@
 	r, ep, d := c.route, c.endpoint, c.route.dest
 	f.closeAllIntervals(d)
 	f.hedges.remove(m)
-	r.retryAfter = max(r.retryAfter, f.now+o.Wait) // it applies to all messages of a call
+	r.retryAfter = max(r.retryAfter, f.now+o.RetryAfter) // it applies to all messages of a call
 	last := f.endAttempt(a, o.Result)
 	if o.Result == NotSent {
 		m.sends--
@@ -35,12 +35,12 @@
 	f.removeIfGone(ep)
 	unclear := o.Result == TimedOut || o.Result == Reset || o.Result == Cancelled
 	if unclear && m.keyQueue != nil {
-		m.keyQueue.idleUntil = max(m.keyQueue.idleUntil, f.now+f.settings.KeyRest)
+		m.keyQueue.idleUntil = max(m.keyQueue.idleUntil, f.now+f.settings.KeyPause)
 	}
-	if (unclear || o.Result == Errored || o.Result == Done) && !m.mayHaveRun {
+	if (unclear || o.Result == Errored || o.Result == Succeeded) && !m.mayHaveRun {
 		m.mayHaveRun, m.runZone, m.runSentAt = true, ep.zone, c.sentAt
 	}
-	if o.Over || m.completed {
+	if o.NoAnswerNeeded || m.completed {
 		f.completeMessage(m)
 	} else if m.inFlight == 0 {
 		f.retryOrAnswer(m, r, o)
@@ -52,7 +52,7 @@
 func (f *Forwarder) retryOrAnswer(m *message, r *route, o Outcome) {
 	notSent := o.Result == NotSent
 	if o.Result == Rejected || f.attemptsExhausted(m) ||
-		m.mayHaveRun && m.class.Effect == Unsafe || f.now >= m.answerDeadline() {
+		m.mayHaveRun && m.class.Effect == AtMostOnce || f.now >= m.answerDeadline() {
 		f.answerMessage(m)
 		return
 	}
@@ -67,20 +67,20 @@
 		r.reservedRetries++
 	}
 	first := firstBackoff
-	if o.Result == Full && o.Wait == 0 { // it will still be full after firstBackoff
+	if o.Result == Overloaded && o.RetryAfter == 0 { // it will still be full after firstBackoff
 		first = rejectedBackoff
 	}
-	m.notBefore = max(m.notBefore, f.now+o.Hold)
+	m.notBefore = max(m.notBefore, f.now+o.RetryDelay)
 	if !notSent {
-		m.notBefore = f.now + f.jitter(max(first, m.limits.Wait)<<max(0, m.sends-1))
+		m.notBefore = f.now + f.jitter(max(first, m.limits.RetryDelay)<<max(0, m.sends-1))
 	}
 	f.enqueue(m)
 }
 
 // answerDeadline is when a queued message must be answered: its deadline, or the end of its keyed window.
 func (m *message) answerDeadline() time.Duration {
-	if m.mayHaveRun && m.class.Effect == Keyed {
-		return min(m.deadline-answerMargin, m.runSentAt+m.class.Window-keyWindowMargin)
+	if m.mayHaveRun && m.class.Effect == Deduplicated {
+		return min(m.deadline-answerMargin, m.runSentAt+m.class.DedupWindow-keyWindowMargin)
 	}
 	return m.deadline - answerMargin
 }
@@ -99,16 +99,16 @@
 
 // isRefusable reports whether the client may be told that handing the message in again is harmless.
 func (f *Forwarder) isRefusable(m *message) bool {
-	if !m.mayHaveRun && m.inFlight == 0 || m.class.Effect == Pure {
+	if !m.mayHaveRun && m.inFlight == 0 || m.class.Effect == Idempotent {
 		return true
 	}
-	return m.class.Effect == Keyed && !m.class.ZoneGroup
+	return m.class.Effect == Deduplicated && !m.class.DedupPerZone
 }
 
 // answerMessage gives the one final answer.
 func (f *Forwarder) answerMessage(m *message) {
 	if f.isRefusable(m) {
-		f.emit(Refuse{Message: m.id, Wait: f.retryAdvice(m.dest)})
+		f.emit(Refuse{Message: m.id, RetryAfter: f.retryAdvice(m.dest)})
 	} else {
 		f.emit(Fail{Message: m.id})
 	}
@@ -117,7 +117,7 @@
 
 // retryAdvice is how long a client should stay away: until the retry-after time or the next probe.
 func (f *Forwarder) retryAdvice(d *destination) time.Duration {
-	wait := f.settings.AdviceLimit
+	wait := f.settings.MaxRetryAfter
 	for _, r := range d.routes {
 		w := max(0, r.retryAfter-f.now)
 		if r.circuitOpen {
--- a/internal/decide/copies_test.go
+++ b/internal/decide/copies_test.go
@@ -15,10 +15,10 @@
 	const after = 80 * time.Millisecond
 	copies, calledOff := 0, 0
 	for seed := range uint64(6) {
-		f, err := New(Settings{Slots: 40, Seed: seed, MaxAttempts: 4, ConnIdle: time.Minute, ConnectLimit: time.Second, AdviceLimit: time.Second, StartCapacity: 1, MayCancel: seed%2 == 0,
-			TipMultiple: 2, Fall: time.Second, SecondCopies: seed%5 != 4, Limits: func(string, int, string) Limits { return Limits{Copy: after} },
-			Classes: []Class{{Name: "pure", Deadline: 5 * time.Second, Aim: time.Second, Worth: 1}, {Name: "keyed", Effect: Keyed, Window: time.Minute, Deadline: 5 * time.Second, Aim: time.Second, Worth: 1},
-				{Name: "unsafe", Effect: Unsafe, Deadline: 5 * time.Second, Aim: time.Second, Worth: 1}}})
+		f, err := New(Settings{Slots: 40, Seed: seed, MaxAttempts: 4, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second, StartCapacity: 1, MayCancel: seed%2 == 0,
+			OverloadFactor: 2, OverloadOutage: time.Second, Hedging: seed%5 != 4, Limits: func(string, int, string) Limits { return Limits{HedgeDelay: after} },
+			Classes: []Class{{Name: "pure", Deadline: 5 * time.Second, OnTime: time.Second, Value: 1}, {Name: "keyed", Effect: Deduplicated, DedupWindow: time.Minute, Deadline: 5 * time.Second, OnTime: time.Second, Value: 1},
+				{Name: "unsafe", Effect: AtMostOnce, Deadline: 5 * time.Second, OnTime: time.Second, Value: 1}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 		}
 		rng := rand.New(rand.NewPCG(seed, 3))
 		all, live, firsts, further := map[string]*held{}, []string{}, 0, 0
-		events := []Event{TargetList{Scope: Whole, Targets: []Target{{ID: "a", Destination: 1}, {ID: "b", Destination: 1}, {ID: "slow", Destination: 1}, {ID: "spare", Destination: 1, Backup: true},
+		events := []Event{TargetList{Scope: Snapshot, Targets: []Target{{ID: "a", Destination: 1}, {ID: "b", Destination: 1}, {ID: "slow", Destination: 1}, {ID: "spare", Destination: 1, Backup: true},
 			{ID: "x", Destination: 2}, {ID: "y", Destination: 2}}}}
 		drained, waits, out := false, time.Duration(0), 0
 		for now := time.Duration(0); now < 30*time.Second; now += time.Millisecond {
@@ -51,10 +51,10 @@
 					dest += rng.IntN(2)
 				}
 				all[id], live = h, append(live, id)
-				events = append(events, Message{ID: id, Class: h.class, Destination: dest, Left: 5 * time.Second})
+				events = append(events, Message{ID: id, Class: h.class, Destination: dest, TimeLeft: 5 * time.Second})
 			}
 			if now == 16*time.Second {
-				events, drained = append(events, TargetList{Scope: Changes, Targets: []Target{{ID: "slow", Destination: 1, State: Draining}}}), true
+				events, drained = append(events, TargetList{Scope: Delta, Targets: []Target{{ID: "slow", Destination: 1, State: Draining}}}), true
 			}
 			live = slices.DeleteFunc(live, func(id string) bool { return all[id].over && len(all[id].out) == 0 })
 			for _, id := range live {
@@ -64,18 +64,18 @@
 						h.out = append(h.out[:i:i], h.out[i+1:]...)
 						out--
 						i--
-						o := Outcome{Message: id, Attempt: c.n, Target: c.target, Result: Done, Over: true, Took: now - c.sent}
+						o := Outcome{Message: id, Attempt: c.n, Target: c.target, Result: Succeeded, NoAnswerNeeded: true, Latency: now - c.sent}
 						if !h.over && rng.IntN(40) == 0 {
-							o.Result, o.Over = []Result{Errored, Reset, TimedOut}[rng.IntN(3)], false
+							o.Result, o.NoAnswerNeeded = []Result{Errored, Reset, TimedOut}[rng.IntN(3)], false
 						}
 						if !h.over && seed%3 == 2 && rng.IntN(100) == 0 {
-							o.Result, o.Over, o.Wait = Full, false, 300*time.Millisecond
-							waits = max(waits, now+o.Wait)
+							o.Result, o.NoAnswerNeeded, o.RetryAfter = Overloaded, false, 300*time.Millisecond
+							waits = max(waits, now+o.RetryAfter)
 						}
 						if h.over { // called off
-							o.Result, o.Over = Cancelled, false
+							o.Result, o.NoAnswerNeeded = Cancelled, false
 						}
-						h.over = h.over || o.Over
+						h.over = h.over || o.NoAnswerNeeded
 						events = append(events, o)
 					}
 				}
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -34,9 +34,9 @@
 
 // The kinds of effect.
 const (
-	Pure   Effect = iota // safe to repeat
-	Keyed                // a repeat is dropped by the same group within a window
-	Unsafe               // must never take effect twice
+	Idempotent   Effect = iota // safe to repeat
+	Deduplicated                // a repeat is dropped by the same group within a window
+	AtMostOnce               // must never take effect twice
 )
 
 // Decay is how the value of a message falls once its aim has passed.
@@ -44,28 +44,28 @@
 
 // The kinds of decay.
 const (
-	Line   Decay = iota // evenly, down to the late share at the deadline
-	Halves              // by half with each further aim, not under the late share
+	Linear   Decay = iota // evenly, down to the late share at the deadline
+	Exponential              // by half with each further aim, not under the late share
 )
 
 // Class describes one class of message.
 type Class struct {
 	Name       string
 	Effect     Effect
-	ZoneGroup  bool          // for Keyed: only endpoints of one zone drop repeats; else all do
-	Window     time.Duration // for Keyed: how long a repeat is dropped
-	Aim        time.Duration // delivered by then it has its full value
+	DedupPerZone  bool          // for Keyed: only endpoints of one zone drop repeats; else all do
+	DedupWindow     time.Duration // for Keyed: how long a repeat is dropped
+	OnTime        time.Duration // delivered by then it has its full value
 	Deadline   time.Duration // it fails if it is not delivered by then
-	Worth      float64
+	Value      float64
 	LateShare  float64 // share of the value left at the deadline
-	KeepsOrder bool    // messages with one key go one at a time, in order
+	Ordered bool    // messages with one key go one at a time, in order
 }
 
 // Kind describes one kind of destination.
 type Kind struct {
 	Name    string
-	Apart   bool // its endpoints are separate routes
-	PerCall int  // messages that one call carries at most
+	SeparateRoutes   bool // its endpoints are separate routes
+	MaxBatch int  // messages that one call carries at most
 }
 
 // Tenant is one of those whose messages are delivered.
@@ -81,49 +81,49 @@
 	Kinds          []Kind
 	Tenants        []Tenant
 	Decay          Decay
-	OverShareWorth float64 // value of a message beyond its tenant's quota, as a share
+	OverQuotaValue float64 // value of a message beyond its tenant's quota, as a share
 
 	Zone         string             // this forwarder's own
 	ZoneFee      map[string]float64 // price of a message accepted by a separate route, by zone
-	CrossPrice   float64            // price of an attempt that leaves the zone
+	CrossZonePrice   float64            // price of an attempt that leaves the zone
 	ConnectPrice float64            // price of a new connection; at 0 none is kept idle
 	Forwarders   int                // how many there are, this one included
 	Weights      Weights            // what Target.Weight holds
 
 	Slots        int                                                      // calls in flight at once
-	MaxHeld      int                                                      // open messages at once; 0 for no limit
+	MaxOpen      int                                                      // open messages at once; 0 for no limit
 	MaxAttempts  int                                                      // attempts for one message; 0 for no limit
 	Limits       func(class string, destination int, route string) Limits // a pure function; nil for none
-	SecondCopies bool
+	Hedging bool
 	MayProbe     bool
 	MayCancel    bool
-	MustAsk      bool          // the list comes only when asked for
-	AskEvery     time.Duration // how often to ask where the list must be asked for
+	MustSubscribe      bool          // the list comes only when asked for
+	ResubscribeInterval     time.Duration // how often to ask where the list must be asked for
 
 	ConnIdle     time.Duration // an idle connection is closed after this
-	ConnectLimit time.Duration // a connection not made by then has failed
-	AdviceLimit  time.Duration // the longest wait that a client heeds
+	ConnectTimeout time.Duration // a connection not made by then has failed
+	MaxRetryAfter  time.Duration // the longest wait that a client heeds
 
-	Slack         time.Duration // a final answer may be this late
+	AnswerSlack         time.Duration // a final answer may be this late
 	DrainGrace    time.Duration // sends to a draining target must have ended by then
-	KeyRest       time.Duration // pause of a key after an attempt that may still run
+	KeyPause       time.Duration // pause of a key after an attempt that may still run
 	StartCapacity float64       // share of its capacity that a returning destination has
-	Cold          time.Duration // it has all of it after this
-	TipMultiple   float64       // sent over this multiple of its present capacity
-	Fall          time.Duration // for this long, it falls over
+	SlowStart          time.Duration // it has all of it after this
+	OverloadFactor   float64       // sent over this multiple of its present capacity
+	OverloadOutage          time.Duration // for this long, it falls over
 }
 
 // Limits restricts what is done for some messages; 0 is no limit.
 type Limits struct {
-	Attempts int           // for one message
-	Answer   time.Duration // how long one attempt may wait for its answer
-	Wait     time.Duration // before the first retry, still jittered; it doubles from there
-	Copy     time.Duration // until a hedged request of a repeatable message, where Settings.SecondCopies
+	MaxAttempts int           // for one message
+	AttemptTimeout   time.Duration // how long one attempt may wait for its answer
+	RetryDelay     time.Duration // before the first retry, still jittered; it doubles from there
+	HedgeDelay     time.Duration // until a hedged request of a repeatable message, where Settings.SecondCopies
 
 	// For all messages of a destination together: requested without a class.
-	Out   int     // calls in flight at once, of each route
-	Rate  float64 // calls a second, of each route, by this forwarder
-	Ratio float64 // retries, as a share of first attempts
+	MaxInFlight   int     // calls in flight at once, of each route
+	MaxRate  float64 // calls a second, of each route, by this forwarder
+	MaxRetryRatio float64 // retries, as a share of first attempts
 }
 
 // Weights is what the weight of an endpoint means.
@@ -137,7 +137,7 @@
 )
 
 // Event is something that a host reports: [TargetList], [Message], [Outcome],
-// [ProbeResult], [Withdrawn], [Woken], [Crowded], [Stopping], [ShutOut] or [PeerWait].
+// [ProbeResult], [Withdrawn], [Woken], [StoreFull], [Stopping], [Fenced] or [PeerRetryAfter].
 type Event interface{ event() }
 
 // TargetState is the listed state of an endpoint; it is independent of its health.
@@ -160,7 +160,7 @@
 	Weight      float64
 	Backup      bool    // used only while the others of its destination fail or are gone
 	Share       float64 // its weight in the round robin of its route; 0 is 1
-	PutBack     uint32  // how often an operator disabled and enabled it: it comes back cold
+	EnableCount     uint32  // how often an operator disabled and enabled it: it comes back cold
 }
 
 // ListScope says how a TargetList relates to the one before it.
@@ -168,9 +168,9 @@
 
 // The scopes of a list.
 const (
-	Whole       ListScope = iota // a complete snapshot: an endpoint missing from it is gone
-	Restored                     // the last known snapshot, possibly out of date
-	Changes                      // a delta
+	Snapshot       ListScope = iota // a complete snapshot: an endpoint missing from it is gone
+	LastKnown                     // the last known snapshot, possibly out of date
+	Delta                      // a delta
 	Unavailable                  // the request failed; the last list stays valid
 )
 
@@ -187,22 +187,22 @@
 	Destination int
 	Key         string // for classes that keep order: messages of one key go one at a time
 	Tenant      string
-	Left        time.Duration // until its deadline
-	Again       bool          // it was open at a forwarder that died
-	Repeat      bool          // a client's repeat, where clients mark it
+	TimeLeft        time.Duration // until its deadline
+	FromFailedForwarder       bool          // it was open at a forwarder that died
+	ClientRetry      bool          // a client's repeat, where clients mark it
 	Route       string        // by which it came, for its limits
-	Among       *Among        // which endpoints it may go to; nil: any of its destination
+	Filter       *EndpointFilter        // which endpoints it may go to; nil: any of its destination
 
 	// What a restarted host knows of a message that it had accepted before.
 	Recovered  bool // accepted before the restart: it is never rejected for lack of room
 	Attempts   int  // sends made before; the next one has this number
-	Open       bool // the last of them has no known outcome
+	HasOpenAttempt       bool // the last of them has no known outcome
 	MayHaveRun bool // one of them may have run
 }
 
-// Among restricts and orders the endpoints that a message may go to. It permits none
+// EndpointFilter restricts and orders the endpoints that a message may go to. It permits none
 // that would not be permitted without it.
-type Among struct {
+type EndpointFilter struct {
 	Only   []string // no others; none: all
 	Prefer []string // these before the others, in this order, other things being equal
 }
@@ -212,9 +212,9 @@
 
 // The ways in which an attempt can end.
 const (
-	Done          Result = iota
+	Succeeded          Result = iota
 	Errored              // answered with an error; it may have run
-	Full                 // rejected: it did not run
+	Overloaded                 // rejected: it did not run
 	TimedOut             // it may have run, or still do so
 	ConnectFailed        // never reached the target
 	Reset                // the connection broke; it may have run
@@ -224,12 +224,12 @@
 )
 
 // answered reports whether an endpoint gave a definite answer to the message.
-func (r Result) answered() bool { return r == Done || r == Rejected }
+func (r Result) answered() bool { return r == Succeeded || r == Rejected }
 
 // Allowance is what a destination reports of its limit.
 type Allowance struct {
-	Told bool
-	Left float64 // share of the limit that is left
+	Reported bool
+	Remaining float64 // share of the limit that is left
 	Rate float64 // calls a second that the limit allows; 0 where there is none
 }
 
@@ -239,11 +239,11 @@
 	Attempt   int // numbered from 0 in the order of the sends
 	Target    string
 	Result    Result
-	Took      time.Duration
-	Wait      time.Duration // the retry-after time, or 0
+	Latency      time.Duration
+	RetryAfter      time.Duration // the retry-after time, or 0
 	NoSlot    bool          // with NotSent: no slot was free
-	Hold      time.Duration // with NotSent: its message is not retried before
-	Over      bool          // the message needs no answer any more
+	RetryDelay      time.Duration // with NotSent: its message is not retried before
+	NoAnswerNeeded      bool          // the message needs no answer any more
 	Allowance Allowance
 }
 
@@ -251,7 +251,7 @@
 type ProbeResult struct {
 	Target    string
 	Result    Result
-	Took      time.Duration
+	Latency      time.Duration
 	Allowance Allowance
 }
 
@@ -261,22 +261,22 @@
 // Woken reports that the time of a Wake has come.
 type Woken struct{}
 
-// Crowded reports that the host had no room to store one more message.
-type Crowded struct{}
+// StoreFull reports that the host had no room to store one more message.
+type StoreFull struct{}
 
 // Stopping reports that the host stops after this time. What is open then goes
 // to the Forwarder of its next start as Recovered.
-type Stopping struct{ Left time.Duration }
+type Stopping struct{ TimeLeft time.Duration }
 
-// ShutOut reports that the host is fenced and must make no new call until it reports that this is over:
+// Fenced reports that the host is fenced and must make no new call until it reports that this is over:
 // queued messages are answered at once, those in flight when their calls end without success.
-type ShutOut struct{ On bool }
+type Fenced struct{ On bool }
 
-// PeerWait reports a retry-after time that another sender got from this endpoint: nothing
+// PeerRetryAfter reports a retry-after time that another sender got from this endpoint: nothing
 // is sent there until then. It never shortens one.
-type PeerWait struct {
+type PeerRetryAfter struct {
 	Target string
-	Wait   time.Duration
+	RetryAfter   time.Duration
 }
 
 func (TargetList) event()  {}
@@ -285,10 +285,10 @@
 func (ProbeResult) event() {}
 func (Withdrawn) event()   {}
 func (Woken) event()       {}
-func (Crowded) event()     {}
+func (StoreFull) event()     {}
 func (Stopping) event()    {}
-func (ShutOut) event()     {}
-func (PeerWait) event()    {}
+func (Fenced) event()     {}
+func (PeerRetryAfter) event()    {}
 
 // Action is something that the host must do: [Send], [Refuse], [Fail],
 // [Cancel], [CloseIdle], [Subscribe] or [Wake].
@@ -300,13 +300,13 @@
 	Message string
 	Target  string
 	Timeout time.Duration
-	Within  time.Duration // its first byte is written within that, or not at all; 0: whenever
+	StartWithin  time.Duration // its first byte is written within that, or not at all; 0: whenever
 }
 
 // Refuse is a final answer: handing the message in again is harmless.
 type Refuse struct {
 	Message string
-	Wait    time.Duration // advice: how long to stay away; 0 for none
+	RetryAfter    time.Duration // advice: how long to stay away; 0 for none
 }
 
 // Fail is a final answer that promises nothing about the message's effect.
@@ -339,11 +339,11 @@
 // RouteView is the state of one route as operators see it.
 type RouteView struct {
 	Route         string        // the destination's number, or the endpoint's id where routes are separate
-	Open          bool          // the circuit is open: only probes go
-	Why           string        // why the circuit is open; empty if it is not
-	WaitLeft      time.Duration // until the retry-after time
-	Budget        float64       // retries allowed, as a share of first attempts
+	CircuitOpen          bool          // the circuit is open: only probes go
+	OpenReason           string        // why the circuit is open; empty if it is not
+	RetryAfterLeft      time.Duration // until the retry-after time
+	RetryRatio        float64       // retries allowed, as a share of first attempts
 	Amplification float64       // all attempts over first attempts
-	Out           int           // calls in flight
-	Waiting       int           // messages queued for the destination
+	InFlight           int           // calls in flight
+	Queued       int           // messages queued for the destination
 }
--- a/internal/decide/eligibility.go
+++ b/internal/decide/eligibility.go
@@ -80,7 +80,7 @@
 	if m.sends > 0 && !r.circuitOpen {
 		earliest = max(earliest, r.allowanceSpentUntil)
 	}
-	if class.Effect == Unsafe {
+	if class.Effect == AtMostOnce {
 		// An unclear outcome would lose it: it waits, and leaves probes to repeatable messages.
 		earliest = max(earliest, r.unclearShare.until(recentWindow, halfFailingShare))
 		if r.circuitOpen {
@@ -100,11 +100,11 @@
 
 // attemptsExhausted reports whether no further attempt at a message is allowed.
 func (f *Forwarder) attemptsExhausted(m *message) bool {
-	return f.fenced || m.sends > maxRetries || m.limits.Attempts > 0 && m.attempts >= m.limits.Attempts
+	return f.fenced || m.sends > maxRetries || m.limits.MaxAttempts > 0 && m.attempts >= m.limits.MaxAttempts
 }
 
 // isRepeatable reports whether a message that may have run may be sent to an endpoint again in its time.
 func isRepeatable(m *message, ep *endpoint) bool {
 	e := m.class.Effect
-	return e == Pure || e == Keyed && (!m.class.ZoneGroup || ep.zone == m.runZone)
+	return e == Idempotent || e == Deduplicated && (!m.class.DedupPerZone || ep.zone == m.runZone)
 }
--- a/internal/decide/endpoint.go
+++ b/internal/decide/endpoint.go
@@ -55,7 +55,7 @@
 func (f *Forwarder) applySnapshot(snapshot TargetList) {
 	if snapshot.Scope == Unavailable {
 		f.subscribed = false
-		f.subscribeAt = f.now + f.jitter(f.settings.AskEvery)
+		f.subscribeAt = f.now + f.jitter(f.settings.ResubscribeInterval)
 		return
 	}
 	f.snapshotSeq++
@@ -64,7 +64,7 @@
 		ep.snapshotSeq = f.snapshotSeq
 		f.updateEndpoint(ep, listing)
 	}
-	if snapshot.Scope != Changes { // an endpoint missing from a snapshot is gone
+	if snapshot.Scope != Delta { // an endpoint missing from a snapshot is gone
 		for _, ep := range f.missingEndpoints() {
 			f.updateEndpoint(ep, Target{Zone: ep.zone, State: Gone, Weight: ep.weight})
 		}
@@ -87,7 +87,7 @@
 
 // subscribeIfDue asks discovery for the endpoints where that is needed.
 func (f *Forwarder) subscribeIfDue() {
-	if f.settings.MustAsk && !f.subscribed && !f.waitUntil(f.subscribeAt) {
+	if f.settings.MustSubscribe && !f.subscribed && !f.waitUntil(f.subscribeAt) {
 		f.subscribed = true
 		f.emit(Subscribe{})
 	}
@@ -102,14 +102,14 @@
 		f.detachEndpoint(ep)
 	}
 	kind := f.kinds[listing.Kind]
-	kind.PerCall = max(kind.PerCall, 1)
+	kind.MaxBatch = max(kind.MaxBatch, 1)
 	ep := &endpoint{id: listing.ID, kind: kind, zone: listing.Zone, state: Gone, share: 1}
 	f.endpoints[listing.ID] = ep
 	d := f.destination(listing.Destination)
 	f.closeAllIntervals(d)
-	if kind.Apart || len(d.routes) == 0 {
+	if kind.SeparateRoutes || len(d.routes) == 0 {
 		name := ""
-		if kind.Apart {
+		if kind.SeparateRoutes {
 			name = listing.ID
 		}
 		d.routes = append(d.routes, f.newRoute(name, d))
@@ -131,8 +131,8 @@
 		f.resetTurn(ep)
 	}
 	ep.state, ep.zone, ep.weight, ep.backup, ep.share = listing.State, listing.Zone, listing.Weight, listing.Backup, shareOrDefault(listing)
-	if ep.listing = listing; listing.PutBack > ep.enableCount {
-		f.enableEndpoint(ep, listing.PutBack)
+	if ep.listing = listing; listing.EnableCount > ep.enableCount {
+		f.enableEndpoint(ep, listing.EnableCount)
 	}
 	f.removeIfGone(ep)
 	f.invalidate(d)
@@ -141,7 +141,7 @@
 // enableEndpoint readmits an endpoint that an operator had disabled: it was restarted meanwhile and gets a
 // slow start. So does a route without another warm endpoint.
 func (f *Forwarder) enableEndpoint(ep *endpoint, times uint32) {
-	ep.enableCount, ep.slowStartUntil, ep.consecutiveFailures, ep.avoidUntil = times, f.now+f.settings.Cold, 0, 0
+	ep.enableCount, ep.slowStartUntil, ep.consecutiveFailures, ep.avoidUntil = times, f.now+f.settings.SlowStart, 0, 0
 	warm := func(o *endpoint) bool { return o.state == Active && f.endpointCapacity(o) == 1 }
 	if r := ep.route; !slices.ContainsFunc(r.endpoints, warm) {
 		r.slowStart, r.slowStartAt, r.needsSlowStart = true, f.now, true
@@ -183,7 +183,7 @@
 	r := ep.route
 	d := r.dest
 	r.endpoints = withoutItem(r.endpoints, ep)
-	if ep.kind.Apart && len(r.endpoints) == 0 {
+	if ep.kind.SeparateRoutes && len(r.endpoints) == 0 {
 		f.closeAllIntervals(d)
 		d.routes = withoutItem(d.routes, r)
 		f.overdue.remove(r)
--- a/internal/decide/export_test.go
+++ b/internal/decide/export_test.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// Orphans tells whether a call is out that had a message which is over or has its outcome: that one is not handed over.
-func (f *Forwarder) Orphans() bool {
+// HasOrphanedCalls tells whether a call is out that had a message which is over or has its outcome: that one is not handed over.
+func (f *Forwarder) HasOrphanedCalls() bool {
 	for c := f.inFlight.first; c != nil; c = c.next {
 		for _, a := range c.attempts {
 			if a.message.completed || !a.inFlight() {
@@ -14,8 +14,8 @@
 	return false
 }
 
-// Same tells whether two memories are the same but for how many numbers had been given.
-func (m *Memory) Same(o *Memory) bool {
+// EqualIgnoringSeq tells whether two memories are the same but for how many numbers had been given.
+func (m *SavedState) EqualIgnoringSeq(o *SavedState) bool {
 	o.seq = m.seq
 	return reflect.DeepEqual(m, o)
 }
--- a/internal/decide/forwarder.go
+++ b/internal/decide/forwarder.go
@@ -69,10 +69,10 @@
 	if err := checkSettings(s); err != nil {
 		return nil, err
 	}
-	s.Forwarders, s.TipMultiple = max(s.Forwarders, 1), cmp.Or(s.TipMultiple, 1) // by default a cold route gets what it can do
+	s.Forwarders, s.OverloadFactor = max(s.Forwarders, 1), cmp.Or(s.OverloadFactor, 1) // by default a cold route gets what it can do
 	source := rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)
 	f := &Forwarder{
-		settings: s, defaultLimits: Limits{Attempts: s.MaxAttempts}, classes: map[string]*Class{}, kinds: map[string]Kind{}, tenants: map[string]*tenant{},
+		settings: s, defaultLimits: Limits{MaxAttempts: s.MaxAttempts}, classes: map[string]*Class{}, kinds: map[string]Kind{}, tenants: map[string]*tenant{},
 		latencyFactor: map[*Class]float64{},
 		rng:           rand.New(source), rngSource: source,
 		messages: map[string]*message{}, keyQueues: map[string]*keyQueue{},
@@ -111,12 +111,12 @@
 		return fmt.Errorf("settings: Slots is %d, must be 1 or more", s.Slots)
 	case len(s.Classes) == 0:
 		return fmt.Errorf("settings: Classes is empty")
-	case s.Cold < 0 || s.Fall < 0 || s.KeyRest < 0 || s.Slack < 0 || s.DrainGrace < 0 ||
-		s.ConnIdle < 0 || s.ConnectLimit < 0 || s.AdviceLimit < 0 || s.AskEvery < 0:
+	case s.SlowStart < 0 || s.OverloadOutage < 0 || s.KeyPause < 0 || s.AnswerSlack < 0 || s.DrainGrace < 0 ||
+		s.ConnIdle < 0 || s.ConnectTimeout < 0 || s.MaxRetryAfter < 0 || s.ResubscribeInterval < 0:
 		return fmt.Errorf("settings: a time is negative")
 	}
 	for _, c := range s.Classes {
-		if c.Deadline <= 0 || c.Aim < 0 || c.Window < 0 {
+		if c.Deadline <= 0 || c.OnTime < 0 || c.DedupWindow < 0 {
 			return fmt.Errorf("settings: class %q: impossible Deadline, Aim or Window", c.Name)
 		}
 	}
@@ -129,26 +129,26 @@
 		return &f.defaultLimits
 	}
 	l := f.settings.Limits(class, dest, route)
-	if most := f.settings.MaxAttempts; most > 0 && (l.Attempts == 0 || l.Attempts > most) {
-		l.Attempts = most
+	if most := f.settings.MaxAttempts; most > 0 && (l.MaxAttempts == 0 || l.MaxAttempts > most) {
+		l.MaxAttempts = most
 	}
 	return &l
 }
 
 // callsFull reports whether no more calls may be in flight, probes included.
-func (l *Limits) callsFull(out int) bool { return l.Out > 0 && out >= l.Out }
+func (l *Limits) callsFull(out int) bool { return l.MaxInFlight > 0 && out >= l.MaxInFlight }
 
 // capRate caps a rate at the limit.
 func (l *Limits) capRate(rate float64) float64 {
-	if l.Rate > 0 {
-		return min(rate, l.Rate)
+	if l.MaxRate > 0 {
+		return min(rate, l.MaxRate)
 	}
 	return rate
 }
 
 // rateEligibleAt is when the next call may begin where a rate is set.
 func (l *Limits) rateEligibleAt(earliest time.Duration) time.Duration {
-	if l.Rate > 0 {
+	if l.MaxRate > 0 {
 		return earliest
 	}
 	return 0
@@ -156,8 +156,8 @@
 
 // capRatio caps a retry ratio at the limit.
 func (l *Limits) capRatio(ratio float64) float64 {
-	if l.Ratio > 0 {
-		return min(ratio, l.Ratio)
+	if l.MaxRetryRatio > 0 {
+		return min(ratio, l.MaxRetryRatio)
 	}
 	return ratio
 }
@@ -189,15 +189,15 @@
 func (f *Forwarder) observeHost(e Event) {
 	switch e := e.(type) {
 	case Stopping:
-		f.stopsAt = min(f.stopsAt, f.now+e.Left)
-	case ShutOut:
+		f.stopsAt = min(f.stopsAt, f.now+e.TimeLeft)
+	case Fenced:
 		f.fenced = e.On
 	case Woken:
 		f.wakeAt = f.now // the host may have rounded the time: ask again
-	case PeerWait:
+	case PeerRetryAfter:
 		if ep := f.endpoints[e.Target]; ep != nil {
 			f.closeAllIntervals(ep.route.dest)
-			ep.route.retryAfter = max(ep.route.retryAfter, f.now+e.Wait)
+			ep.route.retryAfter = max(ep.route.retryAfter, f.now+e.RetryAfter)
 			f.invalidate(ep.route.dest)
 		}
 	}
--- a/internal/decide/group.go
+++ b/internal/decide/group.go
@@ -209,10 +209,10 @@
 	if mode == forProbe {
 		b = append(b, class.Deadline-overdueAfter(latency)+1)
 	} else {
-		b = append(b, class.Aim, class.Aim-valueLossSpan+1-latency, class.Aim-latency, class.Aim+1-latency,
+		b = append(b, class.OnTime, class.OnTime-valueLossSpan+1-latency, class.OnTime-latency, class.OnTime+1-latency,
 			class.Deadline-valueLossSpan-latency, class.Deadline-latency)
-		if f.settings.Decay == Halves && class.LateShare > 0 && class.LateShare < 1 {
-			floor := class.Aim + time.Duration(-math.Log2(class.LateShare)*float64(class.Aim))
+		if f.settings.Decay == Exponential && class.LateShare > 0 && class.LateShare < 1 {
+			floor := class.OnTime + time.Duration(-math.Log2(class.LateShare)*float64(class.OnTime))
 			b = append(b, floor-valueLossSpan-latency, floor-latency)
 		}
 	}
--- a/internal/decide/index_test.go
+++ b/internal/decide/index_test.go
@@ -53,24 +53,24 @@
 	}
 	return Settings{
 		Seed: rapid.Uint64().Draw(t, "seed"), Slots: rapid.IntRange(1, 24).Draw(t, "slots"),
-		MaxHeld: rapid.SampledFrom([]int{0, 10, 60}).Draw(t, "held"), MaxAttempts: rapid.IntRange(0, 6).Draw(t, "attempts"),
+		MaxOpen: rapid.SampledFrom([]int{0, 10, 60}).Draw(t, "held"), MaxAttempts: rapid.IntRange(0, 6).Draw(t, "attempts"),
 		MayCancel: rapid.Bool().Draw(t, "cancel"), Forwarders: rapid.SampledFrom([]int{1, 2, 30}).Draw(t, "forwarders"), Zone: "a",
-		Decay:          rapid.SampledFrom([]Decay{Line, Halves}).Draw(t, "decay"),
-		OverShareWorth: rapid.SampledFrom([]float64{0, .3, 1}).Draw(t, "over"),
+		Decay:          rapid.SampledFrom([]Decay{Linear, Exponential}).Draw(t, "decay"),
+		OverQuotaValue: rapid.SampledFrom([]float64{0, .3, 1}).Draw(t, "over"),
 		Tenants:        []Tenant{{Name: "small", Quota: 2}, {Name: "free"}},
 		Weights:        rapid.SampledFrom([]Weights{NoWeights, ExactWeights}).Draw(t, "weights"),
 		Classes: []Class{
-			{Name: "pure", Effect: Pure, Aim: ms(0, 4000, "aim"), Deadline: ms(3000, 30000, "deadline"), Worth: 1, LateShare: .4},
-			{Name: "count", Effect: Pure, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 1},
-			{Name: "unsafe", Effect: Unsafe, Aim: ms(0, 4000, "aim"), Deadline: ms(3000, 30000, "deadline"), Worth: 3, LateShare: .4},
-			{Name: "keyed", Effect: Keyed, ZoneGroup: true, Window: 3 * time.Second, Aim: time.Second,
-				Deadline: 10 * time.Second, Worth: 1, LateShare: 0, KeepsOrder: true},
-			{Name: "token", Effect: Keyed, Window: 5 * time.Second, Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 2, LateShare: .1},
+			{Name: "pure", Effect: Idempotent, OnTime: ms(0, 4000, "aim"), Deadline: ms(3000, 30000, "deadline"), Value: 1, LateShare: .4},
+			{Name: "count", Effect: Idempotent, OnTime: time.Second, Deadline: 10 * time.Second, Value: 1, LateShare: 1},
+			{Name: "unsafe", Effect: AtMostOnce, OnTime: ms(0, 4000, "aim"), Deadline: ms(3000, 30000, "deadline"), Value: 3, LateShare: .4},
+			{Name: "keyed", Effect: Deduplicated, DedupPerZone: true, DedupWindow: 3 * time.Second, OnTime: time.Second,
+				Deadline: 10 * time.Second, Value: 1, LateShare: 0, Ordered: true},
+			{Name: "token", Effect: Deduplicated, DedupWindow: 5 * time.Second, OnTime: 2 * time.Second, Deadline: 9 * time.Second, Value: 2, LateShare: .1},
 		},
-		Kinds:        []Kind{{Name: "plain", PerCall: 1}, {Name: "apart", Apart: true, PerCall: 3}, {Name: "many", PerCall: 2}},
-		ConnectPrice: rapid.SampledFrom([]float64{0, .06}).Draw(t, "connect"), ConnIdle: 10 * time.Second, ConnectLimit: time.Second,
-		AdviceLimit: 2 * time.Second, Slack: 20 * time.Millisecond, DrainGrace: time.Second, KeyRest: 100 * time.Millisecond,
-		StartCapacity: .2, Cold: 10 * time.Second, TipMultiple: 2, Fall: 3 * time.Second,
+		Kinds:        []Kind{{Name: "plain", MaxBatch: 1}, {Name: "apart", SeparateRoutes: true, MaxBatch: 3}, {Name: "many", MaxBatch: 2}},
+		ConnectPrice: rapid.SampledFrom([]float64{0, .06}).Draw(t, "connect"), ConnIdle: 10 * time.Second, ConnectTimeout: time.Second,
+		MaxRetryAfter: 2 * time.Second, AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, KeyPause: 100 * time.Millisecond,
+		StartCapacity: .2, SlowStart: 10 * time.Second, OverloadFactor: 2, OverloadOutage: 3 * time.Second,
 	}
 }
 
@@ -96,9 +96,9 @@
 		s.targets[name] = t
 		return t
 	}
-	snapshot := TargetList{Scope: []ListScope{Whole, Changes, Changes, Changes, Restored, Unavailable}[s.rng.IntN(6)]}
+	snapshot := TargetList{Scope: []ListScope{Snapshot, Delta, Delta, Delta, LastKnown, Unavailable}[s.rng.IntN(6)]}
 	n := 1 + s.rng.IntN(4)
-	if snapshot.Scope == Whole || snapshot.Scope == Restored {
+	if snapshot.Scope == Snapshot || snapshot.Scope == LastKnown {
 		n = 2 * s.dests
 	}
 	if snapshot.Scope == Unavailable {
@@ -111,8 +111,8 @@
 }
 
 // among draws targets for a message, mostly of its own destination.
-func (s *stream) among(dest int) *Among {
-	a := &Among{}
+func (s *stream) among(dest int) *EndpointFilter {
+	a := &EndpointFilter{}
 	for i := range 3 * s.dests {
 		id := fmt.Sprint("t", i)
 		if s.targets[id].Destination != dest && !s.chance(.05) {
@@ -156,15 +156,15 @@
 	for _, id := range ended {
 		c := s.sent[id]
 		delete(s.sent, id)
-		o := Outcome{Message: id, Attempt: c.n, Target: c.target, Result: c.result, Wait: c.wait, Over: c.result == Done,
-			Took: time.Duration(1+s.rng.IntN(400)) * time.Millisecond}
+		o := Outcome{Message: id, Attempt: c.n, Target: c.target, Result: c.result, RetryAfter: c.wait, NoAnswerNeeded: c.result == Succeeded,
+			Latency: time.Duration(1+s.rng.IntN(400)) * time.Millisecond}
 		if s.chance(.2) {
-			o.Allowance = Allowance{Told: true, Left: s.rng.Float64(), Rate: float64(s.rng.IntN(30))}
+			o.Allowance = Allowance{Reported: true, Remaining: s.rng.Float64(), Rate: float64(s.rng.IntN(30))}
 		}
 		if o.Result == NotSent && s.chance(.3) {
-			o.Hold = time.Duration(s.rng.IntN(3000)) * time.Millisecond
+			o.RetryDelay = time.Duration(s.rng.IntN(3000)) * time.Millisecond
 		}
-		if o.Over {
+		if o.NoAnswerNeeded {
 			delete(s.held, id)
 		}
 		events = append(events, o)
@@ -177,14 +177,14 @@
 		s.next++
 		c := s.set.Classes[s.rng.IntN(len(s.set.Classes))]
 		m := Message{ID: fmt.Sprint("m", s.next), Class: c.Name, Destination: s.rng.IntN(s.dests), Key: fmt.Sprint("k", s.rng.IntN(3*s.dests)),
-			Tenant: []string{"", "small", "free"}[s.rng.IntN(3)], Left: time.Duration(s.rng.Float64() * 1.05 * float64(c.Deadline))}
+			Tenant: []string{"", "small", "free"}[s.rng.IntN(3)], TimeLeft: time.Duration(s.rng.Float64() * 1.05 * float64(c.Deadline))}
 		if s.chance(.02) {
 			m.Recovered, m.Attempts, m.MayHaveRun = true, s.rng.IntN(4), s.chance(.5)
-			m.Open = m.MayHaveRun && m.Attempts > 0 && s.chance(.5)
+			m.HasOpenAttempt = m.MayHaveRun && m.Attempts > 0 && s.chance(.5)
 			s.tries[m.ID] = m.Attempts
 		}
 		if s.chance(.15) {
-			m.Among = s.among(m.Destination)
+			m.Filter = s.among(m.Destination)
 		}
 		s.held[m.ID] = true
 		s.ids = append(s.ids, m.ID)
@@ -200,10 +200,10 @@
 	}
 	if s.chance(.02) && len(s.targets) > 0 {
 		names := slices.Sorted(maps.Keys(s.targets))
-		events = append(events, PeerWait{names[s.rng.IntN(len(names))], time.Duration(s.rng.IntN(3000)) * time.Millisecond})
+		events = append(events, PeerRetryAfter{names[s.rng.IntN(len(names))], time.Duration(s.rng.IntN(3000)) * time.Millisecond})
 	}
 	if s.chance(.05) {
-		events = append(events, Crowded{})
+		events = append(events, StoreFull{})
 	}
 	if s.chance(.0005) {
 		events = append(events, Stopping{time.Duration(s.rng.IntN(5000)) * time.Millisecond})
@@ -220,13 +220,13 @@
 			s.calls++
 			s.tries[a.Message]++
 			took := time.Duration(1+s.rng.IntN(300)) * time.Millisecond
-			c.result = Done
+			c.result = Succeeded
 			switch {
 			case s.chance(s.silence) && (a.Target[len(a.Target)-1])%2 == 0:
 				c.result, took = TimedOut, a.Timeout
 			case s.chance(s.mood):
-				c.result = []Result{Errored, Full, Full, ConnectFailed, Reset, NotSent}[s.rng.IntN(6)]
-				if c.result == Full && s.chance(.5) {
+				c.result = []Result{Errored, Overloaded, Overloaded, ConnectFailed, Reset, NotSent}[s.rng.IntN(6)]
+				if c.result == Overloaded && s.chance(.5) {
 					c.wait = time.Duration(s.rng.IntN(4000)) * time.Millisecond
 				}
 			}
--- a/internal/decide/limits_test.go
+++ b/internal/decide/limits_test.go
@@ -13,23 +13,23 @@
 		dest, platform, attempts int
 		answer                   time.Duration
 	}{{1, 4, 2, 300 * time.Millisecond}, {2, 4, 4, 0}, {3, 4, 4, 0}} {
-		f, err := New(Settings{Slots: 8, MaxAttempts: c.platform, ConnIdle: time.Minute, ConnectLimit: time.Second, AdviceLimit: time.Second,
-			StartCapacity: 1, TipMultiple: 2, Fall: time.Second,
-			Classes: []Class{{Name: "note", Deadline: 10 * time.Minute, Aim: 5 * time.Minute, Worth: 1}},
+		f, err := New(Settings{Slots: 8, MaxAttempts: c.platform, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second,
+			StartCapacity: 1, OverloadFactor: 2, OverloadOutage: time.Second,
+			Classes: []Class{{Name: "note", Deadline: 10 * time.Minute, OnTime: 5 * time.Minute, Value: 1}},
 			Limits: func(class string, dest int, _ string) Limits {
 				switch {
 				case class == "note" && dest == 1:
-					return Limits{Attempts: 2, Answer: 300 * time.Millisecond}
+					return Limits{MaxAttempts: 2, AttemptTimeout: 300 * time.Millisecond}
 				case dest == 3:
-					return Limits{Attempts: 9}
+					return Limits{MaxAttempts: 9}
 				}
 				return Limits{}
 			}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		events := []Event{TargetList{Scope: Whole, Targets: []Target{{ID: "a", Destination: c.dest}, {ID: "b", Destination: c.dest}}},
-			Message{ID: "m", Class: "note", Destination: c.dest, Left: 10 * time.Minute}}
+		events := []Event{TargetList{Scope: Snapshot, Targets: []Target{{ID: "a", Destination: c.dest}, {ID: "b", Destination: c.dest}}},
+			Message{ID: "m", Class: "note", Destination: c.dest, TimeLeft: 10 * time.Minute}}
 		sends, over := 0, false
 		for now := time.Duration(0); now < 10*time.Minute && !over; now += 10 * time.Millisecond {
 			actions := f.Step(now, events)
@@ -40,7 +40,7 @@
 					if c.answer > 0 && a.Timeout > c.answer {
 						t.Errorf("to %d: waits %v for an answer, %v is set", c.dest, a.Timeout, c.answer)
 					}
-					events = append(events, Outcome{Message: "m", Attempt: sends, Target: a.Target, Result: Full})
+					events = append(events, Outcome{Message: "m", Attempt: sends, Target: a.Target, Result: Overloaded})
 					sends++
 				case Refuse, Fail:
 					over = true
@@ -56,9 +56,9 @@
 // TestDestinationLimits: calls out at once, calls a second, further tries as a share of first tries and the first wait hold for
 // the destination that they are set for, also from the next message on after they were changed, and for no other.
 func TestDestinationLimits(t *testing.T) {
-	set := Limits{Out: 3, Rate: 40, Ratio: 0.05, Wait: 2 * time.Second}
-	f, err := New(Settings{Slots: 200, Seed: 5, MaxAttempts: 6, ConnIdle: time.Minute, ConnectLimit: time.Second, AdviceLimit: time.Second, StartCapacity: 1,
-		TipMultiple: 2, Fall: time.Second, Classes: []Class{{Name: "note", Deadline: 30 * time.Second, Aim: 3 * time.Second, Worth: 1}},
+	set := Limits{MaxInFlight: 3, MaxRate: 40, MaxRetryRatio: 0.05, RetryDelay: 2 * time.Second}
+	f, err := New(Settings{Slots: 200, Seed: 5, MaxAttempts: 6, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second, StartCapacity: 1,
+		OverloadFactor: 2, OverloadOutage: time.Second, Classes: []Class{{Name: "note", Deadline: 30 * time.Second, OnTime: 3 * time.Second, Value: 1}},
 		Limits: func(_ string, dest int, _ string) Limits {
 			if dest == 1 {
 				return set
@@ -80,26 +80,26 @@
 	tries := map[string]int{}
 	down, silent := false, false
 	count := map[int]*state{1: {}, 2: {}}
-	events := []Event{TargetList{Scope: Whole, Targets: []Target{{ID: "a", Destination: 1}, {ID: "b", Destination: 1}, {ID: "c", Destination: 2}}}}
+	events := []Event{TargetList{Scope: Snapshot, Targets: []Target{{ID: "a", Destination: 1}, {ID: "b", Destination: 1}, {ID: "c", Destination: 2}}}}
 	run := func(earliest, to time.Duration, each int) {
 		count[1], count[2] = &state{out: count[1].out}, &state{out: count[2].out}
 		for now := earliest; now < to; now += 10 * time.Millisecond {
 			for i := range each {
 				for dest := 1; dest <= 2; dest++ {
-					events = append(events, Message{ID: fmt.Sprint(dest, now, i), Class: "note", Destination: dest, Left: 30 * time.Second})
+					events = append(events, Message{ID: fmt.Sprint(dest, now, i), Class: "note", Destination: dest, TimeLeft: 30 * time.Second})
 				}
 			}
 			for id, c := range calls {
 				if now >= c.end {
-					o := Outcome{Message: id, Attempt: c.attempt, Target: "x", Result: Done, Over: true, Took: c.end - c.at}
+					o := Outcome{Message: id, Attempt: c.attempt, Target: "x", Result: Succeeded, NoAnswerNeeded: true, Latency: c.end - c.at}
 					if silent && c.dest == 1 {
-						o.Result, o.Over = TimedOut, false
+						o.Result, o.NoAnswerNeeded = TimedOut, false
 						last[id] = now
 					} else if down {
-						o.Result, o.Over = ConnectFailed, false
+						o.Result, o.NoAnswerNeeded = ConnectFailed, false
 						last[id] = now
 					} else if len(id)%7 == 0 || now/time.Millisecond%130 == 0 { // some fail
-						o.Result, o.Over = Errored, false
+						o.Result, o.NoAnswerNeeded = Errored, false
 						last[id] = now
 					}
 					events = append(events, o)
@@ -143,24 +143,24 @@
 	if one, two := count[1], count[2]; one.further == 0 || one.paused/time.Duration(max(1, one.further)) < 500*time.Millisecond || two.paused/time.Duration(max(1, two.further)) > 400*time.Millisecond {
 		t.Errorf("paused %v and %v before further tries", one.paused/time.Duration(max(1, one.further)), two.paused/time.Duration(max(1, two.further)))
 	}
-	set = Limits{Out: 2, Rate: 1000}
+	set = Limits{MaxInFlight: 2, MaxRate: 1000}
 	run(10*time.Second, 20*time.Second, 1)
 	if one := *count[1]; one.most > 3 || one.sent < 100 || one.sent > 10*1000/150*2+3 {
 		t.Errorf("with other limits: %+v", one)
 	}
-	set = Limits{Rate: 5}
+	set = Limits{MaxRate: 5}
 	run(20*time.Second, 30*time.Second, 1)
 	if one := *count[1]; one.sent > 55 {
 		t.Errorf("at 5 a second for 10 s: %+v", one)
 	}
-	set, silent = Limits{Out: 3}, true // calls last so long that the route is taken for silent
+	set, silent = Limits{MaxInFlight: 3}, true // calls last so long that the route is taken for silent
 	run(30*time.Second, 45*time.Second, 1)
 	if one := *count[1]; one.most > 3 || one.sent < 3 {
 		t.Errorf("with three out at once, and silent: %+v", one)
 	}
 	set, silent, down = Limits{}, false, true
 	run(45*time.Second, 55*time.Second, 1)
-	set = Limits{Rate: 0.1}
+	set = Limits{MaxRate: 0.1}
 	run(55*time.Second, 75*time.Second, 1)
 	if one := *count[1]; one.sent > 4 || one.sent < 1 {
 		t.Errorf("at one in ten seconds for 20 s, and down: %+v", one)
--- a/internal/decide/memory.go
+++ b/internal/decide/memory.go
@@ -13,8 +13,8 @@
 // memoryFormat changes whenever what is written does.
 const memoryFormat = 4
 
-// Memory is the state decoded from a Save.
-type Memory struct {
+// SavedState is the state decoded from a Save.
+type SavedState struct {
 	meanLatency, startedAt time.Duration
 	seq                    uint64
 	rngState               string // state of the random number generator
@@ -67,9 +67,9 @@
 // attemptMemory is an attempt that is in flight.
 type attemptMemory struct{ number, call, position int }
 
-// ReadMemory decodes what Save returned.
-func ReadMemory(b []byte) (*Memory, error) {
-	m := &Memory{}
+// DecodeState decodes what Save returned.
+func DecodeState(b []byte) (*SavedState, error) {
+	m := &SavedState{}
 	c := &stateCodec{buf: b, reading: true}
 	if m.serialize(c); c.err == nil && len(c.buf) > 0 {
 		c.fail("more than there should be")
@@ -77,7 +77,7 @@
 	return m, c.err
 }
 
-func (m *Memory) serialize(c *stateCodec) {
+func (m *SavedState) serialize(c *stateCodec) {
 	format := memoryFormat
 	if c.ints(&format); c.err == nil && format != memoryFormat {
 		c.fail(fmt.Sprintf("format %d, and this program reads %d", format, memoryFormat))
--- a/internal/decide/memory_test.go
+++ b/internal/decide/memory_test.go
@@ -39,9 +39,9 @@
 						order = append(order, e.ID)
 					}
 				case Outcome:
-					mayRun[e.Message] = mayRun[e.Message] || e.Result != Full && e.Result != ConnectFailed && e.Result != NotSent
+					mayRun[e.Message] = mayRun[e.Message] || e.Result != Overloaded && e.Result != ConnectFailed && e.Result != NotSent
 				case TargetList:
-					if e.Scope == Whole || e.Scope == Restored {
+					if e.Scope == Snapshot || e.Scope == LastKnown {
 						clear(listed)
 					}
 					for _, target := range e.Targets {
@@ -68,19 +68,19 @@
 				}
 			}
 			s.carry(got)
-			if step < first || other != nil || stopping || module.Orphans() {
+			if step < first || other != nil || stopping || module.HasOrphanedCalls() {
 				continue
 			}
 			saved := module.Save()
-			memory, err := ReadMemory(saved)
+			memory, err := DecodeState(saved)
 			if err != nil {
 				t.Fatal(err)
 			}
-			before, _ := ReadMemory(saved)
+			before, _ := DecodeState(saved)
 			if other, err = New(set); err != nil {
 				t.Fatal(err)
 			}
-			whole := TargetList{Scope: Whole}
+			whole := TargetList{Scope: Snapshot}
 			for _, name := range slices.Sorted(maps.Keys(listed)) {
 				whole.Targets = append(whole.Targets, listed[name])
 			}
@@ -89,17 +89,17 @@
 				if s.held[id] {
 					m := held[id]
 					m.Recovered, m.Attempts, m.MayHaveRun = true, s.tries[id], mayRun[id]
-					m.Open = s.sent[id] != nil
-					m.Left = 0 // the memory knows better
+					m.HasOpenAttempt = s.sent[id] != nil
+					m.TimeLeft = 0 // the memory knows better
 					messages = append(messages, m)
 				}
 			}
 			actions, calls := other.Restore(s.now, memory, []TargetList{whole}, messages)
-			again, err := ReadMemory(other.Save())
+			again, err := DecodeState(other.Save())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !before.Same(again) {
+			if !before.EqualIgnoringSeq(again) {
 				t.Fatalf("at %v, step %d, remembered otherwise:\n%+v\n%+v", s.now, step, before, again)
 			}
 			if len(actions) > 0 {
@@ -143,15 +143,15 @@
 			s.carry(module.Step(s.now, s.events()))
 		}
 		saved := module.Save()
-		if _, err := ReadMemory(append(slices.Clone(saved), 0)); err == nil {
+		if _, err := DecodeState(append(slices.Clone(saved), 0)); err == nil {
 			t.Fatal("more than there should be is read")
 		}
 		at := rapid.IntRange(0, len(saved)-1).Draw(t, "at")
-		if _, err := ReadMemory(saved[:at]); err == nil || !strings.Contains(err.Error(), "bytes before its end") {
+		if _, err := DecodeState(saved[:at]); err == nil || !strings.Contains(err.Error(), "bytes before its end") {
 			t.Fatalf("cut at %d: %v", at, err)
 		}
 		saved[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		m, err := ReadMemory(saved)
+		m, err := DecodeState(saved)
 		if err != nil {
 			refused++
 			return
@@ -163,7 +163,7 @@
 		}
 		var held []Message
 		for id := range s.held {
-			held = append(held, Message{ID: id, Class: "pure", Left: 1e9, Recovered: true})
+			held = append(held, Message{ID: id, Class: "pure", TimeLeft: 1e9, Recovered: true})
 		}
 		other.Restore(s.now, m, nil, held)
 		for range 20 {
--- a/internal/decide/message.go
+++ b/internal/decide/message.go
@@ -19,7 +19,7 @@
 	deadline    time.Duration
 	value       float64
 	limits      *Limits
-	filter      *endpointFilter
+	filter      *keyedFilter
 	attempts    int  // as the host numbers them
 	sends       int  // attempts that were really sent
 	recovered   bool // after a restart, and not sent since: it is not shed
@@ -72,8 +72,8 @@
 
 // limitTimeout caps a timeout at the message's limit for one answer.
 func (m *message) limitTimeout(t time.Duration) time.Duration {
-	if m.limits.Answer > 0 {
-		return min(t, m.limits.Answer)
+	if m.limits.AttemptTimeout > 0 {
+		return min(t, m.limits.AttemptTimeout)
 	}
 	return t
 }
@@ -83,10 +83,10 @@
 
 // sendWithin is the time that is left for the first byte of a keyed repeat; 0 for any other attempt. The attempt may wait long for its connection.
 func (m *message) sendWithin(now time.Duration) time.Duration {
-	if !m.mayHaveRun || m.class.Effect != Keyed {
+	if !m.mayHaveRun || m.class.Effect != Deduplicated {
 		return 0
 	}
-	return max(time.Nanosecond, m.runSentAt+m.class.Window-windowEndMargin-now)
+	return max(time.Nanosecond, m.runSentAt+m.class.DedupWindow-windowEndMargin-now)
 }
 
 // attempt is one send of one message.
@@ -97,24 +97,24 @@
 }
 
 // notPure reports whether a second delivery of the attempt's message has an effect.
-func (a *attempt) notPure() bool { return a.message.class.Effect != Pure }
+func (a *attempt) notPure() bool { return a.message.class.Effect != Idempotent }
 
-// endpointFilter is an Among with a key by which groups are told apart.
-type endpointFilter struct {
-	Among
+// keyedFilter is an Among with a key by which groups are told apart.
+type keyedFilter struct {
+	EndpointFilter
 	key string // the same for the same endpoints; empty for all
 }
 
-var anyEndpoint = &endpointFilter{}
+var anyEndpoint = &keyedFilter{}
 
-func newEndpointFilter(a *Among) *endpointFilter {
+func newKeyedFilter(a *EndpointFilter) *keyedFilter {
 	if a == nil {
 		return anyEndpoint
 	}
-	return &endpointFilter{*a, strings.Join(slices.Compact(slices.Sorted(slices.Values(a.Only))), "\x00")}
+	return &keyedFilter{*a, strings.Join(slices.Compact(slices.Sorted(slices.Values(a.Only))), "\x00")}
 }
 
-func (a *endpointFilter) permits(ep *endpoint) bool {
+func (a *keyedFilter) permits(ep *endpoint) bool {
 	return len(a.Only) == 0 || slices.Contains(a.Only, ep.id)
 }
 
@@ -128,10 +128,10 @@
 // newMessage registers a message that is accepted now.
 func (f *Forwarder) newMessage(e Message, class *Class) *message {
 	f.seq++
-	m := &message{id: e.ID, seq: f.seq, class: class, dest: f.destination(e.Destination), value: class.Worth,
-		createdAt: f.now + e.Left - class.Deadline, deadline: f.now + e.Left,
-		limits: f.limitsFor(class.Name, e.Destination, e.Route), filter: newEndpointFilter(e.Among)}
-	if class.KeepsOrder && e.Key != "" {
+	m := &message{id: e.ID, seq: f.seq, class: class, dest: f.destination(e.Destination), value: class.Value,
+		createdAt: f.now + e.TimeLeft - class.Deadline, deadline: f.now + e.TimeLeft,
+		limits: f.limitsFor(class.Name, e.Destination, e.Route), filter: newKeyedFilter(e.Filter)}
+	if class.Ordered && e.Key != "" {
 		f.enqueueByKey(m, e.Key)
 	}
 	f.messages[m.id] = m
@@ -246,7 +246,7 @@
 		}
 		f.dequeue(m)
 		f.hedges.remove(m)
-		if m.inFlight > 0 && m.limits.Copy > 0 && m.latest != nil && f.settings.MayCancel { // its hedged request is of no use any more
+		if m.inFlight > 0 && m.limits.HedgeDelay > 0 && m.latest != nil && f.settings.MayCancel { // its hedged request is of no use any more
 			f.emit(Cancel{Message: m.id, Attempt: m.latest.number})
 		}
 	}
--- a/internal/decide/missing_test.go
+++ b/internal/decide/missing_test.go
@@ -13,7 +13,7 @@
 	set := map[string]func(*Settings){"nothing": func(*Settings) {}, "slots of 1": func(s *Settings) { s.Slots = 1 }, "kinds": func(s *Settings) { s.Kinds = nil },
 		"short lives": func(s *Settings) {
 			for i := range s.Classes {
-				s.Classes[i].Aim, s.Classes[i].Deadline = 100*ms, 300*ms
+				s.Classes[i].OnTime, s.Classes[i].Deadline = 100*ms, 300*ms
 			}
 		}}
 	settings, class := reflect.TypeFor[Settings](), reflect.TypeFor[Class]()
@@ -34,7 +34,7 @@
 	for name, change := range set {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			s.Weights, s.AskEvery, s.CrossPrice, s.ZoneFee = ExactWeights, time.Second, .02, map[string]float64{"a": .1}
+			s.Weights, s.ResubscribeInterval, s.CrossZonePrice, s.ZoneFee = ExactWeights, time.Second, .02, map[string]float64{"a": .1}
 			change(&s)
 			f, err := New(s)
 			if err != nil {
@@ -43,7 +43,7 @@
 			left := s.Classes[0].Deadline
 			x := plain("x")
 			x.Weight = 20
-			events := []Event{TargetList{Scope: Restored, Targets: []Target{x}}}
+			events := []Event{TargetList{Scope: LastKnown, Targets: []Target{x}}}
 			waiting := map[string]time.Duration{}
 			for n := range 5 {
 				m := recovered(fmt.Sprint("old", n), s.Classes[n%2].Name, 0, false, false, left)
@@ -53,7 +53,7 @@
 			for now := time.Duration(0); now < 15*time.Second; now += 5 * ms {
 				if n := now / (200 * ms); now%(200*ms) == 0 && n < 20 {
 					m := msg(fmt.Sprint("new", int(n)), s.Classes[int(n)%3].Name, "")
-					m.Left = left
+					m.TimeLeft = left
 					events, waiting[m.ID] = append(events, m), now+left
 				}
 				actions := f.Step(now, events)
@@ -63,7 +63,7 @@
 					case Send:
 						sent++
 						delete(waiting, a.Message)
-						events = append(events, Outcome{Message: a.Message, Target: "x", Result: Done, Took: 5 * ms, Over: true})
+						events = append(events, Outcome{Message: a.Message, Target: "x", Result: Succeeded, Latency: 5 * ms, NoAnswerNeeded: true})
 					case Refuse:
 						delete(waiting, a.Message)
 					case Fail:
@@ -71,7 +71,7 @@
 					}
 				}
 				for id, by := range waiting {
-					if now > by+s.Slack+5*ms {
+					if now > by+s.AnswerSlack+5*ms {
 						t.Fatalf("%s was not answered in its time", id)
 					}
 				}
--- a/internal/decide/overdue.go
+++ b/internal/decide/overdue.go
@@ -26,7 +26,7 @@
 // latency; one that must not be repeated is lost by a timeout, so it waits until its deadline.
 func (f *Forwarder) attemptTimeout(m *message, c *call) time.Duration {
 	left := m.limitTimeout(m.deadline - f.now)
-	if m.class.Effect == Unsafe {
+	if m.class.Effect == AtMostOnce {
 		return left
 	}
 	own := time.Duration(f.classLatencyFactor(m.class) * float64(f.expectedLatency(m.dest.routes)))
@@ -92,10 +92,10 @@
 	own := time.Duration(float64(latency) * f.classLatencyFactor(m.class))
 	short, long := lateLatencyFactor*own, max(2*minOverdue, lostLatencyFactor*own)
 	switch {
-	case m.class.Effect == Unsafe:
+	case m.class.Effect == AtMostOnce:
 		return long
-	case m.class.Effect == Keyed && m.class.ZoneGroup:
-		return max(short, min(long, m.class.Window/4))
+	case m.class.Effect == Deduplicated && m.class.DedupPerZone:
+		return max(short, min(long, m.class.DedupWindow/4))
 	}
 	return short
 }
--- a/internal/decide/pacing.go
+++ b/internal/decide/pacing.go
@@ -52,27 +52,27 @@
 	}
 	if f.inSlowStart(r, at) {
 		capacity := f.slowStartCapacity(at - r.slowStartAt)
-		rate = min(rate, slowStartShare*f.settings.TipMultiple*capacity*f.ownShare(r, at))
+		rate = min(rate, slowStartShare*f.settings.OverloadFactor*capacity*f.ownShare(r, at))
 	}
 	return rate
 }
 
 // slowStartCapacity is the share of its capacity that a route has so long after its return.
 func (f *Forwarder) slowStartCapacity(age time.Duration) float64 {
-	return f.settings.StartCapacity + (1-f.settings.StartCapacity)*float64(age)/float64(f.settings.Cold)
+	return f.settings.StartCapacity + (1-f.settings.StartCapacity)*float64(age)/float64(f.settings.SlowStart)
 }
 
 // endpointCapacity is the same for an endpoint that an operator enabled again.
 func (f *Forwarder) endpointCapacity(ep *endpoint) float64 {
 	if left := ep.slowStartUntil - f.now; left > 0 {
-		return max(f.slowStartCapacity(f.settings.Cold-left), minCapacityShare)
+		return max(f.slowStartCapacity(f.settings.SlowStart-left), minCapacityShare)
 	}
 	return 1
 }
 
 // inSlowStart reports whether a route is returning from an outage.
 func (f *Forwarder) inSlowStart(r *route, at time.Duration) bool {
-	return r.slowStart && at-r.slowStartAt < f.settings.Cold
+	return r.slowStart && at-r.slowStartAt < f.settings.SlowStart
 }
 
 // ownShare is the rate of a route that is this sender's: its equal share of a known limit, or the rate of
@@ -86,11 +86,11 @@
 // observeAllowance follows a reported limit and estimates the demand of all senders from what is left. All
 // get the same reports, so they agree; a falling limit applies at once, as demand stays.
 func (f *Forwarder) observeAllowance(r *route, o Outcome) {
-	if !o.Allowance.Told {
+	if !o.Allowance.Reported {
 		return
 	}
 	r.allowanceSpentUntil = 0
-	if o.Allowance.Rate > 0 && o.Allowance.Left < allowanceNearlySpent {
+	if o.Allowance.Rate > 0 && o.Allowance.Remaining < allowanceNearlySpent {
 		r.allowanceSpentUntil = f.now + rateWindow
 	}
 	limit, since := o.Allowance.Rate, min(f.now-r.allowanceAt, rateWindow).Seconds()
@@ -101,9 +101,9 @@
 	if r.serverLimit > 0 && math.Abs(limit-r.serverLimit) < limitNoise*r.serverLimit {
 		limit = r.serverLimit + (limit-r.serverLimit)/4
 	}
-	r.serverLimit, r.allowanceLeft, r.allowanceAt = limit, o.Allowance.Left, f.now
+	r.serverLimit, r.allowanceLeft, r.allowanceAt = limit, o.Allowance.Remaining, f.now
 	rise := demandDrift * min(0, balancedAllowance-r.allowanceLeft)
-	if o.Result == Full && o.Allowance.Left < allowanceNearlySpent { // rejected calls may use it up, too
+	if o.Result == Overloaded && o.Allowance.Remaining < allowanceNearlySpent { // rejected calls may use it up, too
 		r.allowanceLeft, rise = 0, demandRise // at once: many senders get only one report
 	}
 	r.totalDemand = min(maxDemandFactor*limit, max(limit, r.totalDemand*math.Exp(since*rise)))
--- a/internal/decide/policy.go
+++ b/internal/decide/policy.go
@@ -26,7 +26,7 @@
 			f.handleOutcome(e)
 		case Withdrawn:
 			f.withdrawMessage(e)
-		case Crowded:
+		case StoreFull:
 			if m := f.leastValuable(); m != nil && allCircuitsOpen(m.dest.routes) {
 				f.answerMessage(m)
 			}
--- a/internal/decide/policy_test.go
+++ b/internal/decide/policy_test.go
@@ -16,17 +16,17 @@
 // testSettings are made up for the tests.
 func testSettings() Settings {
 	return Settings{
-		Seed: 7, Slots: 10, MaxHeld: 100, MaxAttempts: 6, MayCancel: true, Forwarders: 2, Zone: "a",
+		Seed: 7, Slots: 10, MaxOpen: 100, MaxAttempts: 6, MayCancel: true, Forwarders: 2, Zone: "a",
 		Classes: []Class{
-			{Name: "pure", Effect: Pure, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: .4},
-			{Name: "unsafe", Effect: Unsafe, Aim: time.Second, Deadline: 10 * time.Second, Worth: 3, LateShare: .4},
-			{Name: "keyed", Effect: Keyed, ZoneGroup: true, Window: 3 * time.Second, Aim: time.Second,
-				Deadline: 10 * time.Second, Worth: 1, LateShare: .4, KeepsOrder: true},
+			{Name: "pure", Effect: Idempotent, OnTime: time.Second, Deadline: 10 * time.Second, Value: 1, LateShare: .4},
+			{Name: "unsafe", Effect: AtMostOnce, OnTime: time.Second, Deadline: 10 * time.Second, Value: 3, LateShare: .4},
+			{Name: "keyed", Effect: Deduplicated, DedupPerZone: true, DedupWindow: 3 * time.Second, OnTime: time.Second,
+				Deadline: 10 * time.Second, Value: 1, LateShare: .4, Ordered: true},
 		},
-		Kinds:        []Kind{{Name: "plain", PerCall: 1}, {Name: "apart", Apart: true, PerCall: 3}},
-		ConnectPrice: .06, ConnIdle: 10 * time.Second, ConnectLimit: time.Second, AdviceLimit: 2 * time.Second,
-		Slack: 20 * ms, DrainGrace: time.Second, KeyRest: 100 * ms,
-		StartCapacity: .2, Cold: 10 * time.Second, TipMultiple: 2, Fall: 3 * time.Second,
+		Kinds:        []Kind{{Name: "plain", MaxBatch: 1}, {Name: "apart", SeparateRoutes: true, MaxBatch: 3}},
+		ConnectPrice: .06, ConnIdle: 10 * time.Second, ConnectTimeout: time.Second, MaxRetryAfter: 2 * time.Second,
+		AnswerSlack: 20 * ms, DrainGrace: time.Second, KeyPause: 100 * ms,
+		StartCapacity: .2, SlowStart: 10 * time.Second, OverloadFactor: 2, OverloadOutage: 3 * time.Second,
 	}
 }
 
@@ -36,14 +36,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Step(0, []Event{TargetList{Scope: Restored, Targets: targets}})
+	f.Step(0, []Event{TargetList{Scope: LastKnown, Targets: targets}})
 	return f
 }
 
 func plain(id string) Target { return Target{ID: id, Destination: 1, Kind: "plain", Zone: "a"} }
 
 func msg(id, class, key string) Message {
-	return Message{ID: id, Class: class, Destination: 1, Key: key, Left: 10 * time.Second}
+	return Message{ID: id, Class: class, Destination: 1, Key: key, TimeLeft: 10 * time.Second}
 }
 
 func sends(actions []Action) (ids []string) {
@@ -119,7 +119,7 @@
 	if got := sends(f.Step(0, []Event{msg("m1", "pure", "")})); len(got) != 1 {
 		t.Fatalf("sent %v", got)
 	}
-	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Full, Wait: 500 * ms}})
+	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Overloaded, RetryAfter: 500 * ms}})
 	for at := 100 * ms; at < 600*ms; at += 20 * ms {
 		if got := sends(f.Step(at, []Event{msg("n"+at.String(), "unsafe", "")})); len(got) > 0 {
 			t.Fatalf("sent %v at %v", got, at)
@@ -141,7 +141,7 @@
 	if got := sends(f.Step(60*ms, nil)); len(got) > 0 {
 		t.Fatalf("sent %v while an attempt of the key was out", got)
 	}
-	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: TimedOut, Over: true}})
+	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: TimedOut, NoAnswerNeeded: true}})
 	if got := sends(f.Step(199*ms, nil)); len(got) > 0 {
 		t.Fatalf("sent %v while the key rested", got)
 	}
@@ -165,7 +165,7 @@
 	f := newForwarder(t, plain("x"))
 	x := plain("x")
 	x.State = Draining
-	got := f.Step(0, []Event{TargetList{Scope: Changes, Targets: []Target{x}}, msg("m1", "pure", "")})
+	got := f.Step(0, []Event{TargetList{Scope: Delta, Targets: []Target{x}}, msg("m1", "pure", "")})
 	if s := sends(got); len(s) > 0 {
 		t.Errorf("sent %v", s)
 	}
@@ -178,7 +178,7 @@
 	if got := sends(f.Step(0, []Event{msg("m1", "pure", ""), msg("m2", "pure", "")})); len(got) != 2 {
 		t.Fatalf("sent %v", got)
 	}
-	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Full, Wait: time.Second}})
+	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Overloaded, RetryAfter: time.Second}})
 	f.Step(110*ms, []Event{Outcome{Message: "m2", Target: "x", Result: TimedOut}})
 	if got := sends(f.Step(500*ms, []Event{msg("m3", "pure", "")})); len(got) > 0 {
 		t.Errorf("sent %v during the wait", got)
@@ -190,10 +190,10 @@
 	f := newForwarder(t, plain("x"))
 	f.Step(0, []Event{msg("lost", "pure", "")})
 	f.Step(100*ms, []Event{msg("m2", "pure", "")})
-	f.Step(300*ms, []Event{Outcome{Message: "m2", Target: "x", Result: Done, Took: 200 * ms, Over: true}})
+	f.Step(300*ms, []Event{Outcome{Message: "m2", Target: "x", Result: Succeeded, Latency: 200 * ms, NoAnswerNeeded: true}})
 	f.Step(1400*ms, nil)
-	if r := f.Routes()[0]; r.Open {
-		t.Errorf("route is held as %q", r.Why)
+	if r := f.Routes()[0]; r.CircuitOpen {
+		t.Errorf("route is held as %q", r.OpenReason)
 	}
 	if got := sends(f.Step(3*time.Second, []Event{msg("m3", "pure", "")})); len(got) != 1 {
 		t.Errorf("sent %v", got)
@@ -276,7 +276,7 @@
 			step(now+1500*ms, Outcome{Message: id, Target: "x", Result: TimedOut}, Withdrawn{id})
 			open = false // a call is given up by closing its connection
 		} else {
-			step(now+100*ms, Outcome{Message: id, Target: "x", Result: Done, Took: 100 * ms, Over: true})
+			step(now+100*ms, Outcome{Message: id, Target: "x", Result: Succeeded, Latency: 100 * ms, NoAnswerNeeded: true})
 			open = true
 		}
 		now += 4 * time.Second
@@ -298,9 +298,9 @@
 		id := "m" + time.Duration(i).String()
 		for _, a := range f.Step(now, []Event{msg(id, "pure", "")}) {
 			if s, ok := a.(Send); ok && s.Message == id {
-				o := Outcome{Message: id, Target: s.Target, Result: Done, Took: 50 * ms, Over: true}
+				o := Outcome{Message: id, Target: s.Target, Result: Succeeded, Latency: 50 * ms, NoAnswerNeeded: true}
 				if s.Target == "x" && i%4 == 1 {
-					o.Result, o.Over = Reset, false
+					o.Result, o.NoAnswerNeeded = Reset, false
 				}
 				f.Step(now+50*ms, []Event{o, Withdrawn{id}})
 				if i >= 40 {
@@ -326,7 +326,7 @@
 		want   time.Duration
 	}{{"pure", 0, 1000 * ms}, {"unsafe", 0, 1750 * ms}, {"keyed", 20 * time.Second, 1750 * ms}, {"keyed", 5 * time.Second, 1250 * ms}} {
 		class := *f.classes[c.class]
-		class.Window = c.window
+		class.DedupWindow = c.window
 		if got := f.cancelAfter(&message{class: &class}, latency); got != c.want {
 			t.Errorf("%s, window %v: %v, want %v", c.class, c.window, got, c.want)
 		}
@@ -337,7 +337,7 @@
 func TestAgeingOutKeepsWait(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	f.Step(0, []Event{msg("m1", "pure", "")})
-	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Full, Wait: 2 * time.Minute}, Withdrawn{"m1"}})
+	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Overloaded, RetryAfter: 2 * time.Minute}, Withdrawn{"m1"}})
 	f.Step(61*time.Second, nil)
 	f.Step(62*time.Second, nil)
 	if got := sends(f.Step(63*time.Second, []Event{msg("m2", "pure", "")})); len(got) > 0 {
@@ -349,7 +349,7 @@
 func TestWakesForWhatFallsDue(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	f.Step(0, []Event{msg("m1", "pure", "")})
-	got := f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Full, Wait: 700 * ms}})
+	got := f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Overloaded, RetryAfter: 700 * ms}})
 	if !slices.Contains(got, Action(Wake{700 * ms})) {
 		t.Errorf("got %v, want one wake at the end of the told wait", got)
 	}
@@ -362,16 +362,16 @@
 		for _, held := range []int{1, 100} {
 			b.Run(fmt.Sprintf("routes=%d/held=%d", routes, held), func(b *testing.B) {
 				s := testSettings()
-				s.Slots, s.MaxHeld = 1, 0
+				s.Slots, s.MaxOpen = 1, 0
 				f, _ := New(s)
 				var list []Target
 				for i := range routes {
 					list = append(list, Target{ID: fmt.Sprint("t", i), Destination: i, Kind: "plain", Zone: "a"})
 				}
-				events := []Event{TargetList{Scope: Whole, Targets: list}}
+				events := []Event{TargetList{Scope: Snapshot, Targets: list}}
 				for i := range held {
 					m := msg(fmt.Sprint("m", i), "pure", "")
-					m.Destination, m.Left = i%routes, 10*time.Second
+					m.Destination, m.TimeLeft = i%routes, 10*time.Second
 					events = append(events, m)
 				}
 				f.Step(0, events)
@@ -398,7 +398,7 @@
 		sent, now := 0, time.Duration(0)
 		var events []Event
 		for i := range c.waiting {
-			events = append(events, Message{ID: fmt.Sprint("m", i), Class: "pure", Destination: 1, Left: 10 * time.Second})
+			events = append(events, Message{ID: fmt.Sprint("m", i), Class: "pure", Destination: 1, TimeLeft: 10 * time.Second})
 		}
 		for ; now < 9*time.Second; now += 5 * ms {
 			var failed []Event
@@ -409,7 +409,7 @@
 					failed = append(failed, Outcome{Message: s.Message, Attempt: n, Target: "x", Result: ConnectFailed})
 				}
 			}
-			if events = failed; now == 5*ms && !f.Routes()[0].Open {
+			if events = failed; now == 5*ms && !f.Routes()[0].CircuitOpen {
 				t.Errorf("%+v: the route was not opened", c)
 			}
 		}
@@ -437,7 +437,7 @@
 		for i := range 30 {
 			id := fmt.Sprint("m", i)
 			f.Step(now, []Event{msg(id, "pure", "")})
-			done := Outcome{Message: id, Target: "x", Result: Done, Took: 50 * ms, Over: true}
+			done := Outcome{Message: id, Target: "x", Result: Succeeded, Latency: 50 * ms, NoAnswerNeeded: true}
 			kept = !slices.Contains(f.Step(now+50*ms, []Event{done}), Action(CloseIdle{"x"}))
 			now += c.every
 		}
@@ -454,12 +454,12 @@
 	f := newForwarder(t, plain("x"))
 	f.settings.Forwarders = 500
 	f.Step(0, []Event{msg("m1", "pure", "")})
-	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Done, Took: 100 * ms, Over: true,
-		Allowance: Allowance{Told: true, Rate: 6, Left: .01}}})
+	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Succeeded, Latency: 100 * ms, NoAnswerNeeded: true,
+		Allowance: Allowance{Reported: true, Rate: 6, Remaining: .01}}})
 	if got := sends(f.Step(4*time.Second, []Event{msg("m2", "pure", "")})); len(got) != 1 {
 		t.Errorf("sent %v", got)
 	}
-	f.Step(4100*ms, []Event{Outcome{Message: "m2", Target: "x", Result: Done, Took: 100 * ms, Over: true}})
+	f.Step(4100*ms, []Event{Outcome{Message: "m2", Target: "x", Result: Succeeded, Latency: 100 * ms, NoAnswerNeeded: true}})
 	for at := 4200 * ms; ; at += 100 * ms { // 3 messages in 4.2 s: one in 1.4 s, and with what is refused on the way half of that
 		events := []Event{Woken{}}
 		if at == 4200*ms {
@@ -482,7 +482,7 @@
 func TestWokenALittleEarlyAsksAgain(t *testing.T) {
 	f := newForwarder(t)
 	m := msg("m1", "pure", "")
-	m.Left += 300 * time.Nanosecond
+	m.TimeLeft += 300 * time.Nanosecond
 	got := f.Step(0, []Event{m})
 	due := got[len(got)-1].(Wake).After
 	got = f.Step(due-300*time.Nanosecond, []Event{Woken{}})
@@ -518,14 +518,14 @@
 func TestHalfFailingIsFollowedBySlowReturn(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	now := time.Duration(0)
-	for i := 0; i < 60 && !f.Routes()[0].Open; i++ {
+	for i := 0; i < 60 && !f.Routes()[0].CircuitOpen; i++ {
 		id := fmt.Sprint("m", i)
 		if len(sends(f.Step(now, []Event{msg(id, "pure", "")}))) == 1 {
-			result := Done
+			result := Succeeded
 			if i >= 15 && i%3 > 0 { // never three in a row
 				result = Errored
 			}
-			f.Step(now+50*ms, []Event{Outcome{Message: id, Target: "x", Result: result, Over: result == Done}, Withdrawn{id}})
+			f.Step(now+50*ms, []Event{Outcome{Message: id, Target: "x", Result: result, NoAnswerNeeded: result == Succeeded}, Withdrawn{id}})
 		}
 		now += 200 * ms
 	}
@@ -537,7 +537,7 @@
 		id := fmt.Sprint("t", i)
 		now += time.Second
 		f.Step(now, []Event{msg(id, "pure", "")})
-		f.Step(now+50*ms, []Event{Outcome{Message: id, Target: "x", Result: Done, Took: 50 * ms, Over: true}})
+		f.Step(now+50*ms, []Event{Outcome{Message: id, Target: "x", Result: Succeeded, Latency: 50 * ms, NoAnswerNeeded: true}})
 	}
 	if r.circuitOpen || !r.slowStart {
 		t.Errorf("open %v, slow return %v", r.circuitOpen, r.slowStart)
@@ -555,7 +555,7 @@
 			t.Fatal(err)
 		}
 		f.Step(0, []Event{TargetList{Targets: []Target{plain("x")}}, msg("m", "pure", "")})
-		f.Step(100*ms, []Event{Outcome{Message: "m", Target: "x", Result: Full, Wait: 5 * time.Second}})
+		f.Step(100*ms, []Event{Outcome{Message: "m", Target: "x", Result: Overloaded, RetryAfter: 5 * time.Second}})
 		if got := sends(f.Step(5200*ms, nil)); len(got) > 0 {
 			soon++
 		}
@@ -572,8 +572,8 @@
 	for i := range 2 {
 		id, now := fmt.Sprint("m", i), time.Duration(i)*15*time.Second
 		f.Step(now, []Event{msg(id, "pure", "")})
-		f.Step(now+50*ms, []Event{Outcome{Message: id, Target: "x", Result: Full}, Withdrawn{id}})
-		if open := f.Routes()[0].Open; open != (i == 1) {
+		f.Step(now+50*ms, []Event{Outcome{Message: id, Target: "x", Result: Overloaded}, Withdrawn{id}})
+		if open := f.Routes()[0].CircuitOpen; open != (i == 1) {
 			t.Errorf("after %d refusals: open %v", i+1, open)
 		}
 	}
@@ -591,7 +591,7 @@
 			t.Fatal(err)
 		}
 		f.Step(0, []Event{TargetList{Targets: []Target{plain("x")}}, msg("m", "pure", "")})
-		f.Step(10*ms, []Event{Outcome{Message: "m", Target: "x", Result: Full}})
+		f.Step(10*ms, []Event{Outcome{Message: "m", Target: "x", Result: Overloaded}})
 		if len(sends(f.Step(200*ms, nil))) == 0 {
 			late++
 		}
@@ -609,7 +609,7 @@
 	f.destinations[1].routes[0].retryAfter = time.Hour
 	for n := 1; n <= 100; n++ {
 		now := time.Duration(n) * time.Second
-		f.Step(now, []Event{TargetList{Scope: Changes, Targets: []Target{
+		f.Step(now, []Event{TargetList{Scope: Delta, Targets: []Target{
 			plain(fmt.Sprintf("t%d", n)), {ID: fmt.Sprintf("t%d", n-1), State: Gone},
 			{ID: fmt.Sprintf("a%d", n), Destination: 2, Kind: "apart", Zone: "a"}, {ID: fmt.Sprintf("a%d", n-1), State: Gone},
 			{ID: fmt.Sprintf("b%d", n), Destination: 100 + n, Kind: "plain"}, {ID: fmt.Sprintf("b%d", n-1), State: Gone},
@@ -618,7 +618,7 @@
 	if n := len(f.endpoints); n != 4 { // the newest three, and the one with a call out
 		t.Errorf("%d targets kept", n)
 	}
-	f.Step(101*time.Second, []Event{Outcome{Message: "m", Target: "t0", Result: Done, Over: true}})
+	f.Step(101*time.Second, []Event{Outcome{Message: "m", Target: "t0", Result: Succeeded, NoAnswerNeeded: true}})
 	if n := len(f.endpoints); n != 3 || len(f.messages) != 0 {
 		t.Errorf("%d targets and %d messages kept", n, len(f.messages))
 	}
@@ -642,7 +642,7 @@
 	r.meanLatency = 200 * ms
 	f.openCircuit(r, "failing")
 	old := msg("old", "pure", "")
-	old.Left = 400 * ms
+	old.TimeLeft = 400 * ms
 	f.Step(0, []Event{old, msg("young", "pure", "")})
 	got := sends(f.Step(350*ms, nil))
 	for now := 350 * ms; len(got) == 0 && now < time.Second; now += 10 * ms {
@@ -656,12 +656,12 @@
 	for n := range 5 {
 		id := fmt.Sprint("m", n)
 		old := msg(id, "pure", "")
-		old.Left = 100 * ms
+		old.TimeLeft = 100 * ms
 		now := time.Duration(n) * time.Second
 		if got := sends(f.Step(now, []Event{old})); len(got) != 1 {
 			t.Fatalf("sent %v", got)
 		}
-		f.Step(now+100*ms, []Event{Outcome{Message: id, Target: "x", Result: TimedOut, Took: 100 * ms}})
+		f.Step(now+100*ms, []Event{Outcome{Message: id, Target: "x", Result: TimedOut, Latency: 100 * ms}})
 	}
 	if r := f.destinations[1].routes[0]; r.circuitOpen || r.consecutiveFailures > 0 || r.failures > 0 {
 		t.Errorf("judged by calls without time: open %v, fails %v", r.circuitOpen, r.consecutiveFailures)
@@ -675,8 +675,8 @@
 	x := f.endpoints["x"]
 	f.Step(0, []Event{msg("m1", "pure", ""), msg("m2", "pure", ""), msg("m3", "pure", "")})
 	for n, at := range []time.Duration{100 * ms, 200 * ms, 300 * ms} {
-		result := []Result{Done, Reset, Done}[n]
-		f.Step(at, []Event{Outcome{Message: fmt.Sprint("m", n+1), Target: "x", Result: result, Over: true}})
+		result := []Result{Succeeded, Reset, Succeeded}[n]
+		f.Step(at, []Event{Outcome{Message: fmt.Sprint("m", n+1), Target: "x", Result: result, NoAnswerNeeded: true}})
 	}
 	if want := []time.Duration{100 * ms, 300 * ms}; !slices.Equal(x.idleSince, want) {
 		t.Fatalf("free since %v, want %v", x.idleSince, want)
@@ -707,8 +707,8 @@
 		f.Step(0, []Event{msg("long", "pure", "")})
 		f.Step(100*ms, []Event{msg("later", "pure", "")})
 		if c.answered {
-			f.Step(200*ms, []Event{Outcome{Message: "later", Target: "x", Result: Done, Over: true, Took: 100 * ms}})
-			f.Step(201*ms, []Event{Message{ID: "other", Class: "pure", Destination: 2, Left: 10 * time.Second}})
+			f.Step(200*ms, []Event{Outcome{Message: "later", Target: "x", Result: Succeeded, NoAnswerNeeded: true, Latency: 100 * ms}})
+			f.Step(201*ms, []Event{Message{ID: "other", Class: "pure", Destination: 2, TimeLeft: 10 * time.Second}})
 		}
 		cancelled := 0
 		for _, a := range f.Step(time.Second, nil) {
@@ -728,18 +728,18 @@
 func TestSilenceDoesNotSpread(t *testing.T) {
 	const dests, each, slots = 200, 5, 50
 	set := testSettings()
-	set.Slots, set.MaxHeld = slots, 0
+	set.Slots, set.MaxOpen = slots, 0
 	f, err := New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := TargetList{Scope: Whole}
+	list := TargetList{Scope: Snapshot}
 	var events []Event
 	unsafe := map[string]bool{}
 	for d := range dests {
 		list.Targets = append(list.Targets, Target{ID: fmt.Sprint("t", d), Destination: d, Kind: "plain", Zone: "a"})
 		for i := range each {
-			m := Message{ID: fmt.Sprint("m", d, ".", i), Class: "pure", Destination: d, Left: 10 * time.Second}
+			m := Message{ID: fmt.Sprint("m", d, ".", i), Class: "pure", Destination: d, TimeLeft: 10 * time.Second}
 			if i%4 == 0 {
 				m.Class, unsafe[m.ID] = "unsafe", true
 			}
@@ -758,7 +758,7 @@
 		for i := 0; i < len(calls); {
 			if c := calls[i]; c.at <= now {
 				events = append(events, c.o)
-				if c.o.Over {
+				if c.o.NoAnswerNeeded {
 					delivered++
 				} else {
 					silent--
@@ -775,7 +775,7 @@
 				fmt.Sscanf(a.Target, "t%d", &n)
 				c := out{Outcome{Message: a.Message, Attempt: tries[a.Message], Target: a.Target, Result: TimedOut}, now + a.Timeout}
 				if n%2 == 0 {
-					c = out{Outcome{Message: a.Message, Attempt: tries[a.Message], Target: a.Target, Result: Done, Over: true, Took: 20 * ms}, now + 20*ms}
+					c = out{Outcome{Message: a.Message, Attempt: tries[a.Message], Target: a.Target, Result: Succeeded, NoAnswerNeeded: true, Latency: 20 * ms}, now + 20*ms}
 				} else {
 					silent++
 				}
@@ -810,7 +810,7 @@
 // before what waits for one that answers, though it is as old and worth as much.
 func TestShutDestinationMakesRoom(t *testing.T) {
 	f := newForwarder(t, plain("x"), Target{ID: "y", Destination: 2, Kind: "plain", Zone: "a"})
-	f.settings.MaxHeld = 40
+	f.settings.MaxOpen = 40
 	shut, well := f.destinations[1].routes[0], f.destinations[2].routes[0]
 	f.openCircuit(shut, "silent")
 	shut.probeInterval, well.meanLatency, shut.meanLatency = maxProbeInterval, 50*ms, 50*ms
@@ -836,7 +836,7 @@
 // for what is worth more, and once most of its time is over.
 func TestFullHoldTurnsAwayAtTheDoor(t *testing.T) {
 	f := newForwarder(t, plain("x"), Target{ID: "y", Destination: 2, Kind: "plain", Zone: "a"})
-	f.settings.MaxHeld, f.settings.Slots = 20, 1
+	f.settings.MaxOpen, f.settings.Slots = 20, 1
 	refused := func(at time.Duration, m Message) (id string) {
 		for _, a := range f.Step(at, []Event{m}) {
 			if r, ok := a.(Refuse); ok {
@@ -878,7 +878,7 @@
 			f.openCircuit(f.destinations[1].routes[0], "silent")
 		}
 		var refused []string
-		for _, a := range f.Step(ms, []Event{Crowded{}}) {
+		for _, a := range f.Step(ms, []Event{StoreFull{}}) {
 			if r, ok := a.(Refuse); ok {
 				refused = append(refused, r.Message)
 			}
--- a/internal/decide/putback_test.go
+++ b/internal/decide/putback_test.go
@@ -12,12 +12,12 @@
 	const capacity, cold, from, tip = 20.0, 10 * time.Second, 0.2, 2.0 // a target's calls a second
 	for _, others := range []int{0, 1, 2} {
 		t.Run(fmt.Sprint(others, " warm"), func(t *testing.T) {
-			f, err := New(Settings{Slots: 64, Seed: 7, ConnIdle: time.Minute, ConnectLimit: time.Second, AdviceLimit: time.Second, Weights: ExactWeights,
-				StartCapacity: from, Cold: cold, TipMultiple: tip, Fall: time.Second, Classes: []Class{{Name: "note", Deadline: 30 * time.Second, Aim: 3 * time.Second, Worth: 1}}})
+			f, err := New(Settings{Slots: 64, Seed: 7, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second, Weights: ExactWeights,
+				StartCapacity: from, SlowStart: cold, OverloadFactor: tip, OverloadOutage: time.Second, Classes: []Class{{Name: "note", Deadline: 30 * time.Second, OnTime: 3 * time.Second, Value: 1}}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			list := TargetList{Scope: Whole}
+			list := TargetList{Scope: Snapshot}
 			weight := capacity * float64(1+others)
 			for i := range 1 + others {
 				list.Targets = append(list.Targets, Target{ID: fmt.Sprint("t", i), Destination: 1, Weight: weight})
@@ -32,16 +32,16 @@
 			const left, back, end = 5 * time.Second, 10 * time.Second, 22 * time.Second
 			for now := time.Duration(0); now < end; now += 5 * time.Millisecond {
 				if now%(10*time.Millisecond) == 0 && float64(now/(10*time.Millisecond)%100) < 0.5*weight {
-					events = append(events, Message{ID: fmt.Sprint(now), Class: "note", Destination: 1, Left: 30 * time.Second})
+					events = append(events, Message{ID: fmt.Sprint(now), Class: "note", Destination: 1, TimeLeft: 30 * time.Second})
 				}
 				if now == left || now == back {
 					listing := list.Targets[0]
-					listing.State, listing.PutBack = Draining, 0
+					listing.State, listing.EnableCount = Draining, 0
 					if now == back {
-						listing.State, listing.PutBack = Active, 1
+						listing.State, listing.EnableCount = Active, 1
 					}
 					list.Targets[0] = listing
-					events = append(events, TargetList{Scope: Changes, Targets: []Target{listing}})
+					events = append(events, TargetList{Scope: Delta, Targets: []Target{listing}})
 				}
 				if now == back+time.Second { // told again, it does not begin anew
 					events = append(events, list)
@@ -71,7 +71,7 @@
 						}
 					}
 					done++
-					calls = append(calls, out{Outcome{Message: s.Message, Target: s.Target, Result: Done, Over: true, Took: took}, now + took})
+					calls = append(calls, out{Outcome{Message: s.Message, Target: s.Target, Result: Succeeded, NoAnswerNeeded: true, Latency: took}, now + took})
 				}
 				events = []Event{Woken{}}
 				if listed, gone := f.Rotation(); listed != 1+others || (gone == 1) != (now >= left && now < back) {
--- a/internal/decide/recovery_test.go
+++ b/internal/decide/recovery_test.go
@@ -8,7 +8,7 @@
 )
 
 func recovered(id, class string, attempts int, open, ran bool, left time.Duration) Message {
-	return Message{ID: id, Class: class, Destination: 1, Left: left, Recovered: true, Attempts: attempts, Open: open, MayHaveRun: ran}
+	return Message{ID: id, Class: class, Destination: 1, TimeLeft: left, Recovered: true, Attempts: attempts, HasOpenAttempt: open, MayHaveRun: ran}
 }
 
 // TestRecovered: what becomes of a message from before a restart.
@@ -63,7 +63,7 @@
 			t.Fatal("never sent")
 		}
 		if len(sends(f.Step(now, events))) > 0 {
-			f.Step(now+10*ms, []Event{Outcome{Message: "m", Attempt: 2, Target: "x", Result: Done, Took: 10 * ms, Over: true}})
+			f.Step(now+10*ms, []Event{Outcome{Message: "m", Attempt: 2, Target: "x", Result: Succeeded, Latency: 10 * ms, NoAnswerNeeded: true}})
 			break
 		}
 		events = nil
@@ -85,7 +85,7 @@
 		}
 		x := plain("x")
 		x.Weight = weight
-		events := []Event{TargetList{Scope: Restored, Targets: []Target{x}}}
+		events := []Event{TargetList{Scope: LastKnown, Targets: []Target{x}}}
 		for n := range 60 {
 			events = append(events, recovered(fmt.Sprint("m", n), "pure", 0, false, false, 9*time.Second))
 		}
@@ -95,7 +95,7 @@
 			events = nil
 			for _, id := range ids {
 				sent++
-				events = append(events, Outcome{Message: id, Target: "x", Result: Done, Took: 5 * ms, Over: true})
+				events = append(events, Outcome{Message: id, Target: "x", Result: Succeeded, Latency: 5 * ms, NoAnswerNeeded: true})
 			}
 		}
 		// A cold one takes a fifth of 20 a second at first and falls over at twice that for 3 s.
@@ -111,8 +111,8 @@
 	if got := sends(f.Step(0, []Event{msg("a", "unsafe", "")})); len(got) != 1 {
 		t.Fatalf("sent %v", got)
 	}
-	f.Step(300*ms, []Event{Outcome{Message: "a", Target: "x", Result: Done, Took: 300 * ms, Over: true}})
-	f.Step(400*ms, []Event{Stopping{Left: 2 * time.Second}})
+	f.Step(300*ms, []Event{Outcome{Message: "a", Target: "x", Result: Succeeded, Latency: 300 * ms, NoAnswerNeeded: true}})
+	f.Step(400*ms, []Event{Stopping{TimeLeft: 2 * time.Second}})
 	if got := sends(f.Step(1000*ms, []Event{msg("b", "unsafe", "")})); len(got) != 1 {
 		t.Errorf("with time enough, sent %v", got)
 	}
@@ -124,7 +124,7 @@
 // TestHoldIsLimited: more than MaxHeld are turned away, but never what is owed from before.
 func TestHoldIsLimited(t *testing.T) {
 	s := testSettings()
-	s.MaxHeld = 1
+	s.MaxOpen = 1
 	f, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -149,12 +149,12 @@
 func TestRecoveredMakeNoRoom(t *testing.T) {
 	for _, again := range []bool{false, true} { // by a hand-over in the middle of it
 		s := testSettings()
-		s.MaxHeld, s.Slots = 40, 4
+		s.MaxOpen, s.Slots = 40, 4
 		f, err := New(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := TargetList{Scope: Restored, Targets: []Target{plain("x")}}
+		list := TargetList{Scope: LastKnown, Targets: []Target{plain("x")}}
 		events := []Event{list}
 		for n := range 36 {
 			events = append(events, recovered(fmt.Sprint("old", n), "pure", 0, false, false, 2800*ms)) // over seven tenths of their time are gone
@@ -165,9 +165,9 @@
 			if again && now == 100*ms {
 				var held []Message
 				for _, m := range f.messages {
-					held = append(held, Message{ID: m.id, Class: m.class.Name, Destination: 1, Left: m.deadline - now, Recovered: true, Attempts: m.attempts, Open: m.inFlight > 0})
+					held = append(held, Message{ID: m.id, Class: m.class.Name, Destination: 1, TimeLeft: m.deadline - now, Recovered: true, Attempts: m.attempts, HasOpenAttempt: m.inFlight > 0})
 				}
-				memory, err := ReadMemory(f.Save())
+				memory, err := DecodeState(f.Save())
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -182,7 +182,7 @@
 				switch a := a.(type) {
 				case Send:
 					tried[a.Message] = true
-					events = append(events, Outcome{Message: a.Message, Target: "x", Result: Done, Took: 5 * ms, Over: true})
+					events = append(events, Outcome{Message: a.Message, Target: "x", Result: Succeeded, Latency: 5 * ms, NoAnswerNeeded: true})
 				case Refuse:
 					if strings.HasPrefix(a.Message, "old") {
 						early++
--- a/internal/decide/rejected_test.go
+++ b/internal/decide/rejected_test.go
@@ -8,17 +8,17 @@
 // TestRejected: a message that a target will never take is answered at once as harmless to hand in again, whatever its class, and is not
 // tried again; the target is no worse for it, also while it is out of order.
 func TestRejected(t *testing.T) {
-	for _, effect := range []Effect{Pure, Keyed, Unsafe} {
-		f, err := New(Settings{Slots: 64, ConnIdle: time.Minute, ConnectLimit: time.Second, AdviceLimit: time.Second, StartCapacity: 1,
-			TipMultiple: 2, Fall: time.Second, Classes: []Class{{Name: "note", Effect: effect, Window: time.Minute, Deadline: 10 * time.Second, Aim: 3 * time.Second, Worth: 1}}})
+	for _, effect := range []Effect{Idempotent, Deduplicated, AtMostOnce} {
+		f, err := New(Settings{Slots: 64, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second, StartCapacity: 1,
+			OverloadFactor: 2, OverloadOutage: time.Second, Classes: []Class{{Name: "note", Effect: effect, DedupWindow: time.Minute, Deadline: 10 * time.Second, OnTime: 3 * time.Second, Value: 1}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Step(0, []Event{TargetList{Scope: Whole, Targets: []Target{{ID: "a", Destination: 1}}}})
+		f.Step(0, []Event{TargetList{Scope: Snapshot, Targets: []Target{{ID: "a", Destination: 1}}}})
 		for n := range 30 {
 			now, id := time.Duration(n)*100*time.Millisecond, string(rune('A'+n))
 			sent := 0
-			for _, a := range f.Step(now, []Event{Message{ID: id, Class: "note", Destination: 1, Left: 10 * time.Second}}) {
+			for _, a := range f.Step(now, []Event{Message{ID: id, Class: "note", Destination: 1, TimeLeft: 10 * time.Second}}) {
 				if _, is := a.(Send); is {
 					sent++
 				}
@@ -27,7 +27,7 @@
 				t.Fatalf("%d: %d sends: rejections have shut the destination", n, sent)
 			}
 			refused := false
-			for _, a := range f.Step(now+10*time.Millisecond, []Event{Outcome{Message: id, Target: "a", Result: Rejected, Took: 10 * time.Millisecond}}) {
+			for _, a := range f.Step(now+10*time.Millisecond, []Event{Outcome{Message: id, Target: "a", Result: Rejected, Latency: 10 * time.Millisecond}}) {
 				switch a.(type) {
 				case Send, Fail:
 					t.Fatalf("%T after a rejection", a)
--- a/internal/decide/restore.go
+++ b/internal/decide/restore.go
@@ -11,7 +11,7 @@
 // The lists are those that the host knows, and held is the messages that it holds, as for a restart. It
 // returns the final answers that are due at once, and the messages of which the state has attempts in
 // flight.
-func (f *Forwarder) Restore(now time.Duration, m *Memory, lists []TargetList, held []Message) (actions []Action, out map[string][]int) {
+func (f *Forwarder) Restore(now time.Duration, m *SavedState, lists []TargetList, held []Message) (actions []Action, out map[string][]int) {
 	f.now, f.actions, f.nextDue = now, nil, never
 	f.restoreTotals(m)
 	for _, snapshot := range lists {
@@ -46,7 +46,7 @@
 }
 
 // restoreTotals restores what is known of all routes together, of classes and of tenants.
-func (f *Forwarder) restoreTotals(m *Memory) {
+func (f *Forwarder) restoreTotals(m *SavedState) {
 	f.startedAt, f.meanLatency, f.idleLoss, f.longCallLoss = m.startedAt, m.meanLatency, m.idleLoss, m.longCallLoss
 	for name, class := range f.classes {
 		if v, ok := m.latencyFactor[name]; ok {
@@ -61,7 +61,7 @@
 }
 
 // restoreMessages resumes the messages that the state knows, and returns their attempts in flight and the other messages.
-func (f *Forwarder) restoreMessages(held []Message, m *Memory) (out map[string][]int, unknown []Message) {
+func (f *Forwarder) restoreMessages(held []Message, m *SavedState) (out map[string][]int, unknown []Message) {
 	slices.SortFunc(held, func(a, b Message) int {
 		if x, y := m.messages[a.ID], m.messages[b.ID]; x != nil && y != nil {
 			return cmp.Compare(x.seq, y.seq)
@@ -80,7 +80,7 @@
 }
 
 // restoreRoutes restores destinations, routes and endpoints.
-func (f *Forwarder) restoreRoutes(m *Memory) {
+func (f *Forwarder) restoreRoutes(m *SavedState) {
 	for _, dm := range m.destinations {
 		d := f.destination(dm.id)
 		d.lastScheduled, d.accepted = dm.lastScheduled, dm.accepted
@@ -111,7 +111,7 @@
 }
 
 // restoreEndpoints restores the endpoints that are listed or have calls in flight.
-func (f *Forwarder) restoreEndpoints(m *Memory) {
+func (f *Forwarder) restoreEndpoints(m *SavedState) {
 	for _, tm := range m.endpoints {
 		ep := f.endpoints[tm.listing.ID]
 		if ep == nil && slices.ContainsFunc(m.calls, func(k callMemory) bool { return k.endpointID == tm.listing.ID }) {
@@ -126,7 +126,7 @@
 }
 
 // restoreKeyQueues restores idle key queues in the order in which their idle times end.
-func (f *Forwarder) restoreKeyQueues(m *Memory) {
+func (f *Forwarder) restoreKeyQueues(m *SavedState) {
 	keys := slices.SortedFunc(maps.Keys(m.restingKeys), func(a, b string) int { return cmp.Compare(m.restingKeys[a], m.restingKeys[b]) })
 	for _, key := range keys {
 		queue := f.keyQueues[key]
@@ -143,7 +143,7 @@
 	}
 }
 
-func (f *Forwarder) restoreCalls(m *Memory) {
+func (f *Forwarder) restoreCalls(m *SavedState) {
 	for i := range m.calls {
 		k := &m.calls[i]
 		ep := f.endpoints[k.endpointID]
@@ -169,7 +169,7 @@
 }
 
 // restoreMessage resumes one message, and returns the numbers of its attempts in flight.
-func (f *Forwarder) restoreMessage(e Message, k *messageMemory, mem *Memory) (out []int) {
+func (f *Forwarder) restoreMessage(e Message, k *messageMemory, mem *SavedState) (out []int) {
 	m := f.newMessage(e, f.classes[e.Class])
 	m.createdAt, m.deadline, m.value, m.runSentAt, m.notBefore, m.runZone = k.createdAt, k.deadline, k.value, k.runSentAt, k.notBefore, k.runZone
 	m.seq, m.attempts, m.sends, m.mayHaveRun, m.recovered = k.seq, e.Attempts, k.sends, k.mayHaveRun, k.recovered
@@ -189,7 +189,7 @@
 		m.inFlight++
 		out = append(out, p.number)
 	}
-	if len(k.inFlightAttempts) == 0 && e.Open { // the host began one that the state does not know
+	if len(k.inFlightAttempts) == 0 && e.HasOpenAttempt { // the host began one that the state does not know
 		m.mayHaveRun = true
 	}
 	if k.retryGrant != "" && m.inFlight == 0 {
@@ -205,7 +205,7 @@
 			m.hedgeAt = k.hedgeAt
 			f.hedges.fix(m)
 		}
-	case m.mayHaveRun && m.class.Effect == Unsafe || f.attemptsExhausted(m) || f.now >= m.answerDeadline():
+	case m.mayHaveRun && m.class.Effect == AtMostOnce || f.attemptsExhausted(m) || f.now >= m.answerDeadline():
 		f.answerMessage(m)
 	default:
 		f.enqueue(m)
--- a/internal/decide/rules_test.go
+++ b/internal/decide/rules_test.go
@@ -42,7 +42,7 @@
 
 func (l *ledger) route(t Target) string {
 	for _, k := range l.set.Kinds {
-		if k.Name == t.Kind && k.Apart {
+		if k.Name == t.Kind && k.SeparateRoutes {
 			return t.ID
 		}
 	}
@@ -56,7 +56,7 @@
 			l.send(a)
 		case Refuse:
 			e := l.answer(a.Message)
-			free := e.ran == nil && len(e.out) == 0 || e.class.Effect == Pure || e.class.Effect == Keyed && !e.class.ZoneGroup
+			free := e.ran == nil && len(e.out) == 0 || e.class.Effect == Idempotent || e.class.Effect == Deduplicated && !e.class.DedupPerZone
 			if !free {
 				l.t.Fatalf("%v: rule 2: %s refused though it may have run", l.now, a.Message)
 			}
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, e := range l.order {
-		if !e.answered && l.now > e.deadline+l.set.Slack {
+		if !e.answered && l.now > e.deadline+l.set.AnswerSlack {
 			l.t.Fatalf("%v: rule 1: %s not answered by %v", l.now, e.ID, e.deadline)
 		}
 	}
@@ -92,9 +92,9 @@
 		l.t.Fatalf("%v: %s sent elsewhere", l.now, a.Message)
 	case len(e.out) > 0:
 		l.t.Fatalf("%v: rule 2: two attempts of %s", l.now, a.Message)
-	case e.ran != nil && e.class.Effect == Unsafe:
+	case e.ran != nil && e.class.Effect == AtMostOnce:
 		l.t.Fatalf("%v: rule 2: unsafe %s sent again", l.now, a.Message)
-	case e.ran != nil && e.class.Effect == Keyed && (l.now > e.ran.at+e.class.Window || t.Zone != e.ran.target.Zone):
+	case e.ran != nil && e.class.Effect == Deduplicated && (l.now > e.ran.at+e.class.DedupWindow || t.Zone != e.ran.target.Zone):
 		l.t.Fatalf("%v: rule 2: keyed %s sent out of its group or window", l.now, a.Message)
 	case e.tries > 3:
 		l.t.Fatalf("%v: %s sent a fifth time", l.now, a.Message)
@@ -105,12 +105,12 @@
 	if l.now < l.waits[l.route(t)] {
 		l.t.Fatalf("%v: rule 6: %s sent during a wait", l.now, a.Message)
 	}
-	if e.Key != "" && e.class.KeepsOrder {
+	if e.Key != "" && e.class.Ordered {
 		for _, o := range l.order {
 			if o == e {
 				break
 			}
-			if o.Key == e.Key && o.class.KeepsOrder && (!o.answered || len(o.out) > 0) {
+			if o.Key == e.Key && o.class.Ordered && (!o.answered || len(o.out) > 0) {
 				l.t.Fatalf("%v: rule 5: %s sent before %s is over", l.now, e.ID, o.ID)
 			}
 		}
@@ -128,17 +128,17 @@
 
 // outcome ends an attempt as drawn, or as its time-out demands.
 func (l *ledger) outcome(e *entry, s *sent, rng *rand.Rand, mood float64) Outcome {
-	o := Outcome{Message: e.ID, Attempt: s.n, Target: s.target.ID, Took: l.now - s.at}
+	o := Outcome{Message: e.ID, Attempt: s.n, Target: s.target.ID, Latency: l.now - s.at}
 	switch {
 	case l.now >= s.until:
 		o.Result = TimedOut
 	case rng.Float64() < mood:
-		o.Result = Done
+		o.Result = Succeeded
 	default:
-		o.Result = []Result{Errored, Full, ConnectFailed, Reset, Full}[rng.IntN(5)]
-		if o.Result == Full && rng.IntN(2) == 0 {
-			o.Wait = time.Duration(rng.IntN(1500)) * ms
-			l.waits[l.route(s.target)] = max(l.waits[l.route(s.target)], l.now+o.Wait)
+		o.Result = []Result{Errored, Overloaded, ConnectFailed, Reset, Overloaded}[rng.IntN(5)]
+		if o.Result == Overloaded && rng.IntN(2) == 0 {
+			o.RetryAfter = time.Duration(rng.IntN(1500)) * ms
+			l.waits[l.route(s.target)] = max(l.waits[l.route(s.target)], l.now+o.RetryAfter)
 		}
 	}
 	e.out = nil
@@ -146,12 +146,12 @@
 		e.ran = s
 	}
 	if o.Result == Reset || o.Result == TimedOut {
-		l.rests[e.Key] = l.now + l.set.KeyRest
+		l.rests[e.Key] = l.now + l.set.KeyPause
 	}
-	if o.Result == Done && !e.answered {
+	if o.Result == Succeeded && !e.answered {
 		e.answered = true
 	}
-	o.Over = e.answered
+	o.NoAnswerNeeded = e.answered
 	return o
 }
 
@@ -172,7 +172,7 @@
 		list = append(list, x)
 		l.targets[x.ID] = x
 	}
-	events := []Event{TargetList{Scope: Restored, Targets: list}}
+	events := []Event{TargetList{Scope: LastKnown, Targets: list}}
 	mood := 1.0
 	for step := range 6000 {
 		l.now += 5 * ms
@@ -181,11 +181,11 @@
 		}
 		if step < 3000 && rng.IntN(3) == 0 {
 			c := set.Classes[rng.IntN(len(set.Classes))]
-			m := Message{ID: fmt.Sprint("m", step), Class: c.Name, Destination: rng.IntN(5), Left: c.Deadline} // none is listed for the last
-			if c.KeepsOrder {
+			m := Message{ID: fmt.Sprint("m", step), Class: c.Name, Destination: rng.IntN(5), TimeLeft: c.Deadline} // none is listed for the last
+			if c.Ordered {
 				m.Key = fmt.Sprint("k", rng.IntN(5), m.Destination)
 			}
-			e := &entry{Message: m, class: c, deadline: l.now + m.Left}
+			e := &entry{Message: m, class: c, deadline: l.now + m.TimeLeft}
 			l.msgs[m.ID] = e
 			l.order = append(l.order, e)
 			events = append(events, m)
@@ -200,7 +200,7 @@
 				list[i] = fresh
 				l.targets[fresh.ID] = fresh
 				l.drained[old.ID] = l.now
-				events = append(events, TargetList{Scope: Changes, Targets: []Target{old, fresh}})
+				events = append(events, TargetList{Scope: Delta, Targets: []Target{old, fresh}})
 			}
 		}
 		for _, e := range l.order {
@@ -220,7 +220,7 @@
 		events = nil
 	}
 	for _, e := range l.order {
-		if !e.answered && e.deadline+set.Slack < l.now {
+		if !e.answered && e.deadline+set.AnswerSlack < l.now {
 			t.Fatalf("rule 1: %s never answered", e.ID)
 		}
 	}
@@ -246,7 +246,7 @@
 	if got := sends(f.Step(500*ms, []Event{msg("m1", "pure", "")})); len(got) > 0 {
 		t.Errorf("an id taken twice was sent again: %v", got)
 	}
-	done := Outcome{Message: "m1", Target: "x", Result: Done, Over: true}
+	done := Outcome{Message: "m1", Target: "x", Result: Succeeded, NoAnswerNeeded: true}
 	f.Step(1100*ms, []Event{done, done, Outcome{Message: "never", Target: "nowhere"}, Withdrawn{"never"}, Woken{},
 		ProbeResult{Target: "nowhere"}, TargetList{Scope: Unavailable}})
 	got := f.Step(1200*ms, []Event{msg("m2", "no such class", "")})
@@ -257,8 +257,8 @@
 	far.Destination = 99 // no target is listed for it
 	f.Step(1300*ms, []Event{far})
 	answered := false
-	for _, a := range f.Step(1300*ms+far.Left, nil) {
-		answered = answered || a == Action(Refuse{Message: "m3", Wait: 2 * time.Second})
+	for _, a := range f.Step(1300*ms+far.TimeLeft, nil) {
+		answered = answered || a == Action(Refuse{Message: "m3", RetryAfter: 2 * time.Second})
 	}
 	if !answered {
 		t.Error("a message for no known target was not answered in its time")
@@ -268,7 +268,7 @@
 func TestNewNamesImpossibleSetting(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"Slots": func(s *Settings) { s.Slots = 0 }, "Classes": func(s *Settings) { s.Classes = nil },
-		"Deadline": func(s *Settings) { s.Classes[0].Deadline = 0 }, "negative": func(s *Settings) { s.Cold = -1 },
+		"Deadline": func(s *Settings) { s.Classes[0].Deadline = 0 }, "negative": func(s *Settings) { s.SlowStart = -1 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -281,20 +281,20 @@
 func ExampleForwarder_Step() {
 	f, err := New(Settings{
 		Seed: 1, Slots: 4,
-		Classes: []Class{{Name: "note", Effect: Pure, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
-		Kinds:   []Kind{{Name: "shop", PerCall: 1}},
+		Classes: []Class{{Name: "note", Effect: Idempotent, OnTime: time.Second, Deadline: 5 * time.Second, Value: 1}},
+		Kinds:   []Kind{{Name: "shop", MaxBatch: 1}},
 	})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	f.Step(0, []Event{TargetList{Scope: Restored, Targets: []Target{{ID: "shop-1", Destination: 1, Kind: "shop"}}}})
+	f.Step(0, []Event{TargetList{Scope: LastKnown, Targets: []Target{{ID: "shop-1", Destination: 1, Kind: "shop"}}}})
 	for _, a := range f.Step(5*time.Millisecond, []Event{
-		Message{ID: "m1", Class: "note", Destination: 1, Left: 5 * time.Second}}) {
+		Message{ID: "m1", Class: "note", Destination: 1, TimeLeft: 5 * time.Second}}) {
 		fmt.Printf("%T %v\n", a, a)
 	}
 	over := f.Step(90*time.Millisecond, []Event{
-		Outcome{Message: "m1", Target: "shop-1", Result: Done, Took: 85 * time.Millisecond, Over: true}})
+		Outcome{Message: "m1", Target: "shop-1", Result: Succeeded, Latency: 85 * time.Millisecond, NoAnswerNeeded: true}})
 	fmt.Println(len(over), "actions after the answer")
 	// Output:
 	// decide.Send {m1 shop-1 4s 0s}
@@ -305,23 +305,23 @@
 // A destination tells a wait; a message whose time ends within it is handed back with advice.
 func ExampleForwarder_Step_refusal() {
 	f, err := New(Settings{
-		Seed: 1, Slots: 4, AdviceLimit: 2 * time.Second,
-		Classes: []Class{{Name: "note", Effect: Pure, Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}},
-		Kinds:   []Kind{{Name: "shop", PerCall: 1}},
+		Seed: 1, Slots: 4, MaxRetryAfter: 2 * time.Second,
+		Classes: []Class{{Name: "note", Effect: Idempotent, OnTime: time.Second, Deadline: 9 * time.Second, Value: 1}},
+		Kinds:   []Kind{{Name: "shop", MaxBatch: 1}},
 	})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	f.Step(0, []Event{
-		TargetList{Scope: Restored, Targets: []Target{{ID: "shop-1", Destination: 1, Kind: "shop"}}},
-		Message{ID: "m1", Class: "note", Destination: 1, Left: 9 * time.Second}})
+		TargetList{Scope: LastKnown, Targets: []Target{{ID: "shop-1", Destination: 1, Kind: "shop"}}},
+		Message{ID: "m1", Class: "note", Destination: 1, TimeLeft: 9 * time.Second}})
 	f.Step(50*time.Millisecond, []Event{
-		Outcome{Message: "m1", Target: "shop-1", Result: Full, Wait: 5 * time.Second},
-		Message{ID: "m2", Class: "note", Destination: 1, Left: time.Second}})
+		Outcome{Message: "m1", Target: "shop-1", Result: Overloaded, RetryAfter: 5 * time.Second},
+		Message{ID: "m2", Class: "note", Destination: 1, TimeLeft: time.Second}})
 	for _, a := range f.Step(1040*time.Millisecond, []Event{Woken{}}) {
 		if r, ok := a.(Refuse); ok {
-			fmt.Printf("%s refused, stay away for %v\n", r.Message, r.Wait)
+			fmt.Printf("%s refused, stay away for %v\n", r.Message, r.RetryAfter)
 		}
 	}
 	// Output:
--- a/internal/decide/save.go
+++ b/internal/decide/save.go
@@ -10,7 +10,7 @@
 // Save returns the state of the Forwarder. Calls in flight without an open message are left out: the host
 // has cancelled them.
 func (f *Forwarder) Save() []byte {
-	m := &Memory{meanLatency: f.meanLatency, startedAt: f.startedAt, seq: f.seq, idleLoss: f.idleLoss, longCallLoss: f.longCallLoss,
+	m := &SavedState{meanLatency: f.meanLatency, startedAt: f.startedAt, seq: f.seq, idleLoss: f.idleLoss, longCallLoss: f.longCallLoss,
 		latencyFactor: map[string]float64{}, tenants: map[string]tenant{}, messages: map[string]*messageMemory{},
 		restingKeys: map[string]time.Duration{}}
 	for class, v := range f.latencyFactor {
@@ -35,7 +35,7 @@
 }
 
 // saveDestinations saves destinations, routes and endpoints.
-func (f *Forwarder) saveDestinations(m *Memory) {
+func (f *Forwarder) saveDestinations(m *SavedState) {
 	bySeq := func(a, b *destination) int { return cmp.Compare(a.seq, b.seq) }
 	for _, d := range slices.SortedFunc(maps.Values(f.destinations), bySeq) {
 		dm := destinationMemory{id: d.id, seq: d.seq, queuedSeq: d.queuedSeq, lastScheduled: d.lastScheduled, accepted: d.accepted,
@@ -58,7 +58,7 @@
 }
 
 // saveCalls saves the calls in flight with an open message, and returns their numbers.
-func (f *Forwarder) saveCalls(m *Memory) map[*call]int {
+func (f *Forwarder) saveCalls(m *SavedState) map[*call]int {
 	isOpen := func(a *attempt) bool { return !a.message.completed && a.inFlight() }
 	numbers := map[*call]int{}
 	for c := f.inFlight.first; c != nil; c = c.next {
@@ -71,7 +71,7 @@
 }
 
 // saveMessages saves the open messages, given the numbers of calls.
-func (f *Forwarder) saveMessages(m *Memory, numbers map[*call]int) {
+func (f *Forwarder) saveMessages(m *SavedState, numbers map[*call]int) {
 	for id, msg := range f.messages {
 		if msg.completed {
 			continue
--- a/internal/decide/scan_test.go
+++ b/internal/decide/scan_test.go
@@ -38,7 +38,7 @@
 	runSentAt  time.Duration // of the first such attempt
 	notBefore  time.Duration // not sent before this
 	retryGrant *route
-	filter     *Among
+	filter     *EndpointFilter
 	seq        uint64
 }
 
@@ -267,14 +267,14 @@
 		return ep
 	}
 	kind := f.kinds[listing.Kind]
-	kind.PerCall = max(kind.PerCall, 1)
+	kind.MaxBatch = max(kind.MaxBatch, 1)
 	ep := &endpoint{id: listing.ID, kind: kind, zone: listing.Zone, state: Gone}
 	f.endpoints[listing.ID] = ep
 	d := f.destination(listing.Destination)
 	f.closeAllIntervals(d)
-	if kind.Apart || len(d.routes) == 0 {
+	if kind.SeparateRoutes || len(d.routes) == 0 {
 		name := strconv.Itoa(d.id)
-		if kind.Apart {
+		if kind.SeparateRoutes {
 			name = listing.ID
 		}
 		d.routes = append(d.routes, f.newRoute(name, d))
@@ -294,7 +294,7 @@
 	r := ep.route
 	f.closeAllIntervals(r.dest)
 	r.endpoints = withoutItem(r.endpoints, ep)
-	if ep.kind.Apart && len(r.endpoints) == 0 {
+	if ep.kind.SeparateRoutes && len(r.endpoints) == 0 {
 		r.dest.routes = withoutItem(r.dest.routes, r)
 	}
 }
@@ -612,20 +612,20 @@
 			f.acceptMessage(e)
 		case Outcome:
 			f.handleOutcome(e)
-		case Crowded:
+		case StoreFull:
 			if m := f.leastValuable(); m != nil && allCircuitsOpen(m.dest.routes) {
 				f.answerMessage(m)
 			}
 		case Withdrawn:
 			f.withdrawMessage(e)
 		case Stopping:
-			f.stopsAt = min(f.stopsAt, f.now+e.Left)
+			f.stopsAt = min(f.stopsAt, f.now+e.TimeLeft)
 		case Woken:
 			f.wakeAt = f.now // the host may have rounded the time: ask again
-		case PeerWait:
+		case PeerRetryAfter:
 			if ep := f.endpoints[e.Target]; ep != nil {
 				f.closeAllIntervals(ep.route.dest)
-				ep.route.retryAfter = max(ep.route.retryAfter, f.now+e.Wait)
+				ep.route.retryAfter = max(ep.route.retryAfter, f.now+e.RetryAfter)
 				f.invalidate(ep.route.dest)
 			}
 		}
@@ -656,7 +656,7 @@
 func (f *scanner) applySnapshot(snapshot TargetList) {
 	if snapshot.Scope == Unavailable {
 		f.subscribed = false
-		f.subscribeAt = f.now + f.jitter(f.settings.AskEvery)
+		f.subscribeAt = f.now + f.jitter(f.settings.ResubscribeInterval)
 		return
 	}
 	listed := map[string]bool{}
@@ -665,7 +665,7 @@
 		f.updateEndpoint(f.endpointFor(listing), listing)
 	}
 	for id, ep := range f.endpoints { // an endpoint missing from a snapshot is gone
-		if snapshot.Scope != Changes && !listed[id] {
+		if snapshot.Scope != Delta && !listed[id] {
 			f.updateEndpoint(ep, Target{Zone: ep.zone, State: Gone, Weight: ep.weight})
 		}
 	}
@@ -688,7 +688,7 @@
 }
 
 func (f *scanner) subscribeIfDue() {
-	if f.settings.MustAsk && !f.subscribed && !f.waitUntil(f.subscribeAt) {
+	if f.settings.MustSubscribe && !f.subscribed && !f.waitUntil(f.subscribeAt) {
 		f.subscribed = true
 		f.emit(Subscribe{})
 	}
@@ -706,20 +706,20 @@
 		f.emit(Fail{Message: e.ID})
 		return
 	case e.Recovered: // it was accepted: it must get its answer
-	case class == nil || e.Left <= 0:
+	case class == nil || e.TimeLeft <= 0:
 		f.emit(Refuse{Message: e.ID})
 		return
-	case f.settings.MaxHeld > 0 && len(f.pending) >= f.settings.MaxHeld:
-		f.emit(Refuse{Message: e.ID, Wait: f.retryAdvice(f.destination(e.Destination))})
+	case f.settings.MaxOpen > 0 && len(f.pending) >= f.settings.MaxOpen:
+		f.emit(Refuse{Message: e.ID, RetryAfter: f.retryAdvice(f.destination(e.Destination))})
 		return
 	}
 	f.seq++
-	m := &message{id: e.ID, seq: f.seq, class: class, dest: f.destination(e.Destination), value: class.Worth,
-		createdAt: f.now + e.Left - class.Deadline, deadline: f.now + e.Left, filter: e.Among}
+	m := &message{id: e.ID, seq: f.seq, class: class, dest: f.destination(e.Destination), value: class.Value,
+		createdAt: f.now + e.TimeLeft - class.Deadline, deadline: f.now + e.TimeLeft, filter: e.Filter}
 	if f.exceedsQuota(e.Tenant) {
-		m.value = class.Worth * f.settings.OverShareWorth
+		m.value = class.Value * f.settings.OverQuotaValue
 	}
-	if class.KeepsOrder && e.Key != "" {
+	if class.Ordered && e.Key != "" {
 		f.enqueueByKey(m, e.Key)
 	}
 	f.messages[m.id] = m
@@ -742,11 +742,11 @@
 // have built up during one: routes begin with a slow start.
 func (f *scanner) recoverMessage(m *message, e Message) {
 	m.attempts, m.sends, m.mayHaveRun, m.recovered = e.Attempts, e.Attempts, e.MayHaveRun, true
-	if e.Open {
+	if e.HasOpenAttempt {
 		m.sends--
 	}
 	m.sends = min(m.sends, maxRetries)
-	if m.mayHaveRun && m.class.Effect != Pure || f.attemptsExhausted(m) || f.now >= m.answerDeadline() {
+	if m.mayHaveRun && m.class.Effect != Idempotent || f.attemptsExhausted(m) || f.now >= m.answerDeadline() {
 		f.answerMessage(m) // the time at which a keyed one ran is lost
 		return
 	}
@@ -781,7 +781,7 @@
 // failing destinations do not displace the others. If others are queued before it, a new message is rejected
 // before an old one of slightly less value, since its client has no acceptance yet.
 func (f *scanner) shedIfFull(incoming *message) {
-	if f.settings.MaxHeld == 0 || float64(len(f.pending)) < shedThreshold*float64(f.settings.MaxHeld) {
+	if f.settings.MaxOpen == 0 || float64(len(f.pending)) < shedThreshold*float64(f.settings.MaxOpen) {
 		return
 	}
 	if m := f.leastValuable(); m != nil {
@@ -802,7 +802,7 @@
 
 func (f *scanner) leastValuable() (least *message) {
 	var lowest float64
-	if f.settings.MaxHeld == 0 {
+	if f.settings.MaxOpen == 0 {
 		return nil
 	}
 	for _, m := range f.pending {
@@ -837,16 +837,16 @@
 
 // valueShare is the share of its value that a message of a class has left at an age.
 func (f *scanner) valueShare(class *Class, age time.Duration) float64 {
-	if age <= class.Aim || class.Aim <= 0 {
+	if age <= class.OnTime || class.OnTime <= 0 {
 		return 1
 	}
 	if age >= class.Deadline {
 		return 0
 	}
-	if f.settings.Decay == Halves {
-		return max(class.LateShare, math.Pow(0.5, float64(age-class.Aim)/float64(class.Aim)))
+	if f.settings.Decay == Exponential {
+		return max(class.LateShare, math.Pow(0.5, float64(age-class.OnTime)/float64(class.OnTime)))
 	}
-	return 1 - (1-class.LateShare)*float64(age-class.Aim)/float64(class.Deadline-class.Aim)
+	return 1 - (1-class.LateShare)*float64(age-class.OnTime)/float64(class.Deadline-class.OnTime)
 }
 
 // ---- Sending. Free slots go in turns over the waiting destinations.
@@ -917,7 +917,7 @@
 	}
 	c := f.startCall(to)
 	f.sendMessage(m, c)
-	for n := 1; n < to.kind.PerCall && !halfOpen; n++ {
+	for n := 1; n < to.kind.MaxBatch && !halfOpen; n++ {
 		if m, _ = f.chooseMessage(d, usable, mode, to); m == nil {
 			break
 		}
@@ -993,7 +993,7 @@
 	if loss := m.value * f.valueLoss(m.class, age+latency); loss > 0 {
 		return 1e6 * loss
 	}
-	if age < m.class.Aim {
+	if age < m.class.OnTime {
 		return 1e3*m.value + age.Seconds()
 	}
 	return m.value + age.Seconds()/1e3
@@ -1001,9 +1001,9 @@
 
 // valueLoss is the share of its value that a message loses in valueLossSpan after an age.
 func (f *scanner) valueLoss(class *Class, age time.Duration) float64 {
-	if f.settings.Decay == Line && class.Aim > 0 && age >= class.Aim && age+valueLossSpan < class.Deadline {
+	if f.settings.Decay == Linear && class.OnTime > 0 && age >= class.OnTime && age+valueLossSpan < class.Deadline {
 		// The same for all, to the last bit: rounding must not rank them.
-		return (1 - class.LateShare) * float64(valueLossSpan) / float64(class.Deadline-class.Aim)
+		return (1 - class.LateShare) * float64(valueLossSpan) / float64(class.Deadline-class.OnTime)
 	}
 	return f.valueShare(class, age) - f.valueShare(class, age+valueLossSpan)
 }
@@ -1068,7 +1068,7 @@
 	if m.sends > 0 && !r.circuitOpen {
 		earliest = max(earliest, r.allowanceSpentUntil)
 	}
-	if class.Effect == Unsafe {
+	if class.Effect == AtMostOnce {
 		// An unclear outcome would lose it: it waits, and leaves probes to repeatable messages.
 		earliest = max(earliest, r.unclearShare.until(recentWindow, halfFailingShare))
 		if r.circuitOpen {
@@ -1093,7 +1093,7 @@
 // isRepeatable reports whether a message that may have run may be sent to an endpoint again in its time.
 func isRepeatable(m *message, ep *endpoint) bool {
 	e := m.class.Effect
-	return e == Pure || e == Keyed && (!m.class.ZoneGroup || ep.zone == m.runZone)
+	return e == Idempotent || e == Deduplicated && (!m.class.DedupPerZone || ep.zone == m.runZone)
 }
 
 // chooseEndpoint picks the eligible endpoint of least cost: not failing alone, near, connected, least busy.
@@ -1121,9 +1121,9 @@
 				cost += 1e6
 			}
 			if ep.zone != f.settings.Zone {
-				cost += 100 * f.settings.CrossPrice
+				cost += 100 * f.settings.CrossZonePrice
 			}
-			if ep.kind.Apart {
+			if ep.kind.SeparateRoutes {
 				cost += 100 * f.settings.ZoneFee[ep.zone]
 			}
 			if (f.idleConnections(ep) == 0) != explore {
@@ -1217,10 +1217,10 @@
 	limit := f.attemptTimeout(m, c)
 	c.shortTimeout = limit < f.fairTime(m.dest.routes)
 	within := time.Duration(0)
-	if m.mayHaveRun && m.class.Effect == Keyed {
-		within = m.runSentAt + m.class.Window - windowEndMargin - f.now
+	if m.mayHaveRun && m.class.Effect == Deduplicated {
+		within = m.runSentAt + m.class.DedupWindow - windowEndMargin - f.now
 	}
-	f.emit(Send{Message: m.id, Target: c.endpoint.id, Timeout: limit, Within: within})
+	f.emit(Send{Message: m.id, Target: c.endpoint.id, Timeout: limit, StartWithin: within})
 }
 
 // fairTime is how long a call must be waited for before silence says anything of its route.
@@ -1236,7 +1236,7 @@
 // latency; one that must not be repeated is lost by a timeout, so it waits until its deadline.
 func (f *scanner) attemptTimeout(m *message, c *call) time.Duration {
 	left := m.deadline - f.now
-	if m.class.Effect == Unsafe {
+	if m.class.Effect == AtMostOnce {
 		return left
 	}
 	own := time.Duration(f.classLatencyFactor(m.class) * float64(f.expectedLatency(m.dest.routes)))
@@ -1263,7 +1263,7 @@
 	m, r := a.message, a.call.route
 	d, ep := r.dest, a.call.endpoint
 	f.closeAllIntervals(d)
-	r.retryAfter = max(r.retryAfter, f.now+o.Wait) // it applies to all messages of a call
+	r.retryAfter = max(r.retryAfter, f.now+o.RetryAfter) // it applies to all messages of a call
 	m.inFlight--
 	a.call.pending--
 	last := a.call.pending == 0
@@ -1272,7 +1272,7 @@
 		f.inFlight = withoutItem(f.inFlight, a.call)
 		a.call.endpoint.inFlight--
 		f.uncountSuspect(a.call)
-		if o.Result == Done || o.Result == Errored || o.Result == Full || o.Result == NotSent {
+		if o.Result == Succeeded || o.Result == Errored || o.Result == Overloaded || o.Result == NotSent {
 			a.call.endpoint.idleSince = append(a.call.endpoint.idleSince, f.now) // its connection is kept
 		}
 	}
@@ -1285,12 +1285,12 @@
 	f.removeIfGone(ep)
 	unclear := o.Result == TimedOut || o.Result == Reset || o.Result == Cancelled
 	if unclear && m.keyQueue != nil {
-		m.keyQueue.idleUntil = max(m.keyQueue.idleUntil, f.now+f.settings.KeyRest)
+		m.keyQueue.idleUntil = max(m.keyQueue.idleUntil, f.now+f.settings.KeyPause)
 	}
-	if (unclear || o.Result == Errored || o.Result == Done) && !m.mayHaveRun {
+	if (unclear || o.Result == Errored || o.Result == Succeeded) && !m.mayHaveRun {
 		m.mayHaveRun, m.runZone, m.runSentAt = true, a.call.endpoint.zone, a.call.sentAt
 	}
-	if o.Over || m.completed {
+	if o.NoAnswerNeeded || m.completed {
 		f.completeMessage(m)
 	} else {
 		f.retryOrAnswer(m, r, o)
@@ -1345,7 +1345,7 @@
 // retryOrAnswer queues a message whose attempt failed for a retry, or gives its final answer.
 func (f *scanner) retryOrAnswer(m *message, r *route, o Outcome) {
 	notSent := o.Result == NotSent
-	if f.attemptsExhausted(m) || m.mayHaveRun && m.class.Effect == Unsafe || f.now >= m.answerDeadline() {
+	if f.attemptsExhausted(m) || m.mayHaveRun && m.class.Effect == AtMostOnce || f.now >= m.answerDeadline() {
 		f.answerMessage(m)
 		return
 	}
@@ -1360,10 +1360,10 @@
 		r.reservedRetries++
 	}
 	first := firstBackoff
-	if o.Result == Full && o.Wait == 0 { // it will still be full after firstBackoff
+	if o.Result == Overloaded && o.RetryAfter == 0 { // it will still be full after firstBackoff
 		first = rejectedBackoff
 	}
-	m.notBefore = max(m.notBefore, f.now+o.Hold)
+	m.notBefore = max(m.notBefore, f.now+o.RetryDelay)
 	if !notSent {
 		m.notBefore = f.now + f.jitter(first<<max(0, m.sends-1))
 	}
@@ -1374,8 +1374,8 @@
 
 // answerDeadline is when a queued message must be answered: its deadline, or the end of its keyed window.
 func (m *message) answerDeadline() time.Duration {
-	if m.mayHaveRun && m.class.Effect == Keyed {
-		return min(m.deadline-answerMargin, m.runSentAt+m.class.Window-keyWindowMargin)
+	if m.mayHaveRun && m.class.Effect == Deduplicated {
+		return min(m.deadline-answerMargin, m.runSentAt+m.class.DedupWindow-keyWindowMargin)
 	}
 	return m.deadline - answerMargin
 }
@@ -1390,16 +1390,16 @@
 
 // isRefusable reports whether the client may be told that handing the message in again is harmless.
 func (f *scanner) isRefusable(m *message) bool {
-	if !m.mayHaveRun && m.inFlight == 0 || m.class.Effect == Pure {
+	if !m.mayHaveRun && m.inFlight == 0 || m.class.Effect == Idempotent {
 		return true
 	}
-	return m.class.Effect == Keyed && !m.class.ZoneGroup
+	return m.class.Effect == Deduplicated && !m.class.DedupPerZone
 }
 
 // answerMessage gives the one final answer.
 func (f *scanner) answerMessage(m *message) {
 	if f.isRefusable(m) {
-		f.emit(Refuse{Message: m.id, Wait: f.retryAdvice(m.dest)})
+		f.emit(Refuse{Message: m.id, RetryAfter: f.retryAdvice(m.dest)})
 	} else {
 		f.emit(Fail{Message: m.id})
 	}
@@ -1408,7 +1408,7 @@
 
 // retryAdvice is how long a client should stay away: until the retry-after time or the next probe.
 func (f *scanner) retryAdvice(d *destination) time.Duration {
-	wait := f.settings.AdviceLimit
+	wait := f.settings.MaxRetryAfter
 	for _, r := range d.routes {
 		w := max(0, r.retryAfter-f.now)
 		if r.circuitOpen {
@@ -1425,12 +1425,12 @@
 // either answered or abandoned.
 func (f *scanner) isLongCall(c *call, o Outcome) bool {
 	return c.sentAt <= c.route.lastSuccessSentAt && f.now-c.sentAt > max(2*minOverdue, lostLatencyFactor*cmp.Or(c.route.meanLatency, assumedLatency)) &&
-		(o.Result == Done || o.Result == Rejected || o.Result == TimedOut || o.Result == Cancelled && c.cancelled)
+		(o.Result == Succeeded || o.Result == Rejected || o.Result == TimedOut || o.Result == Cancelled && c.cancelled)
 }
 
 func (f *scanner) recordOutcome(r *route, c *call, o Outcome) {
 	switch o.Result {
-	case Done, Errored, Full:
+	case Succeeded, Errored, Overloaded:
 		f.clearSuspicion(r)
 	case TimedOut:
 		if c.sentAt > r.lastSuccessSentAt {
@@ -1438,7 +1438,7 @@
 		}
 	}
 	if f.isLongCall(c, o) {
-		f.longCallLoss.record(f.now, forgetAfter, lossWeight, oneIf(o.Result != Done && o.Result != Rejected))
+		f.longCallLoss.record(f.now, forgetAfter, lossWeight, oneIf(o.Result != Succeeded && o.Result != Rejected))
 	}
 	if o.Result == TimedOut && c.shortTimeout { // its message ran out of time: nobody's failure
 		if c.isProbe {
@@ -1451,25 +1451,25 @@
 	} else if !c.lossCounted && o.Result != ConnectFailed {
 		f.idleLoss[c.idleStep].record(f.now, forgetAfter, idleLossWeight, 0)
 	}
-	good := o.Result == Done
+	good := o.Result == Succeeded
 	if o.Result == Cancelled {
 		return
 	}
-	if o.Allowance.Told {
+	if o.Allowance.Reported {
 		f.observeAllowance(r, o)
 		r.allowanceSpentUntil = 0
-		if o.Allowance.Rate > 0 && o.Allowance.Left < allowanceNearlySpent {
+		if o.Allowance.Rate > 0 && o.Allowance.Remaining < allowanceNearlySpent {
 			r.allowanceSpentUntil = f.now + rateWindow
 		}
 	}
 	r.outcomes++
-	unclear := oneIf(!good && o.Result != Full && o.Result != ConnectFailed)
+	unclear := oneIf(!good && o.Result != Overloaded && o.Result != ConnectFailed)
 	r.unclearShare.record(f.now, recentWindow, 0.2, unclear)
 	if o.Result != TimedOut { // a timeout is mostly the route's failure, not the endpoint's
 		c.endpoint.failureShare.record(f.now, forgetAfter, lossWeight, unclear)
 	}
 	if good {
-		f.recordSuccess(r, c, o.Took)
+		f.recordSuccess(r, c, o.Latency)
 		return
 	}
 	r.failures++
@@ -1477,7 +1477,7 @@
 		r.failingSince = c.sentAt
 	}
 	weight := 1.0
-	if o.Result == Full {
+	if o.Result == Overloaded {
 		weight = 1 / rejectionsPerFailure
 	}
 	r.consecutiveFailures += weight
@@ -1499,14 +1499,14 @@
 		return
 	}
 	switch {
-	case o.Wait > 0 && o.Wait >= f.settings.Fall && f.settings.Fall > 0:
+	case o.RetryAfter > 0 && o.RetryAfter >= f.settings.OverloadOutage && f.settings.OverloadOutage > 0:
 		f.openCircuit(r, "shut")
 	case r.consecutiveFailures >= f.outageThreshold(r):
 		f.openCircuit(r, "failing")
 	case r.unclearShare.get(f.now, recentWindow) > halfFailingShare:
 		r.needsSlowStart = true // a partial outage is one, too
 		f.openCircuit(r, "half failing")
-	case o.Result == Full:
+	case o.Result == Overloaded:
 		f.cutRate(r)
 	}
 }
@@ -1559,7 +1559,7 @@
 // reports whether it does: then the failure does not count against the route.
 func (f *scanner) avoidFailingEndpoint(r *route, ep *endpoint, res Result) bool {
 	ep.consecutiveFailures++
-	if res == Full || ep.consecutiveFailures < 2 {
+	if res == Overloaded || ep.consecutiveFailures < 2 {
 		return false
 	}
 	for _, other := range r.endpoints {
@@ -1598,7 +1598,7 @@
 // on its return each does so at the rate of its own messages in the outage, or its equal share of a limit,
 // times the capacity that a returning route has for probes; from a retry-after time on too, as all got it.
 func (f *scanner) nextProbeAt(r *route) time.Duration {
-	cold := max(probeShare*f.settings.TipMultiple*f.settings.StartCapacity, minRetryRatio)
+	cold := max(probeShare*f.settings.OverloadFactor*f.settings.StartCapacity, minRetryRatio)
 	earliest := max(r.lastProbeAt, r.retryAfter)
 	took := earliest - r.failingSince
 	came := float64(len(r.dest.waiting)) - r.probeJitter/cold // less those since the last probe
@@ -1707,10 +1707,10 @@
 	own := time.Duration(float64(latency) * f.classLatencyFactor(m.class))
 	short, long := lateLatencyFactor*own, max(2*minOverdue, lostLatencyFactor*own)
 	switch {
-	case m.class.Effect == Unsafe:
+	case m.class.Effect == AtMostOnce:
 		return long
-	case m.class.Effect == Keyed && m.class.ZoneGroup:
-		return max(short, min(long, m.class.Window/4))
+	case m.class.Effect == Deduplicated && m.class.DedupPerZone:
+		return max(short, min(long, m.class.DedupWindow/4))
 	}
 	return short
 }
@@ -1768,7 +1768,7 @@
 	return freed
 }
 
-func (a *attempt) notPure() bool { return a.message.class.Effect != Pure }
+func (a *attempt) notPure() bool { return a.message.class.Effect != Idempotent }
 
 func (f *scanner) cancelCall(c *call) {
 	c.cancelled = true
@@ -1860,16 +1860,16 @@
 		p = min(p, own)
 	}
 	if f.inSlowStart(r, at) {
-		t := float64(at-r.slowStartAt) / float64(f.settings.Cold)
+		t := float64(at-r.slowStartAt) / float64(f.settings.SlowStart)
 		present := f.settings.StartCapacity + (1-f.settings.StartCapacity)*t
-		p = min(p, slowStartShare*f.settings.TipMultiple*present*f.ownShare(r, at))
+		p = min(p, slowStartShare*f.settings.OverloadFactor*present*f.ownShare(r, at))
 	}
 	return p
 }
 
 // inSlowStart reports whether a route is returning from an outage.
 func (f *scanner) inSlowStart(r *route, at time.Duration) bool {
-	return r.slowStart && at-r.slowStartAt < f.settings.Cold
+	return r.slowStart && at-r.slowStartAt < f.settings.SlowStart
 }
 
 // ownShare is the rate of a route that is this sender's: its equal share of a known limit, or the rate of
@@ -1891,9 +1891,9 @@
 	if r.serverLimit > 0 && math.Abs(limit-r.serverLimit) < limitNoise*r.serverLimit {
 		limit = r.serverLimit + (limit-r.serverLimit)/4
 	}
-	r.serverLimit, r.allowanceLeft, r.allowanceAt = limit, o.Allowance.Left, f.now
+	r.serverLimit, r.allowanceLeft, r.allowanceAt = limit, o.Allowance.Remaining, f.now
 	rise := demandDrift * min(0, balancedAllowance-r.allowanceLeft)
-	if o.Result == Full && o.Allowance.Left < allowanceNearlySpent { // rejected calls may use it up, too
+	if o.Result == Overloaded && o.Allowance.Remaining < allowanceNearlySpent { // rejected calls may use it up, too
 		r.allowanceLeft, rise = 0, demandRise
 	}
 	r.totalDemand = min(maxDemandFactor*limit, max(limit, r.totalDemand*math.Exp(since*rise)))
--- a/internal/decide/scheduling.go
+++ b/internal/decide/scheduling.go
@@ -64,7 +64,7 @@
 	}
 	c := f.startCall(ep)
 	f.sendMessage(m, c)
-	for n := 1; n < ep.kind.PerCall && !halfOpen; n++ {
+	for n := 1; n < ep.kind.MaxBatch && !halfOpen; n++ {
 		if m, _ = f.chooseMessage(d, usable, mode, ep); m == nil {
 			break
 		}
@@ -156,7 +156,7 @@
 	if loss := m.value * f.valueLoss(m.class, age+latency); loss > 0 {
 		return 1e6 * loss
 	}
-	if age < m.class.Aim {
+	if age < m.class.OnTime {
 		return 1e3*m.value + age.Seconds()
 	}
 	return m.value + age.Seconds()/1e3
@@ -166,9 +166,9 @@
 
 // valueLoss is the share of its value that a message loses in valueLossSpan after an age.
 func (f *Forwarder) valueLoss(class *Class, age time.Duration) float64 {
-	if f.settings.Decay == Line && class.Aim > 0 && age >= class.Aim && age+valueLossSpan < class.Deadline {
+	if f.settings.Decay == Linear && class.OnTime > 0 && age >= class.OnTime && age+valueLossSpan < class.Deadline {
 		// The same for all, to the last bit: rounding must not rank them.
-		return (1 - class.LateShare) * float64(valueLossSpan) / float64(class.Deadline-class.Aim)
+		return (1 - class.LateShare) * float64(valueLossSpan) / float64(class.Deadline-class.OnTime)
 	}
 	return f.valueShare(class, age) - f.valueShare(class, age+valueLossSpan)
 }
@@ -178,9 +178,9 @@
 	f.startAttempt(m, c)
 	limit := f.attemptTimeout(m, c)
 	c.shortTimeout = limit < overdueAfter(f.expectedLatency(m.dest.routes))
-	if m.limits.Copy > 0 && f.settings.SecondCopies && m.class.Effect == Pure && m.sends == 1 && !c.isProbe {
-		m.hedgeAt = f.now + m.limits.Copy
+	if m.limits.HedgeDelay > 0 && f.settings.Hedging && m.class.Effect == Idempotent && m.sends == 1 && !c.isProbe {
+		m.hedgeAt = f.now + m.limits.HedgeDelay
 		f.hedges.fix(m)
 	}
-	f.emit(Send{Message: m.id, Target: c.endpoint.id, Timeout: limit, Within: m.sendWithin(f.now)})
+	f.emit(Send{Message: m.id, Target: c.endpoint.id, Timeout: limit, StartWithin: m.sendWithin(f.now)})
 }
--- a/internal/decide/selection.go
+++ b/internal/decide/selection.go
@@ -37,8 +37,8 @@
 			cost += failureCost*ep.failureShare.get(f.now, forgetAfter) +
 				preferenceCost*f.preferenceRank(m, ep)
 			cost += 1e6*oneIf(f.now < ep.avoidUntil) + 0.5*oneIf((f.idleConnections(ep) == 0) != explore)
-			cost += 100 * f.settings.CrossPrice * oneIf(ep.zone != f.settings.Zone)
-			cost += 100 * f.settings.ZoneFee[ep.zone] * oneIf(ep.kind.Apart)
+			cost += 100 * f.settings.CrossZonePrice * oneIf(ep.zone != f.settings.Zone)
+			cost += 100 * f.settings.ZoneFee[ep.zone] * oneIf(ep.kind.SeparateRoutes)
 			if cost < lowest {
 				best, lowest = ep, cost
 			}
--- a/internal/decide/shares_test.go
+++ b/internal/decide/shares_test.go
@@ -11,23 +11,23 @@
 // time on.
 func forward(t *testing.T, targets []Target, every, span, earliest time.Duration, takes func(target string, now time.Duration) (time.Duration, Result)) map[string]int {
 	t.Helper()
-	f, err := New(Settings{Slots: 512, Seed: 7, ConnIdle: time.Minute, ConnectLimit: time.Second, AdviceLimit: time.Second, StartCapacity: 1,
-		TipMultiple: 2, Fall: time.Second, Classes: []Class{{Name: "note", Deadline: 10 * time.Second, Aim: 3 * time.Second, Worth: 1}}})
+	f, err := New(Settings{Slots: 512, Seed: 7, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second, StartCapacity: 1,
+		OverloadFactor: 2, OverloadOutage: time.Second, Classes: []Class{{Name: "note", Deadline: 10 * time.Second, OnTime: 3 * time.Second, Value: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	events := []Event{TargetList{Scope: Whole, Targets: targets}}
+	events := []Event{TargetList{Scope: Snapshot, Targets: targets}}
 	got, due, attempts := map[string]int{}, map[time.Duration][]Event{}, map[string]int{}
 	for now := time.Duration(0); now < span; now += time.Millisecond {
 		if now%every == 0 {
-			events = append(events, Message{ID: fmt.Sprint(now), Class: "note", Destination: 1, Left: 10 * time.Second})
+			events = append(events, Message{ID: fmt.Sprint(now), Class: "note", Destination: 1, TimeLeft: 10 * time.Second})
 		}
 		events = append(events, due[now]...)
 		delete(due, now)
 		for _, a := range f.Step(now, append(events, Woken{})) {
 			if s, sent := a.(Send); sent {
 				took, how := takes(s.Target, now)
-				due[now+took] = append(due[now+took], Outcome{Message: s.Message, Attempt: attempts[s.Message], Target: s.Target, Result: how, Over: how == Done, Took: took})
+				due[now+took] = append(due[now+took], Outcome{Message: s.Message, Attempt: attempts[s.Message], Target: s.Target, Result: how, NoAnswerNeeded: how == Succeeded, Latency: took})
 				attempts[s.Message]++
 				if now >= earliest {
 					got[s.Target]++
@@ -61,7 +61,7 @@
 				targets = append(targets, Target{ID: fmt.Sprint(i), Destination: 1, Share: s})
 				sum += max(s, 1)
 			}
-			got := forward(t, targets, c.every, 40*time.Second, 0, func(string, time.Duration) (time.Duration, Result) { return c.takes, Done })
+			got := forward(t, targets, c.every, 40*time.Second, 0, func(string, time.Duration) (time.Duration, Result) { return c.takes, Succeeded })
 			all := 0
 			for _, n := range got {
 				all += n
@@ -80,7 +80,7 @@
 			if target == "b" && now < 20*time.Second {
 				return 5 * time.Millisecond, ConnectFailed
 			}
-			return 5 * time.Millisecond, Done
+			return 5 * time.Millisecond, Succeeded
 		}
 		got := forward(t, targets, 2*time.Millisecond, 40*time.Second, 20*time.Second, takes)
 		if part := float64(got["b"]) / float64(got["a"]+got["b"]); part > 0.8 {
@@ -96,8 +96,8 @@
 // TestTargetMoves: a target whose name stands at another destination gets nothing for the one before, also while calls are out to it,
 // and it may move again and back.
 func TestTargetMoves(t *testing.T) {
-	f, err := New(Settings{Slots: 64, ConnIdle: time.Minute, ConnectLimit: time.Second, AdviceLimit: time.Second, StartCapacity: 1,
-		TipMultiple: 2, Fall: time.Second, Classes: []Class{{Name: "note", Deadline: 10 * time.Second, Aim: 3 * time.Second, Worth: 1}}})
+	f, err := New(Settings{Slots: 64, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second, StartCapacity: 1,
+		OverloadFactor: 2, OverloadOutage: time.Second, Classes: []Class{{Name: "note", Deadline: 10 * time.Second, OnTime: 3 * time.Second, Value: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,9 +118,9 @@
 	for n := range 200 {
 		if n%10 == 0 { // calls of the last rounds are out
 			at = 1 + (n/10)%3
-			scope := Changes
+			scope := Delta
 			if n%20 == 0 {
-				scope = Whole
+				scope = Snapshot
 			}
 			step(TargetList{Scope: scope, Targets: []Target{{ID: "x", Destination: at}}})
 		}
@@ -128,12 +128,12 @@
 		var events []Event
 		if n%10 == 5 {
 			for id := range out {
-				events = append(events, Outcome{Message: id, Target: "x", Result: Done, Over: true, Took: 50 * time.Millisecond})
+				events = append(events, Outcome{Message: id, Target: "x", Result: Succeeded, NoAnswerNeeded: true, Latency: 50 * time.Millisecond})
 			}
 			clear(out)
 		}
 		for d := 1; d <= 3; d++ {
-			events = append(events, Message{ID: fmt.Sprint(n, " ", d), Class: "note", Destination: d, Left: 100 * time.Millisecond})
+			events = append(events, Message{ID: fmt.Sprint(n, " ", d), Class: "note", Destination: d, TimeLeft: 100 * time.Millisecond})
 		}
 		step(events...)
 	}
@@ -141,7 +141,7 @@
 		now += 20 * time.Second
 		var events []Event
 		for id := range out {
-			events = append(events, Outcome{Message: id, Target: "x", Result: Done, Over: true})
+			events = append(events, Outcome{Message: id, Target: "x", Result: Succeeded, NoAnswerNeeded: true})
 		}
 		clear(out)
 		step(events...)
--- a/internal/decide/shed_index.go
+++ b/internal/decide/shed_index.go
@@ -31,7 +31,7 @@
 	f.shedStale = f.shedStale[:0]
 	for i := range f.settings.Classes { // not over the map: the order must not be random
 		class := &f.settings.Classes[i]
-		for _, worth := range [...]float64{class.Worth, class.Worth * f.settings.OverShareWorth} {
+		for _, worth := range [...]float64{class.Value, class.Value * f.settings.OverQuotaValue} {
 			if h := f.shedIndex[shedKey{class, worth}]; h != nil && h.len() > 0 {
 				each(h.min())
 			}
@@ -45,7 +45,7 @@
 
 // invalidateShedIndex notes that a destination's place in the shed index must be computed anew.
 func (f *Forwarder) invalidateShedIndex(d *destination) {
-	if f.settings.MaxHeld > 0 && !d.shedStale {
+	if f.settings.MaxOpen > 0 && !d.shedStale {
 		d.shedStale = true
 		f.shedStale = append(f.shedStale, d)
 	}
--- a/internal/decide/shedding.go
+++ b/internal/decide/shedding.go
@@ -22,16 +22,16 @@
 		f.emit(Fail{Message: e.ID})
 		return
 	case e.Recovered: // it was accepted: it must get its answer
-	case class == nil || e.Left <= 0:
+	case class == nil || e.TimeLeft <= 0:
 		f.emit(Refuse{Message: e.ID})
 		return
-	case f.fenced, f.settings.MaxHeld > 0 && f.pending >= f.settings.MaxHeld:
-		f.emit(Refuse{Message: e.ID, Wait: f.retryAdvice(f.destination(e.Destination))})
+	case f.fenced, f.settings.MaxOpen > 0 && f.pending >= f.settings.MaxOpen:
+		f.emit(Refuse{Message: e.ID, RetryAfter: f.retryAdvice(f.destination(e.Destination))})
 		return
 	}
 	m := f.newMessage(e, class)
 	if f.exceedsQuota(e.Tenant) {
-		m.value = class.Worth * f.settings.OverShareWorth
+		m.value = class.Value * f.settings.OverQuotaValue
 	}
 	f.closeAllIntervals(m.dest)
 	for _, r := range m.dest.routes {
@@ -51,11 +51,11 @@
 // have built up during one: routes begin with a slow start.
 func (f *Forwarder) recoverMessage(m *message, e Message) {
 	m.attempts, m.sends, m.mayHaveRun, m.recovered = e.Attempts, e.Attempts, e.MayHaveRun, true
-	if e.Open {
+	if e.HasOpenAttempt {
 		m.sends--
 	}
 	m.sends = min(m.sends, maxRetries) // the host counts unsent attempts too: one is left
-	if m.mayHaveRun && m.class.Effect != Pure || f.attemptsExhausted(m) || f.now >= m.answerDeadline() {
+	if m.mayHaveRun && m.class.Effect != Idempotent || f.attemptsExhausted(m) || f.now >= m.answerDeadline() {
 		f.answerMessage(m) // the time at which a keyed one ran is lost
 		return
 	}
@@ -75,7 +75,7 @@
 // failing destinations do not displace the others. If others are queued before it, a new message is rejected
 // before an old one of slightly less value, since its client has no acceptance yet.
 func (f *Forwarder) shedIfFull(incoming *message) {
-	if f.settings.MaxHeld == 0 || float64(f.pending) < shedThreshold*float64(f.settings.MaxHeld) {
+	if f.settings.MaxOpen == 0 || float64(f.pending) < shedThreshold*float64(f.settings.MaxOpen) {
 		return
 	}
 	if m := f.leastValuable(); m != nil {
@@ -120,14 +120,14 @@
 
 // valueShare is the share of its value that a message of a class has left at an age.
 func (f *Forwarder) valueShare(class *Class, age time.Duration) float64 {
-	if age <= class.Aim || class.Aim <= 0 {
+	if age <= class.OnTime || class.OnTime <= 0 {
 		return 1
 	}
 	if age >= class.Deadline {
 		return 0
 	}
-	if f.settings.Decay == Halves {
-		return max(class.LateShare, math.Pow(0.5, float64(age-class.Aim)/float64(class.Aim)))
+	if f.settings.Decay == Exponential {
+		return max(class.LateShare, math.Pow(0.5, float64(age-class.OnTime)/float64(class.OnTime)))
 	}
-	return 1 - (1-class.LateShare)*float64(age-class.Aim)/float64(class.Deadline-class.Aim)
+	return 1 - (1-class.LateShare)*float64(age-class.OnTime)/float64(class.Deadline-class.OnTime)
 }
--- a/internal/decide/shutout_test.go
+++ b/internal/decide/shutout_test.go
@@ -60,20 +60,20 @@
 			}
 		}
 		targets := []Target{{ID: "a", Destination: 1, Kind: "plain", Zone: set.Zone, Weight: 1}, {ID: "b", Destination: 1, Kind: "plain", Zone: set.Zone, Weight: 1}}
-		step(TargetList{Scope: Whole, Targets: targets})
+		step(TargetList{Scope: Snapshot, Targets: targets})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				shut = !shut
-				step(ShutOut{On: shut})
+				step(Fenced{On: shut})
 			case 1, 2:
 				n++
 				id := fmt.Sprint("m", n)
 				ids = append(ids, id)
 				class := rapid.SampledFrom([]string{"pure", "unsafe"}).Draw(t, "class")
 				held[id] = &state{class: class, out: map[int]string{}}
-				step(Message{ID: id, Class: class, Destination: 1, Left: 10 * time.Second})
+				step(Message{ID: id, Class: class, Destination: 1, TimeLeft: 10 * time.Second})
 			case 3:
 				step(Woken{})
 			default:
@@ -83,11 +83,11 @@
 						continue
 					}
 					for attempt, target := range m.out {
-						o := Outcome{Message: id, Attempt: attempt, Target: target, Took: 10 * time.Millisecond,
-							Result: rapid.SampledFrom([]Result{Done, Full, Reset, ConnectFailed, Errored}).Draw(t, "result")}
+						o := Outcome{Message: id, Attempt: attempt, Target: target, Latency: 10 * time.Millisecond,
+							Result: rapid.SampledFrom([]Result{Succeeded, Overloaded, Reset, ConnectFailed, Errored}).Draw(t, "result")}
 						delete(m.out, attempt)
 						m.ran = m.ran || o.Result == Reset || o.Result == Errored
-						if o.Over = o.Result == Done; o.Over {
+						if o.NoAnswerNeeded = o.Result == Succeeded; o.NoAnswerNeeded {
 							delete(held, id)
 						}
 						step(o)
--- a/internal/decide/size_test.go
+++ b/internal/decide/size_test.go
@@ -13,7 +13,7 @@
 // held makes a module (or its oracle) with so many destinations, all but the first of which have
 // messages that wait out a told wait, so many together.
 func atSize(tb testing.TB, f stepper, dests, held int) {
-	list := TargetList{Scope: Whole}
+	list := TargetList{Scope: Snapshot}
 	for d := range dests {
 		list.Targets = append(list.Targets, Target{ID: fmt.Sprint("t", d), Destination: d, Kind: "std", Zone: "a", Weight: 1e6})
 	}
@@ -22,7 +22,7 @@
 	var events []Event
 	for i := range held {
 		d := 1 + i%(dests-1)
-		m := Message{ID: fmt.Sprint("h", i), Class: "pure", Destination: d, Left: time.Hour}
+		m := Message{ID: fmt.Sprint("h", i), Class: "pure", Destination: d, TimeLeft: time.Hour}
 		events = append(events, m)
 		if i < dests-1 {
 			sent[m.ID] = fmt.Sprint("t", d)
@@ -34,7 +34,7 @@
 		for _, a := range actions {
 			if s, ok := a.(Send); ok {
 				delete(sent, s.Message)
-				events = append(events, Outcome{Message: s.Message, Target: s.Target, Result: Full, Wait: 1000 * time.Hour, Took: time.Millisecond})
+				events = append(events, Outcome{Message: s.Message, Target: s.Target, Result: Overloaded, RetryAfter: 1000 * time.Hour, Latency: time.Millisecond})
 			}
 		}
 		if len(events) == 0 {
@@ -46,22 +46,22 @@
 
 func sizeSettings() Settings {
 	return Settings{Slots: 512, MaxAttempts: 6, MayCancel: true, Forwarders: 1, Zone: "a", Weights: ExactWeights,
-		Classes: []Class{{Name: "pure", Effect: Pure, Aim: time.Hour, Deadline: time.Hour, Worth: 1, LateShare: .4}},
-		Kinds:   []Kind{{Name: "std", PerCall: 1}}, ConnectPrice: .06, ConnIdle: 10 * time.Second, ConnectLimit: time.Second,
-		AdviceLimit: 2 * time.Second, DrainGrace: time.Second, StartCapacity: .2, Cold: 10 * time.Second, TipMultiple: 2, Fall: 1e6 * time.Hour}
+		Classes: []Class{{Name: "pure", Effect: Idempotent, OnTime: time.Hour, Deadline: time.Hour, Value: 1, LateShare: .4}},
+		Kinds:   []Kind{{Name: "std", MaxBatch: 1}}, ConnectPrice: .06, ConnIdle: 10 * time.Second, ConnectTimeout: time.Second,
+		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, StartCapacity: .2, SlowStart: 10 * time.Second, OverloadFactor: 2, OverloadOutage: 1e6 * time.Hour}
 }
 
 // oneMessage takes a message on, sends it and has it answered.
 func oneMessage(tb testing.TB, f stepper, now time.Duration, id string) {
 	sent := false
-	for _, a := range f.Step(now, []Event{Message{ID: id, Class: "pure", Destination: 0, Left: time.Hour}}) {
+	for _, a := range f.Step(now, []Event{Message{ID: id, Class: "pure", Destination: 0, TimeLeft: time.Hour}}) {
 		s, ok := a.(Send)
 		sent = sent || ok && s.Message == id
 	}
 	if !sent {
 		tb.Fatalf("%s is not sent", id)
 	}
-	f.Step(now+time.Millisecond, []Event{Outcome{Message: id, Target: "t0", Result: Done, Over: true, Took: time.Millisecond}})
+	f.Step(now+time.Millisecond, []Event{Outcome{Message: id, Target: "t0", Result: Succeeded, NoAnswerNeeded: true, Latency: time.Millisecond}})
 }
 
 // BenchmarkMessageAtSize is the cost of one message through the module - taken, sent, answered - while
@@ -124,7 +124,7 @@
 	var f stepper
 	idle, kept := heapOf(func() any {
 		f = newStepper(t, "indexes", sizeSettings())
-		list := TargetList{Scope: Whole}
+		list := TargetList{Scope: Snapshot}
 		for d := range dests {
 			list.Targets = append(list.Targets, Target{ID: fmt.Sprint("t", d), Destination: d, Kind: "std", Zone: "a", Weight: 1e6})
 		}
@@ -156,7 +156,7 @@
 	set.Slots = dests
 	f := newStepper(t, "indexes", set)
 	list := func(life int) TargetList {
-		snapshot := TargetList{Scope: Whole}
+		snapshot := TargetList{Scope: Snapshot}
 		for d := range dests {
 			snapshot.Targets = append(snapshot.Targets, Target{ID: fmt.Sprint("t", life, ".", d), Destination: d, Kind: "std", Zone: "a", Weight: 1e6})
 		}
@@ -165,7 +165,7 @@
 	f.Step(0, []Event{list(1)})
 	events := []Event{}
 	for d := range dests {
-		events = append(events, Message{ID: fmt.Sprint("m", d), Class: "pure", Destination: d, Left: time.Hour})
+		events = append(events, Message{ID: fmt.Sprint("m", d), Class: "pure", Destination: d, TimeLeft: time.Hour})
 	}
 	events = append(events, list(2))
 	sent := 0
@@ -178,7 +178,7 @@
 				if !strings.HasPrefix(s.Target, "t2.") {
 					t.Fatalf("%s goes to %s, which is gone", s.Message, s.Target)
 				}
-				events = append(events, Outcome{Message: s.Message, Target: s.Target, Result: Done, Over: true, Took: time.Millisecond})
+				events = append(events, Outcome{Message: s.Message, Target: s.Target, Result: Succeeded, NoAnswerNeeded: true, Latency: time.Millisecond})
 			}
 		}
 	}
@@ -194,17 +194,17 @@
 	set := sizeSettings()
 	set.Slots = 100
 	f := newStepper(t, "indexes", set)
-	snapshot := TargetList{Scope: Whole}
+	snapshot := TargetList{Scope: Snapshot}
 	var events []Event
 	for d := range others + 1 {
 		snapshot.Targets = append(snapshot.Targets, Target{ID: fmt.Sprint("t", d), Destination: d, Kind: "std", Zone: "a", Weight: 1e9})
 	}
 	f.Step(0, []Event{snapshot})
 	for i := range many {
-		events = append(events, Message{ID: fmt.Sprint("many", i), Class: "pure", Destination: 0, Left: time.Hour})
+		events = append(events, Message{ID: fmt.Sprint("many", i), Class: "pure", Destination: 0, TimeLeft: time.Hour})
 	}
 	for d := range others {
-		events = append(events, Message{ID: fmt.Sprint("one", d), Class: "pure", Destination: d + 1, Left: time.Hour})
+		events = append(events, Message{ID: fmt.Sprint("one", d), Class: "pure", Destination: d + 1, TimeLeft: time.Hour})
 	}
 	sentOthers, sentMany, sends := 0, 0, 0
 	now := time.Second
@@ -219,7 +219,7 @@
 				} else {
 					sentOthers++
 				}
-				events = append(events, Outcome{Message: s.Message, Target: s.Target, Result: Done, Over: true, Took: 10 * time.Millisecond})
+				events = append(events, Outcome{Message: s.Message, Target: s.Target, Result: Succeeded, NoAnswerNeeded: true, Latency: 10 * time.Millisecond})
 			}
 		}
 		now += 10 * time.Millisecond
@@ -235,21 +235,21 @@
 func TestAllWaitsEndAtOnce(t *testing.T) {
 	const dests = 10_000
 	set := sizeSettings()
-	set.Slots, set.Fall = 2*dests, 0
+	set.Slots, set.OverloadOutage = 2*dests, 0
 	f := newStepper(t, "indexes", set)
-	snapshot := TargetList{Scope: Whole}
+	snapshot := TargetList{Scope: Snapshot}
 	var events []Event
 	for d := range dests {
 		snapshot.Targets = append(snapshot.Targets, Target{ID: fmt.Sprint("t", d), Destination: d, Kind: "std", Zone: "a", Weight: 1e9})
 		for i := range 2 {
-			events = append(events, Message{ID: fmt.Sprint("m", d, ".", i), Class: "pure", Destination: d, Left: time.Hour})
+			events = append(events, Message{ID: fmt.Sprint("m", d, ".", i), Class: "pure", Destination: d, TimeLeft: time.Hour})
 		}
 	}
 	f.Step(0, []Event{snapshot})
 	var told []Event
 	for _, a := range f.Step(0, events) {
 		if s, ok := a.(Send); ok {
-			told = append(told, Outcome{Message: s.Message, Target: s.Target, Result: Full, Wait: 10 * time.Second, Took: time.Millisecond})
+			told = append(told, Outcome{Message: s.Message, Target: s.Target, Result: Overloaded, RetryAfter: 10 * time.Second, Latency: time.Millisecond})
 		}
 	}
 	f.Step(time.Millisecond, told)
@@ -266,7 +266,7 @@
 		for _, a := range f.Step(now, []Event{Woken{}}) {
 			if s, ok := a.(Send); ok {
 				got[s.Target] = true
-				done = append(done, Outcome{Message: s.Message, Attempt: attempts(s.Message, told), Target: s.Target, Result: Done, Over: true, Took: time.Millisecond})
+				done = append(done, Outcome{Message: s.Message, Attempt: attempts(s.Message, told), Target: s.Target, Result: Succeeded, NoAnswerNeeded: true, Latency: time.Millisecond})
 			}
 		}
 		f.Step(now+time.Millisecond, done)
@@ -291,14 +291,14 @@
 	for _, size := range []struct{ dests, held int }{{20, 1000}, {20_000, 200_000}} {
 		b.Run(fmt.Sprintf("destinations=%d/held=%d", size.dests, size.held), func(b *testing.B) {
 			set := sizeSettings()
-			set.MaxHeld = (size.held + 20) * 10 / 9 // nine tenths of it are a little more than what is held
+			set.MaxOpen = (size.held + 20) * 10 / 9 // nine tenths of it are a little more than what is held
 			f := newStepper(b, "indexes", set)
 			atSize(b, f, size.dests, size.held)
 			now, shed := time.Second, 0
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				now += time.Millisecond
-				for _, a := range f.Step(now, []Event{Message{ID: fmt.Sprint("m", n), Class: "pure", Destination: 1 + n%(size.dests-1), Left: time.Hour}}) {
+				for _, a := range f.Step(now, []Event{Message{ID: fmt.Sprint("m", n), Class: "pure", Destination: 1 + n%(size.dests-1), TimeLeft: time.Hour}}) {
 					if _, ok := a.(Refuse); ok {
 						shed++
 					}
@@ -316,12 +316,12 @@
 	for _, size := range []struct{ keys, held int }{{10, 100}, {5000, 50_000}} {
 		b.Run(fmt.Sprintf("keys=%d/held=%d", size.keys, size.held), func(b *testing.B) {
 			set := sizeSettings()
-			set.Classes = append(set.Classes, Class{Name: "ordered", Effect: Pure, Aim: time.Hour, Deadline: time.Hour, Worth: 1, KeepsOrder: true})
+			set.Classes = append(set.Classes, Class{Name: "ordered", Effect: Idempotent, OnTime: time.Hour, Deadline: time.Hour, Value: 1, Ordered: true})
 			f := newStepper(b, "indexes", set)
 			atSize(b, f, 20, 1000)
 			var events []Event
 			for i := range size.held { // for a destination without endpoints: they wait
-				events = append(events, Message{ID: fmt.Sprint("w", i), Class: "ordered", Destination: 99, Key: fmt.Sprint("k", i%size.keys), Left: time.Hour})
+				events = append(events, Message{ID: fmt.Sprint("w", i), Class: "ordered", Destination: 99, Key: fmt.Sprint("k", i%size.keys), TimeLeft: time.Hour})
 			}
 			f.Step(time.Second, events)
 			now := time.Second
@@ -329,8 +329,8 @@
 			for n := 0; b.Loop(); n++ {
 				now += 2 * time.Millisecond
 				id := fmt.Sprint("m", n)
-				f.Step(now, []Event{Message{ID: id, Class: "ordered", Destination: 0, Key: "own", Left: time.Hour}})
-				f.Step(now+time.Millisecond, []Event{Outcome{Message: id, Target: "t0", Result: Done, Over: true, Took: time.Millisecond}, Withdrawn{id}})
+				f.Step(now, []Event{Message{ID: id, Class: "ordered", Destination: 0, Key: "own", TimeLeft: time.Hour}})
+				f.Step(now+time.Millisecond, []Event{Outcome{Message: id, Target: "t0", Result: Succeeded, NoAnswerNeeded: true, Latency: time.Millisecond}, Withdrawn{id}})
 			}
 		})
 	}
@@ -346,7 +346,7 @@
 			for n := 0; b.Loop(); n++ {
 				now += time.Millisecond
 				state := []TargetState{Draining, Active}[n%2]
-				f.Step(now, []Event{TargetList{Scope: Changes, Targets: []Target{{ID: "t1", Destination: 1, Kind: "std", Zone: "a", State: state, Weight: 1e6}}}})
+				f.Step(now, []Event{TargetList{Scope: Delta, Targets: []Target{{ID: "t1", Destination: 1, Kind: "std", Zone: "a", State: state, Weight: 1e6}}}})
 			}
 		})
 	}
@@ -355,7 +355,7 @@
 // BenchmarkWholeList is the cost of a list of 20,000 endpoints, told again as it was and replaced by others.
 func BenchmarkWholeList(b *testing.B) {
 	const dests = 20_000
-	lists := [2]TargetList{{Scope: Whole}, {Scope: Whole}}
+	lists := [2]TargetList{{Scope: Snapshot}, {Scope: Snapshot}}
 	for d := range dests {
 		for life := range lists {
 			lists[life].Targets = append(lists[life].Targets, Target{ID: fmt.Sprint("t", life, ".", d), Destination: d, Kind: "std", Zone: "a", Weight: 1e6})
@@ -378,7 +378,7 @@
 // TestForgottenDestinationsTakeNoMemory: destinations that come and go, each with a message, leave nothing behind.
 func TestForgottenDestinationsTakeNoMemory(t *testing.T) {
 	set := sizeSettings()
-	set.MaxHeld = 1000
+	set.MaxOpen = 1000
 	f := newStepper(t, "indexes", set)
 	now := time.Duration(0)
 	churn := func(from, to int) {
@@ -386,10 +386,10 @@
 			now += 100 * time.Millisecond
 			id, m := fmt.Sprint("t", d), fmt.Sprint("m", d)
 			target := Target{ID: id, Destination: d, Kind: "std", Zone: "a", Weight: 1e6}
-			f.Step(now, []Event{TargetList{Scope: Changes, Targets: []Target{target}}, Message{ID: m, Class: "pure", Destination: d, Left: time.Hour}})
+			f.Step(now, []Event{TargetList{Scope: Delta, Targets: []Target{target}}, Message{ID: m, Class: "pure", Destination: d, TimeLeft: time.Hour}})
 			target.State = Gone
-			f.Step(now+time.Millisecond, []Event{Outcome{Message: m, Target: id, Result: Done, Over: true, Took: time.Millisecond},
-				TargetList{Scope: Changes, Targets: []Target{target}}})
+			f.Step(now+time.Millisecond, []Event{Outcome{Message: m, Target: id, Result: Succeeded, NoAnswerNeeded: true, Latency: time.Millisecond},
+				TargetList{Scope: Delta, Targets: []Target{target}}})
 		}
 	}
 	churn(0, 5000)
--- a/internal/decide/view.go
+++ b/internal/decide/view.go
@@ -13,8 +13,8 @@
 	var views []RouteView
 	for _, d := range slices.SortedFunc(maps.Values(f.destinations), func(a, b *destination) int { return cmp.Compare(a.seq, b.seq) }) {
 		for _, r := range d.routes {
-			v := RouteView{Route: cmp.Or(r.name, strconv.Itoa(d.id)), Open: r.circuitOpen, Why: r.openReason, WaitLeft: max(0, r.retryAfter-f.now),
-				Budget: r.retryRatio, Out: len(r.inFlight), Waiting: d.queued, Amplification: 1}
+			v := RouteView{Route: cmp.Or(r.name, strconv.Itoa(d.id)), CircuitOpen: r.circuitOpen, OpenReason: r.openReason, RetryAfterLeft: max(0, r.retryAfter-f.now),
+				RetryRatio: r.retryRatio, InFlight: len(r.inFlight), Queued: d.queued, Amplification: 1}
 			if r.totalFirstAttempts > 0 {
 				v.Amplification = float64(r.totalAttempts) / float64(r.totalFirstAttempts)
 			}
@@ -27,8 +27,8 @@
 // TargetView is the state of an endpoint as operators see it.
 type TargetView struct {
 	Target
-	Out, Connections int    // calls in flight; those and idle connections
-	Held             string // why it would not be called now; empty if it would
+	InFlight, Connections int    // calls in flight; those and idle connections
+	BlockedReason             string // why it would not be called now; empty if it would
 }
 
 // Targets lists the endpoints that are known and not gone, by name.
@@ -37,20 +37,20 @@
 		if ep.state == Gone {
 			continue
 		}
-		v := TargetView{Target: ep.listing, Out: ep.inFlight, Connections: ep.inFlight + f.idleConnections(ep)}
+		v := TargetView{Target: ep.listing, InFlight: ep.inFlight, Connections: ep.inFlight + f.idleConnections(ep)}
 		v.ID, v.Zone, v.State, v.Weight = ep.id, ep.zone, ep.state, ep.weight
 		switch r := ep.route; {
 		case ep.state != Active:
 		case now < r.retryAfter:
-			v.Held = "told to wait"
+			v.BlockedReason = "told to wait"
 		case r.circuitOpen:
-			v.Held = "outage: " + r.openReason
+			v.BlockedReason = "outage: " + r.openReason
 		case now < ep.avoidUntil:
-			v.Held = "fails while others work"
+			v.BlockedReason = "fails while others work"
 		case now < r.nextTokenAt:
-			v.Held = "pace"
+			v.BlockedReason = "pace"
 		case f.endpointCapacity(ep) < 1:
-			v.Held = "cold"
+			v.BlockedReason = "cold"
 		}
 		if r := ep.route; r != nil && r.dest != nil {
 			v.Destination = r.dest.id
