--- a/internal/emulate/emulate.go
+++ b/internal/emulate/emulate.go
@@ -221,8 +221,8 @@
 	for _, id := range slices.Sorted(maps.Keys(n.messages)) {
 		m := n.messages[id]
 		m.mayRan = m.mayRan || m.out > 0
-		recovered = append(recovered, decide.Message{ID: id, Class: m.class, Destination: 1, Left: m.handed + n.w.fleet.Left - n.w.now,
-			Recovered: true, Attempts: m.attempts, Open: m.out > 0, MayHaveRun: m.mayRan})
+		recovered = append(recovered, decide.Message{ID: id, Class: m.class, Destination: 1, TimeLeft: m.handed + n.w.fleet.Left - n.w.now,
+			Recovered: true, Attempts: m.attempts, HasOpenAttempt: m.out > 0, MayHaveRun: m.mayRan})
 		m.out = 0
 	}
 	n.step(recovered...)
@@ -278,7 +278,7 @@
 	w.second().Handed++
 	name := w.fleet.Settings.Classes[class].Name
 	n.messages[id] = &held{handed: w.now, class: name, unsafe: class == 1}
-	n.step(decide.Message{ID: id, Class: name, Destination: 1, Left: w.fleet.Left})
+	n.step(decide.Message{ID: id, Class: name, Destination: 1, TimeLeft: w.fleet.Left})
 }
 
 // step tells a module what happened and does what it decides.
@@ -348,16 +348,16 @@
 			return
 		}
 		m.out--
-		o.Message, o.Attempt, o.Target, o.Took = s.Message, number, "t", w.now-sent
+		o.Message, o.Attempt, o.Target, o.Latency = s.Message, number, "t", w.now-sent
 		switch o.Result {
-		case decide.Done:
+		case decide.Succeeded:
 			w.second().Done++
-			if w.now-m.handed <= w.fleet.Settings.Classes[0].Aim {
+			if w.now-m.handed <= w.fleet.Settings.Classes[0].OnTime {
 				w.second().InTime++
 			}
-			o.Over = true
+			o.NoAnswerNeeded = true
 			n.over(s.Message)
-		case decide.Full:
+		case decide.Overloaded:
 			w.second().Over++
 		case decide.ConnectFailed:
 			n.knows = true
@@ -367,7 +367,7 @@
 	}
 	w.at(w.now+w.dest.Latency, func() {
 		o, took := w.call(n.knows)
-		if o.Result == decide.Done && took+2*w.dest.Latency > s.Timeout {
+		if o.Result == decide.Succeeded && took+2*w.dest.Latency > s.Timeout {
 			m.mayRan = true
 			o, took = decide.Outcome{Result: decide.TimedOut}, max(0, s.Timeout-2*w.dest.Latency)
 		}
@@ -408,24 +408,24 @@
 	if limit > 0 && (!full || w.dest.RefusedCount) {
 		w.allowance = max(0, w.allowance-1)
 	}
-	o := decide.Outcome{Result: decide.Done}
+	o := decide.Outcome{Result: decide.Succeeded}
 	if limit > 0 {
 		if w.now-w.toldAt >= w.dest.ReportEvery {
 			w.toldAt = w.now
-			w.told = decide.Allowance{Told: true, Left: w.allowance / (limit * w.dest.Span.Seconds()), Rate: limit}
+			w.told = decide.Allowance{Reported: true, Remaining: w.allowance / (limit * w.dest.Span.Seconds()), Rate: limit}
 		}
 		o.Allowance = w.told
 	}
 	if full {
-		o.Result = decide.Full
+		o.Result = decide.Overloaded
 		if w.rng.Float64() < w.dest.TellsWait {
-			o.Wait = w.dest.Wait
+			o.RetryAfter = w.dest.Wait
 		}
 		return o, 0
 	}
 	w.busyTil = max(w.busyTil, w.now)
 	if w.busyTil-w.now > w.dest.Queue {
-		o.Result = decide.Full
+		o.Result = decide.Overloaded
 		return o, 0
 	}
 	w.busyTil += time.Duration(w.rng.ExpFloat64() / capacity * float64(time.Second))
@@ -434,7 +434,7 @@
 
 // pushed is the largest multiple of its capacity that the cold destination was sent in any window of the rule's length.
 func (w *world) pushed() (most float64) {
-	window, first := w.fleet.Settings.Fall, 0
+	window, first := w.fleet.Settings.OverloadOutage, 0
 	for last, call := range w.cold {
 		at := call.at
 		for w.cold[first].at < at-window {
@@ -453,7 +453,7 @@
 // coldLoad is the window of the rule's length that was fullest against what a cold destination takes: N calls, N being what the settings allow, and
 // 2 sqrt(N) + 2 more.
 func (w *world) coldLoad() (worst ColdLoad) {
-	window, first, knew, fullest := w.fleet.Settings.Fall, 0, 0, math.Inf(-1)
+	window, first, knew, fullest := w.fleet.Settings.OverloadOutage, 0, 0, math.Inf(-1)
 	back := w.dest.DownFrom + w.dest.DownFor
 	for last, call := range w.cold {
 		knew += one(call.knew)
@@ -462,7 +462,7 @@
 			first++
 		}
 		could := (w.capacity(max(call.at-window, back)) + w.capacity(call.at)) / 2 * window.Seconds()
-		allowed := w.fleet.Settings.TipMultiple * could
+		allowed := w.fleet.Settings.OverloadFactor * could
 		budget, calls := allowed+2*math.Sqrt(allowed)+2, last-first+1
 		if over := float64(calls) - budget; over > fullest {
 			fullest = over
--- a/internal/emulate/fleet_test.go
+++ b/internal/emulate/fleet_test.go
@@ -11,13 +11,13 @@
 func settings() decide.Settings {
 	return decide.Settings{
 		Classes: []decide.Class{
-			{Name: "status", Effect: decide.Pure, Aim: 3 * time.Second, Deadline: 12 * time.Second, Worth: 1, LateShare: 0.4},
-			{Name: "handover", Effect: decide.Unsafe, Aim: 3 * time.Second, Deadline: 12 * time.Second, Worth: 3, LateShare: 0.4},
+			{Name: "status", Effect: decide.Idempotent, OnTime: 3 * time.Second, Deadline: 12 * time.Second, Value: 1, LateShare: 0.4},
+			{Name: "handover", Effect: decide.AtMostOnce, OnTime: 3 * time.Second, Deadline: 12 * time.Second, Value: 3, LateShare: 0.4},
 		},
-		Kinds: []decide.Kind{{Name: "std", PerCall: 1}}, Zone: "a", ConnectPrice: 0.06, Weights: decide.ExactWeights,
-		Slots: 64, MaxHeld: 400, MaxAttempts: 6, MayCancel: true, ConnIdle: 15 * time.Second, ConnectLimit: 1500 * time.Millisecond,
-		AdviceLimit: 3 * time.Second, Slack: 5 * time.Millisecond, DrainGrace: time.Second,
-		StartCapacity: 0.2, Cold: 9500 * time.Millisecond, TipMultiple: 2, Fall: 3 * time.Second,
+		Kinds: []decide.Kind{{Name: "std", MaxBatch: 1}}, Zone: "a", ConnectPrice: 0.06, Weights: decide.ExactWeights,
+		Slots: 64, MaxOpen: 400, MaxAttempts: 6, MayCancel: true, ConnIdle: 15 * time.Second, ConnectTimeout: 1500 * time.Millisecond,
+		MaxRetryAfter: 3 * time.Second, AnswerSlack: 5 * time.Millisecond, DrainGrace: time.Second,
+		StartCapacity: 0.2, SlowStart: 9500 * time.Millisecond, OverloadFactor: 2, OverloadOutage: 3 * time.Second,
 	}
 }
 
@@ -109,7 +109,7 @@
 				done += r.Seconds[s].Done
 			}
 			t.Logf("%d calls to it while it was down, %d done in the 5 s after; pushed %.2f times; in all %+v", dead, done, r.Pushed, r.Total)
-			if r.Pushed >= f.Settings.TipMultiple {
+			if r.Pushed >= f.Settings.OverloadFactor {
 				t.Errorf("it was sent %.2f times what it could do", r.Pushed)
 			}
 			if float64(dead) > 1.2*asked*4+float64(n) {
--- a/internal/emulate/spread.go
+++ b/internal/emulate/spread.go
@@ -170,7 +170,7 @@
 				tell := func(at time.Duration, state decide.TargetState) {
 					t := list.Targets[a.Target]
 					t.State = state
-					r.at(at+late, func() { n.step(decide.TargetList{Scope: decide.Changes, Targets: []decide.Target{t}}) })
+					r.at(at+late, func() { n.step(decide.TargetList{Scope: decide.Delta, Targets: []decide.Target{t}}) })
 				}
 				tell(a.From, decide.Draining)
 				tell(a.From+a.For, decide.Active)
@@ -226,7 +226,7 @@
 		return
 	}
 	n.run.seq++
-	n.step(decide.Message{ID: fmt.Sprint("m", n.run.seq), Class: n.run.Settings.Classes[0].Name, Destination: 1, Left: n.run.Settings.Classes[0].Deadline})
+	n.step(decide.Message{ID: fmt.Sprint("m", n.run.seq), Class: n.run.Settings.Classes[0].Name, Destination: 1, TimeLeft: n.run.Settings.Classes[0].Deadline})
 }
 
 // look counts the idle connections that are still open.
@@ -252,10 +252,10 @@
 			try := n.tries[a.Message]
 			n.tries[a.Message]++
 			n.call(target, func(result decide.Result) {
-				if result == decide.Done {
+				if result == decide.Succeeded {
 					delete(n.tries, a.Message)
 				}
-				n.step(decide.Outcome{Message: a.Message, Attempt: try, Target: a.Target, Result: result, Took: n.run.now - sent, Over: result == decide.Done})
+				n.step(decide.Outcome{Message: a.Message, Attempt: try, Target: a.Target, Result: result, Latency: n.run.now - sent, NoAnswerNeeded: result == decide.Succeeded})
 			})
 		case decide.Refuse:
 			n.end(a.Message)
@@ -327,7 +327,7 @@
 	if r.now >= r.Settle {
 		r.calls = append(r.calls, spreadCall{r.now, target})
 	}
-	if f.Fails != decide.Done && r.now >= r.Settle {
+	if f.Fails != decide.Succeeded && r.now >= r.Settle {
 		r.failed++
 	}
 	takes := time.Duration(float64(r.Takes+time.Duration(r.rng.Int64N(int64(r.Takes)+1))) * cmp.Or(f.Slower, 1))
--- a/internal/engine/acting.go
+++ b/internal/engine/acting.go
@@ -50,7 +50,7 @@
 const leastWait = time.Second
 
 type (
-	peerWaits []decide.PeerWait
+	peerWaits []decide.PeerRetryAfter
 	asleep    struct{}
 	loadAsked struct{ answer chan *load.Snapshot }
 	confirmed struct {
@@ -208,7 +208,7 @@
 	if a.Acting == nil || a.Load == nil {
 		return
 	}
-	if list.Scope == decide.Whole {
+	if list.Scope == decide.Snapshot {
 		a.Load.Unlisted()
 	}
 	for _, t := range list.Targets {
@@ -222,17 +222,17 @@
 		return
 	}
 	switch o.Result {
-	case decide.Errored, decide.Full, decide.ConnectFailed, decide.Reset, decide.TimedOut:
+	case decide.Errored, decide.Overloaded, decide.ConnectFailed, decide.Reset, decide.TimedOut:
 		a.Load.Bad(o.Target, time.Now())
 	}
 }
 
 // toldToWait keeps a wait for others to hear of.
 func (a *acting) toldToWait(o *decide.Outcome, now time.Time) {
-	if a.Acting == nil || o.Wait < leastWait {
+	if a.Acting == nil || o.RetryAfter < leastWait {
 		return
 	}
-	list := []ToldWait{{o.Target, now.Add(o.Wait)}}
+	list := []ToldWait{{o.Target, now.Add(o.RetryAfter)}}
 	if old := a.waits.Load(); old != nil {
 		for _, w := range *old {
 			if w.Target != o.Target && w.Until.After(now) {
@@ -254,7 +254,7 @@
 }
 
 // PeerWaits tells of waits that others were told.
-func (l *Engine) PeerWaits(list []decide.PeerWait) { l.tell(peerWaits(list)) }
+func (l *Engine) PeerWaits(list []decide.PeerRetryAfter) { l.tell(peerWaits(list)) }
 
 // ShutOut has no call begun any more, and what waits answered at once; an empty reason ends that.
 func (l *Engine) ShutOut(why, by string) {
@@ -264,7 +264,7 @@
 	}
 	l.tell(changed{version.Change{Cause: cause, By: by}, func() {
 		l.acting.out = why
-		l.events = append(l.events, decide.ShutOut{On: why != ""})
+		l.events = append(l.events, decide.Fenced{On: why != ""})
 	}, nil, make(chan struct{})})
 }
 
@@ -299,7 +299,7 @@
 func (l *Engine) tellLoad(asked loadAsked) {
 	s := &load.Snapshot{}
 	for _, t := range l.module.Targets(time.Since(l.clock)) {
-		s.Targets = append(s.Targets, load.Target{Name: t.ID, Destination: t.Destination, Zone: t.Zone, Weight: t.Weight, Serves: t.State == decide.Active, Held: t.Held, Out: t.Out, Connections: t.Connections})
+		s.Targets = append(s.Targets, load.Target{Name: t.ID, Destination: t.Destination, Zone: t.Zone, Weight: t.Weight, Serves: t.State == decide.Active, Held: t.BlockedReason, Out: t.InFlight, Connections: t.Connections})
 	}
 	if l.acting.Acting != nil && l.acting.Load != nil {
 		l.acting.Load.Counts(s, time.Now())
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -37,11 +37,11 @@
 		return // ended meanwhile; the module still counts its call
 	}
 	e.callOver(o.Attempt)
-	if o.Over {
+	if o.NoAnswerNeeded {
 		for _, c := range e.calls { // a second copy serves nobody any more
 			c.cancel(nil)
 		}
-		if o.Result == decide.Done {
+		if o.Result == decide.Succeeded {
 			l.tellEnd(e, "delivered")
 			l.endedAs(e, func(t *Tally) { t.Fulfilled++ })
 		}
@@ -177,10 +177,10 @@
 
 // answered tells whether an outcome is an answer's, of a message that was written whole.
 func answered(r decide.Result) bool {
-	return r == decide.Done || r == decide.Rejected || r == decide.Errored || r == decide.Full || r == decide.NotSent
+	return r == decide.Succeeded || r == decide.Rejected || r == decide.Errored || r == decide.Overloaded || r == decide.NotSent
 }
 
 // neverRan tells whether an outcome proves that the attempt did not run.
 func neverRan(r decide.Result) bool {
-	return r == decide.Full || r == decide.ConnectFailed || r == decide.NotSent || r == decide.Rejected
+	return r == decide.Overloaded || r == decide.ConnectFailed || r == decide.NotSent || r == decide.Rejected
 }
--- a/internal/engine/copies_test.go
+++ b/internal/engine/copies_test.go
@@ -14,8 +14,8 @@
 func TestSecondCopy(t *testing.T) {
 	gone, begun, ends := make(chan string, 10), make(chan bool, 10), make(chan Ending, 100)
 	n := startLoop(t, func(w *world) {
-		w.settings.SecondCopies, w.settings.MayCancel, w.settings.Weights = true, true, decide.NoWeights
-		w.settings.Limits = func(string, int, string) decide.Limits { return decide.Limits{Copy: 20 * time.Millisecond} }
+		w.settings.Hedging, w.settings.MayCancel, w.settings.Weights = true, true, decide.NoWeights
+		w.settings.Limits = func(string, int, string) decide.Limits { return decide.Limits{HedgeDelay: 20 * time.Millisecond} }
 		w.list.Endpoints = append(w.list.Endpoints, Endpoint{Target: decide.Target{ID: "s2", Destination: 7}})
 		w.ended = func(e Ending) { ends <- e }
 		w.call = func(ctx context.Context, a Attempt) decide.Outcome {
@@ -28,7 +28,7 @@
 			if a.ID[0] == 'c' { // else the first may be called off before it has begun
 				<-begun
 			}
-			return decide.Outcome{Result: decide.Done, Over: true, Took: time.Millisecond}
+			return decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true, Latency: time.Millisecond}
 		}
 	})
 	wait := func(id string) {
--- a/internal/engine/durable_test.go
+++ b/internal/engine/durable_test.go
@@ -99,7 +99,7 @@
 		b.Run([]string{"process", "interval", "group"}[d], func(b *testing.B) {
 			fs := &gatedFS{FS: journal.Folder(b.TempDir())}
 			n := startLoop(b, func(w *world) {
-				w.diskMB, w.settings.MaxHeld, w.settings.Slots = 200, 0, 256
+				w.diskMB, w.settings.MaxOpen, w.settings.Slots = 200, 0, 256
 				w.journal = journal.Options{FS: fs, Durability: d}
 			})
 			go func() {
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -68,7 +68,7 @@
 
 // mayRepeat reports whether an attempt that a restart does not know of does no harm.
 func (l *Engine) mayRepeat(e *entry) bool {
-	return l.classes[e.saved.Class].Effect == decide.Pure
+	return l.classes[e.saved.Class].Effect == decide.Idempotent
 }
 
 // revokeAcceptance answers a message that could not be recorded: with a rejection that its client may hand in again after, unless a restart
--- a/internal/engine/evict_test.go
+++ b/internal/engine/evict_test.go
@@ -11,7 +11,7 @@
 )
 
 func listOf(destination int, state decide.TargetState) List {
-	return List{Scope: decide.Changes, Endpoints: []Endpoint{{Target: decide.Target{ID: fmt.Sprint("e", destination), Destination: destination, Weight: 1000, State: state}}}}
+	return List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: fmt.Sprint("e", destination), Destination: destination, Weight: 1000, State: state}}}}
 }
 
 // TestEvictedIsForgotten: however many destinations come and are evicted, none of them is left in the engine; one that is listed anew takes messages again.
--- a/internal/engine/figures_test.go
+++ b/internal/engine/figures_test.go
@@ -61,11 +61,11 @@
 		r.wrote++
 	}
 	switch o.Result {
-	case decide.Done:
-		o.Over = true
+	case decide.Succeeded:
+		o.NoAnswerNeeded = true
 		r.tallies[a.Class].Fulfilled++
 	case decide.NotSent:
-		o.Over = true // the platform wants it no more
+		o.NoAnswerNeeded = true // the platform wants it no more
 		r.tallies[a.Class].Withdrawn++
 	}
 	return o
@@ -80,8 +80,8 @@
 		r := &record{classes: map[string]string{}, tallies: map[string]*Tally{"note": {}, "once": {}}, fate: map[string]decide.Result{}}
 		n := startLoop(t, func(w *world) {
 			w.figures, w.finals, w.call = true, r, r.call
-			w.settings.MaxHeld = 30
-			w.settings.Classes = append(w.settings.Classes, decide.Class{Name: "once", Effect: decide.Unsafe, Deadline: 5 * time.Minute, Aim: time.Minute, Worth: 3})
+			w.settings.MaxOpen = 30
+			w.settings.Classes = append(w.settings.Classes, decide.Class{Name: "once", Effect: decide.AtMostOnce, Deadline: 5 * time.Minute, OnTime: time.Minute, Value: 3})
 			w.list.Endpoints = append(w.list.Endpoints, Endpoint{Target: decide.Target{ID: "away", Destination: 8, State: decide.Draining, Weight: 10}})
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -110,7 +110,7 @@
 			leaves := rng.IntN(8) == 0
 			r.mu.Lock()
 			r.classes[m.ID] = m.Class
-			r.fate[m.ID] = decide.Done
+			r.fate[m.ID] = decide.Succeeded
 			if rng.IntN(3) == 0 { // not so many that the endpoint is given up for the day
 				r.fate[m.ID] = []decide.Result{decide.Errored, decide.Rejected, decide.ConnectFailed, decide.NotSent}[rng.IntN(4)]
 			}
@@ -147,7 +147,7 @@
 		c := f.Classes["once"]
 		all.Fulfilled, all.TurnedAway, all.HandedBack = all.Fulfilled+c.Fulfilled, all.TurnedAway+c.TurnedAway, all.HandedBack+c.HandedBack
 		all.Spurned, all.Faulted, all.Withdrawn = all.Spurned+c.Spurned, all.Faulted+c.Faulted, all.Withdrawn+c.Withdrawn
-		n.loop.List(List{Scope: decide.Changes, Endpoints: []Endpoint{{Target: decide.Target{ID: "away", Destination: 8, State: decide.Gone}}}})
+		n.loop.List(List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: "away", Destination: 8, State: decide.Gone}}}})
 		n.await(t, "an endpoint less", func(f *Figures) bool { return f.Listed == 1 })
 	}
 	if all.Fulfilled*all.TurnedAway*all.HandedBack*all.Spurned*all.Faulted*all.Withdrawn == 0 {
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -159,7 +159,7 @@
 // Resume is Recover for an engine that goes on where another one was. An error means that what is left of that one can't be read, and nothing
 // has been done.
 func (l *Engine) Resume(h *Handover, lists ...List) error {
-	memory, err := decide.ReadMemory(h.Module)
+	memory, err := decide.DecodeState(h.Module)
 	if err != nil {
 		return err
 	}
--- a/internal/engine/intake.go
+++ b/internal/engine/intake.go
@@ -94,22 +94,22 @@
 	}
 	if !room {
 		turnAway(refused(diskWait))
-		l.events = append(l.events, decide.Crowded{})
+		l.events = append(l.events, decide.StoreFull{})
 		return
 	}
 	e := &entry{answer: a.answer, saved: s}
 	l.keep(e)
 	l.arrived = append(l.arrived, e)
 	l.events = append(l.events, decide.Message{ID: m.ID, Class: m.Class, Destination: m.Destination,
-		Left: time.Until(s.Deadline), Again: m.Again, Repeat: m.Repeat, Among: among(m.Extras), Route: m.Extras.Took()})
+		TimeLeft: time.Until(s.Deadline), FromFailedForwarder: m.Again, ClientRetry: m.Repeat, Filter: among(m.Extras), Route: m.Extras.Took()})
 }
 
 // among is what the module is told of a message's endpoints.
-func among(x *message.Extras) *decide.Among {
+func among(x *message.Extras) *decide.EndpointFilter {
 	if x == nil || len(x.Only)+len(x.Prefer) == 0 {
 		return nil
 	}
-	return &decide.Among{Only: x.Only, Prefer: x.Prefer}
+	return &decide.EndpointFilter{Only: x.Only, Prefer: x.Prefer}
 }
 
 // acked goes on with what waited until the client had its +OK.
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -170,7 +170,7 @@
 func (l *Engine) Heard(ids []string) { l.tell(heard{ids}) }
 
 // Stopping tells that the process ends after this time.
-func (l *Engine) Stopping(left time.Duration) { l.tell(decide.Stopping{Left: left}) }
+func (l *Engine) Stopping(left time.Duration) { l.tell(decide.Stopping{TimeLeft: left}) }
 
 // Finish tells that no message comes any more.
 func (l *Engine) Finish() { l.tell(finish{}) }
@@ -205,7 +205,7 @@
 		}
 		l.taken(e)
 		list = append(list, decide.Message{ID: s.ID, Class: s.Class, Destination: s.Dest,
-			Left: s.Deadline.Sub(now), Among: among(s.Extras), Route: s.Extras.Took(), Recovered: true, Attempts: s.Attempts, Open: s.Open, MayHaveRun: s.Ran()})
+			TimeLeft: s.Deadline.Sub(now), Filter: among(s.Extras), Route: s.Extras.Took(), Recovered: true, Attempts: s.Attempts, HasOpenAttempt: s.Open, MayHaveRun: s.Ran()})
 	}
 	return list
 }
@@ -230,7 +230,7 @@
 	defer stop()
 	defer func() { l.publish(time.Now(), true) }()
 	if l.acting.out != "" { // before whatever the first Step decides
-		l.events = slices.Insert(l.events, 0, decide.Event(decide.ShutOut{On: true}))
+		l.events = slices.Insert(l.events, 0, decide.Event(decide.Fenced{On: true}))
 	}
 	for {
 		l.round(ctx)
@@ -349,7 +349,7 @@
 		event.Targets[i] = e.Target
 	}
 	if v.Scope != decide.Unavailable {
-		l.waits.list(event.Targets, v.Scope != decide.Changes)
+		l.waits.list(event.Targets, v.Scope != decide.Delta)
 	}
 	return event
 }
@@ -400,13 +400,13 @@
 	case decide.Send:
 		if e := l.entries[a.Message]; e != nil {
 			e.sendBy = time.Time{}
-			if a.Within > 0 {
-				e.sendBy = time.Now().Add(a.Within)
+			if a.StartWithin > 0 {
+				e.sendBy = time.Now().Add(a.StartWithin)
 			}
 		}
 		l.send(ctx, a)
 	case decide.Refuse:
-		l.end(a.Message, 'b', a.Wait)
+		l.end(a.Message, 'b', a.RetryAfter)
 	case decide.Fail:
 		l.end(a.Message, 'd', 0)
 	case decide.Cancel:
--- a/internal/engine/loop_test.go
+++ b/internal/engine/loop_test.go
@@ -73,7 +73,7 @@
 		return b.call(ctx, a)
 	}
 	b.calls <- a.ID
-	return decide.Outcome{Result: decide.Done, Over: true}
+	return decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}
 }
 
 func (memoryEndpoint) CloseIdle() {}
@@ -86,10 +86,10 @@
 func startLoop(t testing.TB, set func(*world)) *testNode {
 	t.Helper()
 	n := &testNode{calls: make(chan string, 100), dir: t.TempDir()}
-	w := &world{diskMB: 3, finals: noFinals{}, list: List{Scope: decide.Restored, Endpoints: []Endpoint{{Target: decide.Target{ID: "s1", Destination: 7, Weight: 1000}}}},
-		settings: decide.Settings{Slots: 8, MaxHeld: 100, MaxAttempts: 6, ConnIdle: time.Minute, ConnectLimit: time.Minute,
-			AdviceLimit: 3 * time.Second, StartCapacity: 0.9, TipMultiple: 2, Fall: 3 * time.Second, Weights: decide.ExactWeights,
-			Classes: []decide.Class{{Name: "note", Deadline: 5 * time.Minute, Aim: time.Minute, Worth: 1}}}}
+	w := &world{diskMB: 3, finals: noFinals{}, list: List{Scope: decide.LastKnown, Endpoints: []Endpoint{{Target: decide.Target{ID: "s1", Destination: 7, Weight: 1000}}}},
+		settings: decide.Settings{Slots: 8, MaxOpen: 100, MaxAttempts: 6, ConnIdle: time.Minute, ConnectTimeout: time.Minute,
+			MaxRetryAfter: 3 * time.Second, StartCapacity: 0.9, OverloadFactor: 2, OverloadOutage: 3 * time.Second, Weights: decide.ExactWeights,
+			Classes: []decide.Class{{Name: "note", Deadline: 5 * time.Minute, OnTime: time.Minute, Value: 1}}}}
 	if set != nil {
 		set(w)
 	}
@@ -294,7 +294,7 @@
 		{"unknown class", nil, func(m *message.Message) { m.Class = "other" }, rejected("unknown class")},
 		{"unknown destination", nil, func(m *message.Message) { m.Destination = 8 }, rejected("unknown destination")},
 		{"no time left", nil, func(m *message.Message) { m.Left = 0 }, refused(0)},
-		{"hold full", func(w *world) { w.settings.MaxHeld = 1 }, nil, refused(0)},
+		{"hold full", func(w *world) { w.settings.MaxOpen = 1 }, nil, refused(0)},
 		{"disk full", func(w *world) { w.diskMB = 0.017 }, nil, refused(time.Second)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -317,7 +317,7 @@
 // is not held for longer than its class allows, whatever its client says.
 func TestIntakeBounds(t *testing.T) {
 	n := startLoop(t, nil)
-	n.loop.List(List{Scope: decide.Changes, Endpoints: []Endpoint{{Target: decide.Target{ID: "s1", Destination: 7, State: decide.Gone}}}})
+	n.loop.List(List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: "s1", Destination: 7, State: decide.Gone}}}})
 	m := note("m")
 	m.Left = 1e6 * time.Second
 	answer := n.loop.Take(m)
--- a/internal/engine/relisted_test.go
+++ b/internal/engine/relisted_test.go
@@ -15,14 +15,14 @@
 func TestWaitOutlastsListing(t *testing.T) {
 	const wait = 400 * time.Millisecond
 	target := func(kind string, destination int, state decide.TargetState) List {
-		return List{Scope: decide.Changes, Endpoints: []Endpoint{{Target: decide.Target{ID: "s1", Destination: destination, Kind: kind, Weight: 1000, State: state}}}}
+		return List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: "s1", Destination: destination, Kind: kind, Weight: 1000, State: state}}}}
 	}
 	other := Endpoint{Target: decide.Target{ID: "s9", Destination: 9, Weight: 1000}}
 	leaves := map[string]func(kind string) []List{
 		"gone":      func(kind string) []List { return []List{target(kind, 7, decide.Gone), target(kind, 7, decide.Active)} },
 		"gone bare": func(kind string) []List { return []List{target("", 0, decide.Gone), target(kind, 7, decide.Active)} },
 		"not named": func(kind string) []List {
-			return []List{{Scope: decide.Whole, Endpoints: []Endpoint{other}}, target(kind, 7, decide.Active)}
+			return []List{{Scope: decide.Snapshot, Endpoints: []Endpoint{other}}, target(kind, 7, decide.Active)}
 		},
 		"drained": func(kind string) []List {
 			return []List{target(kind, 7, decide.Draining), target(kind, 7, decide.Active)}
@@ -42,7 +42,7 @@
 					out, answer, ended := make(chan bool), make(chan bool), make(chan time.Time, 1)
 					var first, held atomic.Int32
 					n := startLoop(t, func(w *world) {
-						w.settings.Kinds = []decide.Kind{{Name: "shared", PerCall: 1}, {Name: "apart", PerCall: 1, Apart: true}}
+						w.settings.Kinds = []decide.Kind{{Name: "shared", MaxBatch: 1}, {Name: "apart", MaxBatch: 1, SeparateRoutes: true}}
 						w.list.Endpoints = append(target(kind, 7, decide.Active).Endpoints, other)
 						w.call = func(ctx context.Context, a Attempt) decide.Outcome {
 							if first.Add(1) == 1 {
@@ -51,14 +51,14 @@
 								a.Told(wait) // its body is still to come: the loop hears nothing yet
 								answer <- true
 								<-answer
-								return decide.Outcome{Result: decide.Full, Wait: wait}
+								return decide.Outcome{Result: decide.Overloaded, RetryAfter: wait}
 							}
 							if !a.Begin() {
 								held.Add(1)
 								return decide.Outcome{Result: decide.NotSent}
 							}
 							ended <- time.Now()
-							return decide.Outcome{Result: decide.Done, Over: true}
+							return decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}
 						}
 					})
 					hand := func(id string) {
@@ -107,7 +107,7 @@
 // TestWaitsAreForgotten: a wait that is over is not kept for a target that is not listed, however many there have been.
 func TestWaitsAreForgotten(t *testing.T) {
 	var w waits
-	w.init([]decide.Kind{{Name: "apart", Apart: true}}, time.Now(), nil)
+	w.init([]decide.Kind{{Name: "apart", SeparateRoutes: true}}, time.Now(), nil)
 	one := func(i int, state decide.TargetState) []decide.Target {
 		return []decide.Target{{ID: fmt.Sprint("s", i), Kind: []string{"apart", "shared"}[i%2], State: state}}
 	}
@@ -125,7 +125,7 @@
 	if w.of("s0") != told {
 		t.Error("forgotten while a call is out that may still tell a wait")
 	}
-	told.over(&decide.Outcome{Result: decide.Full, Wait: time.Hour})
+	told.over(&decide.Outcome{Result: decide.Overloaded, RetryAfter: time.Hour})
 	if w.list(nil, true); w.of("s0") != told {
 		t.Error("forgotten within its wait")
 	}
--- a/internal/engine/repeat_test.go
+++ b/internal/engine/repeat_test.go
@@ -20,7 +20,7 @@
 			done := make(chan bool, 8)
 			var calls, late atomic.Int32
 			n := startLoop(t, func(w *world) {
-				w.settings.Classes = append(w.settings.Classes, decide.Class{Name: "keyed", Effect: decide.Keyed, Window: window, Aim: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1})
+				w.settings.Classes = append(w.settings.Classes, decide.Class{Name: "keyed", Effect: decide.Deduplicated, DedupWindow: window, OnTime: 10 * time.Second, Deadline: 20 * time.Second, Value: 1})
 				w.call = func(_ context.Context, a Attempt) decide.Outcome {
 					if calls.Add(1) == 1 {
 						first = time.Now()
@@ -34,7 +34,7 @@
 					if time.Since(first) > window {
 						late.Add(1)
 					}
-					return decide.Outcome{Result: decide.Done, Over: true}
+					return decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}
 				}
 			})
 			m := note("m")
--- a/internal/engine/waits.go
+++ b/internal/engine/waits.go
@@ -53,7 +53,7 @@
 	w.apart, w.shared, w.byTarget, w.clock, w.mayBeginElse = map[string]bool{}, map[int]*told{}, map[string]place{}, clock, otherwise
 	w.left = map[string]bool{}
 	for _, k := range kinds {
-		w.apart[k.Name] = k.Apart
+		w.apart[k.Name] = k.SeparateRoutes
 	}
 }
 
@@ -117,14 +117,14 @@
 		return
 	}
 	if t.out--; o.Result != decide.NotSent { // with that, it is what is left of what was told before
-		t.tell(o.Wait)
+		t.tell(o.RetryAfter)
 	}
 }
 
 // rest adds to the outcome of a call that was not made what is left of a wait, so that the module knows of it before its next Step.
 func (t *told) rest(o *decide.Outcome) {
 	if t != nil && o.Result == decide.NotSent {
-		o.Wait = max(o.Wait, t.left())
+		o.RetryAfter = max(o.RetryAfter, t.left())
 	}
 }
 
--- a/internal/engine/waits_test.go
+++ b/internal/engine/waits_test.go
@@ -32,7 +32,7 @@
 			first, refused := "", ""
 			var began []bool
 			n := startLoop(t, func(w *world) {
-				w.settings.Kinds = []decide.Kind{{Name: "plain", PerCall: 1}, {Name: "apart", PerCall: 1, Apart: true}}
+				w.settings.Kinds = []decide.Kind{{Name: "plain", MaxBatch: 1}, {Name: "apart", MaxBatch: 1, SeparateRoutes: true}}
 				w.list.Endpoints = []Endpoint{{Target: decide.Target{ID: "s1", Destination: 7, Kind: c.kind, Weight: 1000}}, {Target: decide.Target{ID: "s2", Destination: c.destination, Kind: c.other, Weight: 1000}}}
 				w.call = func(ctx context.Context, a Attempt) decide.Outcome {
 					mu.Lock()
@@ -51,7 +51,7 @@
 						} else {
 							told <- time.Now()
 						}
-						return decide.Outcome{Result: decide.Full, Wait: wait}
+						return decide.Outcome{Result: decide.Overloaded, RetryAfter: wait}
 					}
 					mu.Unlock()
 					if slow {
@@ -70,7 +70,7 @@
 						return decide.Outcome{Result: decide.NotSent}
 					}
 					done <- time.Now()
-					return decide.Outcome{Result: decide.Done, Over: true}
+					return decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}
 				}
 			})
 			hand := func(id string, destination int) {
--- a/internal/membership/forget_test.go
+++ b/internal/membership/forget_test.go
@@ -10,7 +10,7 @@
 // TestForget: what one source is not asked for any more is as if it had never named it: another's endpoint serves on, and one that is named again serves.
 func TestForget(t *testing.T) {
 	named := func(names ...string) engine.List {
-		l := engine.List{Scope: decide.Changes}
+		l := engine.List{Scope: decide.Delta}
 		for _, n := range names {
 			l.Endpoints = append(l.Endpoints, engine.Endpoint{Target: decide.Target{ID: n, Destination: 7}})
 		}
@@ -23,7 +23,7 @@
 	drains.Endpoints[0].State = decide.Draining
 	s.Tell(Agent, drains)
 	l := s.Forget(Agent, []string{"both", "own", "drains", "never"})
-	if len(l.Endpoints) != 2 || l.Scope != decide.Changes || l.Endpoints[0].State != decide.Gone || l.Endpoints[1].State != decide.Gone {
+	if len(l.Endpoints) != 2 || l.Scope != decide.Delta || l.Endpoints[0].State != decide.Gone || l.Endpoints[1].State != decide.Gone {
 		t.Fatalf("%+v", l)
 	}
 	if e := s.merged["both"]; e.State != decide.Active || len(s.merged) != 1 {
--- a/internal/membership/hand.go
+++ b/internal/membership/hand.go
@@ -72,7 +72,7 @@
 		return engine.List{}, ErrNeverListed
 	}
 	if !s.hand.out[name] {
-		return engine.List{Scope: decide.Changes}, nil
+		return engine.List{Scope: decide.Delta}, nil
 	}
 	if err := store(slices.DeleteFunc(s.LeftOut(), func(n string) bool { return n == name })); err != nil {
 		return engine.List{}, err
--- a/internal/membership/hand_test.go
+++ b/internal/membership/hand_test.go
@@ -23,7 +23,7 @@
 		out, ever, stored := map[string]bool{}, map[string]bool{}, []string(nil)
 		putBack := map[string]uint32{}
 		take := func(l engine.List) {
-			if l.Scope == decide.Whole {
+			if l.Scope == decide.Snapshot {
 				clear(view)
 			}
 			for _, e := range l.Endpoints {
@@ -92,7 +92,7 @@
 				clear(putBack)
 				kept += len(stored)
 			default:
-				l := engine.List{Scope: rapid.SampledFrom([]decide.ListScope{decide.Changes, decide.Whole}).Draw(t, "scope")}
+				l := engine.List{Scope: rapid.SampledFrom([]decide.ListScope{decide.Delta, decide.Snapshot}).Draw(t, "scope")}
 				for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(0, 4), 0, 4, rapid.ID[int]).Draw(t, "names") {
 					e := engine.Endpoint{Target: decide.Target{ID: fmt.Sprint("s", n),
 						State: rapid.SampledFrom([]decide.TargetState{decide.Active, decide.Draining, decide.Gone}).Draw(t, "state")}}
@@ -108,7 +108,7 @@
 				if e.State == decide.Active {
 					served++
 				}
-				if out[id] && e.State == decide.Active || e.PutBack != putBack[id] {
+				if out[id] && e.State == decide.Active || e.EnableCount != putBack[id] {
 					t.Fatalf("%s is left out: %v; put back %d times; the engine has %+v", id, out[id], putBack[id], e)
 				}
 			}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -55,7 +55,7 @@
 	if l.Scope == decide.Unavailable {
 		return l
 	}
-	whole := l.Scope != decide.Changes
+	whole := l.Scope != decide.Delta
 	touched := map[string]bool{}
 	if whole { // what it does not name any more it has taken back
 		for name, all := range s.by {
@@ -104,7 +104,7 @@
 
 // changes works out anew what the endpoints of some names are, and returns those that it changed.
 func (s *Set) changes(touched map[string]bool) engine.List {
-	changes := engine.List{Scope: decide.Changes}
+	changes := engine.List{Scope: decide.Delta}
 	for _, name := range slices.Sorted(maps.Keys(touched)) {
 		e, there := s.merge(name)
 		old, was := s.merged[name]
@@ -142,7 +142,7 @@
 		delete(s.by, name)
 		return e, false
 	}
-	e.State, e.PutBack = state, s.hand.back[name]
+	e.State, e.EnableCount = state, s.hand.back[name]
 	if _, out := s.hand.out[name]; out || s.peers[name] {
 		e.State = max(e.State, decide.Draining)
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -25,8 +25,8 @@
 		view := map[string]engine.Endpoint{} // as the engine would have it
 		for range rapid.IntRange(1, 40).Draw(t, "lists") {
 			from := Source(rapid.IntRange(0, int(sources)-1).Draw(t, "source"))
-			l := engine.List{Scope: rapid.SampledFrom([]decide.ListScope{decide.Changes, decide.Changes, decide.Whole, decide.Restored, decide.Unavailable}).Draw(t, "scope")}
-			if l.Scope == decide.Whole || l.Scope == decide.Restored {
+			l := engine.List{Scope: rapid.SampledFrom([]decide.ListScope{decide.Delta, decide.Delta, decide.Snapshot, decide.LastKnown, decide.Unavailable}).Draw(t, "scope")}
+			if l.Scope == decide.Snapshot || l.Scope == decide.LastKnown {
 				for _, by := range said {
 					if w, ok := by[from]; ok {
 						if by[from] = (word{decide.Gone, w.address}); from == File {
@@ -53,7 +53,7 @@
 			if got.Scope != l.Scope {
 				t.Fatalf("told %v, and %v came of it", l.Scope, got.Scope)
 			}
-			if l.Scope == decide.Whole || l.Scope == decide.Restored {
+			if l.Scope == decide.Snapshot || l.Scope == decide.LastKnown {
 				clear(view)
 			}
 			for _, e := range got.Endpoints {
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -14,7 +14,7 @@
 // serve again as their lists say. It returns what that changes.
 func (s *Set) Withdraw(names []string) engine.List {
 	if len(names) == 0 && len(s.peers) == 0 {
-		return engine.List{Scope: decide.Changes}
+		return engine.List{Scope: decide.Delta}
 	}
 	touched := s.peers
 	s.peers = nil
--- a/internal/membership/peers_test.go
+++ b/internal/membership/peers_test.go
@@ -19,7 +19,7 @@
 		var s Set
 		lists, view := map[string]engine.Endpoint{}, map[string]engine.Endpoint{}
 		take := func(l engine.List) {
-			if l.Scope == decide.Whole {
+			if l.Scope == decide.Snapshot {
 				clear(view)
 			}
 			for _, e := range l.Endpoints {
@@ -33,8 +33,8 @@
 		var claims []string
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "list") {
-				l := engine.List{Scope: rapid.SampledFrom([]decide.ListScope{decide.Whole, decide.Changes}).Draw(t, "scope")}
-				if l.Scope == decide.Whole {
+				l := engine.List{Scope: rapid.SampledFrom([]decide.ListScope{decide.Snapshot, decide.Delta}).Draw(t, "scope")}
+				if l.Scope == decide.Snapshot {
 					clear(lists)
 				}
 				for i := range rapid.IntRange(0, 6).Draw(t, "n") {
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -173,25 +173,25 @@
 // For is what the decision module applies.
 func (l *Limits) For(class string, dest int, route string) (m decide.Limits) {
 	if rule := l.of(attempts, class, dest, route); rule != nil {
-		m.Attempts = rule.Attempts
+		m.MaxAttempts = rule.Attempts
 	}
 	if rule := l.of(answer, class, dest, route); rule != nil {
-		m.Answer = time.Duration(rule.Answer)
+		m.AttemptTimeout = time.Duration(rule.Answer)
 	}
 	if rule := l.of(wait, class, dest, route); rule != nil {
-		m.Wait = time.Duration(rule.Wait)
+		m.RetryDelay = time.Duration(rule.Wait)
 	}
 	if rule := l.of(second, class, dest, route); rule != nil {
-		m.Copy = time.Duration(rule.Copy)
+		m.HedgeDelay = time.Duration(rule.Copy)
 	}
 	if rule := l.of(out, "", dest, ""); rule != nil {
-		m.Out = rule.Out
+		m.MaxInFlight = rule.Out
 	}
 	if rule := l.of(rate, "", dest, ""); rule != nil {
-		m.Rate = rule.Rate
+		m.MaxRate = rule.Rate
 	}
 	if rule := l.of(ratio, "", dest, ""); rule != nil {
-		m.Ratio = rule.Ratio
+		m.MaxRetryRatio = rule.Ratio
 	}
 	return m
 }
@@ -413,9 +413,9 @@
 		return cmp.Or(c.Where["limits."+l.Name+"."+name], l.Name)
 	}
 	switch {
-	case !set.SecondCopies:
+	case !set.Hedging:
 		say("the platform allows no second copies", "take copy out")
-	case k.Effect != decide.Pure:
+	case k.Effect != decide.Idempotent:
 		say(fmt.Sprintf("a second copy of a message of class %s could take effect twice, and the block holds for %s", k.Name, c.shown(s)), "name in it only classes that are safe to repeat")
 	case attempts != nil && attempts.Attempts < 2:
 		say(fmt.Sprintf("a second copy is an attempt, and for %s one is allowed (%s)", c.shown(s), at(attempts, "attempts")), "allow two, or take copy out")
--- a/internal/operator/limits_test.go
+++ b/internal/operator/limits_test.go
@@ -51,7 +51,7 @@
 // TestNoUnsafeLimits makes 100,000 sets of limits and has them judged by the checker and by brute force over all messages that
 // there can be: none that is unsafe or means two things is accepted, and none that is safe refused.
 func TestNoUnsafeLimits(t *testing.T) {
-	set := decide.Settings{MaxAttempts: 4, SecondCopies: true, Classes: []decide.Class{{Name: "status", Deadline: 3 * time.Second}, {Name: "handover", Effect: decide.Unsafe, Deadline: 2 * time.Second}}}
+	set := decide.Settings{MaxAttempts: 4, Hedging: true, Classes: []decide.Class{{Name: "status", Deadline: 3 * time.Second}, {Name: "handover", Effect: decide.AtMostOnce, Deadline: 2 * time.Second}}}
 	// Where messages go: named by rules or not, and by which route. To a pool any class may come, by a route that is set later.
 	ways := []struct {
 		dest  int
@@ -153,7 +153,7 @@
 				n, _ := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Attempts) })
 				each, _ := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Answer) })
 				pause, _ := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Wait) })
-				if got := limits.For(k.Name, way.dest, way.route); int64(got.Attempts) != n || int64(got.Answer) != each || int64(got.Wait) != pause {
+				if got := limits.For(k.Name, way.dest, way.route); int64(got.MaxAttempts) != n || int64(got.AttemptTimeout) != each || int64(got.RetryDelay) != pause {
 					t.Fatalf("%+v: for %s by %+v got %+v, want %d and %v", c.Limits, k.Name, way, got, n, time.Duration(each))
 				}
 			}
--- a/internal/operator/plugins.go
+++ b/internal/operator/plugins.go
@@ -193,7 +193,7 @@
 		}
 		spec := p.Spec()
 		for _, name := range names {
-			if classes[name].Effect != decide.Pure && (len(p.Classes) == 0 || slices.Contains(p.Classes, name)) {
+			if classes[name].Effect != decide.Idempotent && (len(p.Classes) == 0 || slices.Contains(p.Classes, name)) {
 				add("plugin."+p.Name, fmt.Sprintf("%s: its hook call alters what each attempt sends, and a message of class %s must not go out in two versions", spec.File, name),
 					"bind it to classes that are safe to repeat, or alter the message in the hook intake, whose result is kept")
 			}
--- a/internal/operator/plugins_test.go
+++ b/internal/operator/plugins_test.go
@@ -17,7 +17,7 @@
 // would be asked in no stated order, a chain could outlast its client, or a message that must not take effect twice could go
 // out in two versions; and no other is refused.
 func TestNoUnsafePlugins(t *testing.T) {
-	set := decide.Settings{Classes: []decide.Class{{Name: "update"}, {Name: "handover", Effect: decide.Unsafe}}}
+	set := decide.Settings{Classes: []decide.Class{{Name: "update"}, {Name: "handover", Effect: decide.AtMostOnce}}}
 	accepted, refused := 0, 0
 	check := func(t *rapid.T) {
 		c := Default()
--- a/internal/operator/pools.go
+++ b/internal/operator/pools.go
@@ -169,7 +169,7 @@
 
 // Endpoints is what all pools tell, as a source of endpoints.
 func (c *Config) Endpoints() engine.List {
-	l := engine.List{Scope: decide.Whole}
+	l := engine.List{Scope: decide.Snapshot}
 	for _, p := range c.Pools {
 		for _, e := range p.Endpoints {
 			state := decide.Active
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -116,9 +116,9 @@
 // TestCautionOnly: a reply can be made to count for less and for no more, whatever is wished for.
 func TestCautionOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := decide.Outcome{Result: decide.Result(rapid.IntRange(int(decide.Done), int(decide.NotSent)).Draw(t, "result")),
-			Wait: time.Duration(rapid.IntRange(0, 1000).Draw(t, "told")) * time.Second}
-		o.Over = o.Result == decide.Done
+		o := decide.Outcome{Result: decide.Result(rapid.IntRange(int(decide.Succeeded), int(decide.NotSent)).Draw(t, "result")),
+			RetryAfter: time.Duration(rapid.IntRange(0, 1000).Draw(t, "told")) * time.Second}
+		o.NoAnswerNeeded = o.Result == decide.Succeeded
 		r := results(t)
 		if rapid.Bool().Draw(t, "of a reply only") {
 			r.Refuse, r.HasBody, r.Header, r.Only, r.Prefer = false, false, nil, nil, nil
@@ -128,9 +128,9 @@
 		switch {
 		case err != nil && got != o:
 			t.Fatalf("%v, and still %+v became %+v", err, o, got)
-		case got.Wait < o.Wait || got.Wait > max(o.Wait, MostWait):
-			t.Fatalf("a wait of %v became %v", o.Wait, got.Wait)
-		case got.Result != o.Result && (o.Result != decide.Done || got.Result != decide.Errored || got.Over):
+		case got.RetryAfter < o.RetryAfter || got.RetryAfter > max(o.RetryAfter, MostWait):
+			t.Fatalf("a wait of %v became %v", o.RetryAfter, got.RetryAfter)
+		case got.Result != o.Result && (o.Result != decide.Succeeded || got.Result != decide.Errored || got.NoAnswerNeeded):
 			t.Fatalf("%+v became %+v", o, got)
 		}
 	})
--- a/internal/plugin/rules.go
+++ b/internal/plugin/rules.go
@@ -192,10 +192,10 @@
 	if err != nil {
 		return o, err
 	}
-	if r.NotDelivered && o.Result == decide.Done {
-		o.Result, o.Over = decide.Errored, false
+	if r.NotDelivered && o.Result == decide.Succeeded {
+		o.Result, o.NoAnswerNeeded = decide.Errored, false
 	}
-	o.Wait = max(o.Wait, wait)
+	o.RetryAfter = max(o.RetryAfter, wait)
 	return o, nil
 }
 
--- a/internal/plugin/runner/runner.go
+++ b/internal/plugin/runner/runner.go
@@ -250,7 +250,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l.Scope != decide.Changes {
+	if l.Scope != decide.Delta {
 		clear(r.active)
 		clear(r.where)
 	}
@@ -333,7 +333,7 @@
 			body, err := a.Body.Load()
 			if err != nil {
 				slog.Error("a body can't be read", "id", a.ID, "err", err)
-				return decide.Outcome{Result: decide.NotSent, Hold: p.spec.Wait}, false
+				return decide.Outcome{Result: decide.NotSent, RetryDelay: p.spec.Wait}, false
 			}
 			content = &plugin.Content{Body: body, Header: a.Header}
 		}
@@ -348,7 +348,7 @@
 			return nil
 		})
 		if err != nil && !p.spec.Pass {
-			return decide.Outcome{Result: decide.NotSent, Hold: p.spec.Wait}, false
+			return decide.Outcome{Result: decide.NotSent, RetryDelay: p.spec.Wait}, false
 		}
 	}
 	if content != nil {
--- a/internal/plugin/runner/runner_test.go
+++ b/internal/plugin/runner/runner_test.go
@@ -73,7 +73,7 @@
 	if err := r.Load(specs); err != nil {
 		t.Fatal(err)
 	}
-	r.list(engine.List{Scope: decide.Whole, Endpoints: []engine.Endpoint{
+	r.list(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{
 		{Target: decide.Target{ID: "a", Destination: 7}}, {Target: decide.Target{ID: "b", Destination: 7}},
 		{Target: decide.Target{ID: "drains", Destination: 7, State: decide.Draining}}, {Target: decide.Target{ID: "other", Destination: 8}}}})
 	return r
@@ -248,7 +248,7 @@
 	if a.Reply != nil {
 		a.Reply.Status, a.Reply.Body = c.status, []byte(c.body)
 	}
-	return decide.Outcome{Result: c.result, Over: c.result == decide.Done}
+	return decide.Outcome{Result: c.result, NoAnswerNeeded: c.result == decide.Succeeded}
 }
 
 // TestCallAndReply: an attempt is altered or held back, and a reply counts for less or the same.
@@ -260,12 +260,12 @@
 		want         decide.Outcome
 		body         string
 	}{
-		{"altered", "def call(message):\n    return change(body = message.body + message.endpoint + str(message.attempt))\n", false, decide.Done, decide.Outcome{Result: decide.Done, Over: true}, "bodya2"},
-		{"held back", "def call(message):\n    fail(\"no\")\n", false, decide.Done, decide.Outcome{Result: decide.NotSent, Hold: time.Second}, ""},
-		{"passed", "def call(message):\n    fail(\"no\")\n", true, decide.Done, decide.Outcome{Result: decide.Done, Over: true}, "body"},
-		{"a wish that is not for it", "def call(message):\n    return refuse(\"no\")\n", true, decide.Done, decide.Outcome{Result: decide.Done, Over: true}, "body"},
-		{"no delivery", "def reply(message, reply):\n    return not_delivered(wait = \"3s\") if \"full\" in reply.body else None\n", false, decide.Done, decide.Outcome{Result: decide.Errored, Wait: 3 * time.Second}, "body"},
-		{"no less than refused", "def reply(message, reply):\n    return not_delivered()\n", false, decide.Full, decide.Outcome{Result: decide.Full}, "body"},
+		{"altered", "def call(message):\n    return change(body = message.body + message.endpoint + str(message.attempt))\n", false, decide.Succeeded, decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}, "bodya2"},
+		{"held back", "def call(message):\n    fail(\"no\")\n", false, decide.Succeeded, decide.Outcome{Result: decide.NotSent, RetryDelay: time.Second}, ""},
+		{"passed", "def call(message):\n    fail(\"no\")\n", true, decide.Succeeded, decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}, "body"},
+		{"a wish that is not for it", "def call(message):\n    return refuse(\"no\")\n", true, decide.Succeeded, decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}, "body"},
+		{"no delivery", "def reply(message, reply):\n    return not_delivered(wait = \"3s\") if \"full\" in reply.body else None\n", false, decide.Succeeded, decide.Outcome{Result: decide.Errored, RetryAfter: 3 * time.Second}, "body"},
+		{"no less than refused", "def reply(message, reply):\n    return not_delivered()\n", false, decide.Overloaded, decide.Outcome{Result: decide.Overloaded}, "body"},
 		{"a reply that can't be judged", "def reply(message, reply):\n    fail(\"no\")\n", false, decide.Errored, decide.Outcome{Result: decide.Errored}, "body"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -394,7 +394,7 @@
 	}
 	before, heap := runtime.NumGoroutine(), heapInUse()
 	r := New(command(t))
-	r.list(engine.List{Scope: decide.Whole, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "a", Destination: 7}}}})
+	r.list(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "a", Destination: 7}}}})
 	calls := 0
 	for n := range programs {
 		source := hostile.Source(uint64(n), true)
@@ -415,8 +415,8 @@
 					t.Fatalf("%+v\n%s", k.list[0], source)
 				}
 			}
-			end := &called{status: 200, result: decide.Full}
-			if o := r.Back(end).Endpoint("a").Call(t.Context(), engine.Attempt{ID: "7f", Class: "note", Destination: 7, Body: message.Bytes("body"), Timeout: time.Minute}); o.Result != decide.Full && o.Result != decide.NotSent {
+			end := &called{status: 200, result: decide.Overloaded}
+			if o := r.Back(end).Endpoint("a").Call(t.Context(), engine.Attempt{ID: "7f", Class: "note", Destination: 7, Body: message.Bytes("body"), Timeout: time.Minute}); o.Result != decide.Overloaded && o.Result != decide.NotSent {
 				t.Fatalf("%+v\n%s", o, source)
 			}
 			r.Ended(engine.Ending{ID: "7f", Class: "note", Destination: 7, How: "failed"})
--- a/internal/steplog/restarts_test.go
+++ b/internal/steplog/restarts_test.go
@@ -14,7 +14,7 @@
 func TestRestartsAreCounted(t *testing.T) {
 	var log strings.Builder
 	taken := func(id string, attempts int, left time.Duration) decide.Event {
-		return decide.Message{ID: id, Left: left, Recovered: true, Attempts: attempts}
+		return decide.Message{ID: id, TimeLeft: left, Recovered: true, Attempts: attempts}
 	}
 	w := NewWriter(&log)
 	log.WriteString("1.000 ")
--- a/internal/steplog/steplog.go
+++ b/internal/steplog/steplog.go
@@ -48,12 +48,12 @@
 			w.line("list", "scope=%d n=%d", e.Scope, len(e.Targets))
 		case decide.Message:
 			w.msgs[e.ID] = &told{e.Destination, e.Attempts}
-			w.line("take", "dest=%d class=%q id=%q left=%d recovered=%t attempts=%d open=%t ran=%t", e.Destination, e.Class, e.ID, e.Left.Milliseconds(), e.Recovered,
-				e.Attempts, e.Open, e.MayHaveRun)
+			w.line("take", "dest=%d class=%q id=%q left=%d recovered=%t attempts=%d open=%t ran=%t", e.Destination, e.Class, e.ID, e.TimeLeft.Milliseconds(), e.Recovered,
+				e.Attempts, e.HasOpenAttempt, e.MayHaveRun)
 		case decide.Outcome:
 			w.line("outcome", "dest=%d target=%q id=%q result=%s took=%d wait=%d left=%.2f rate=%.2f", w.dests[e.Target], e.Target, e.Message,
-				resultName(e.Result), e.Took.Milliseconds(), e.Wait.Milliseconds(), e.Allowance.Left, e.Allowance.Rate)
-			if e.Over {
+				resultName(e.Result), e.Latency.Milliseconds(), e.RetryAfter.Milliseconds(), e.Allowance.Remaining, e.Allowance.Rate)
+			if e.NoAnswerNeeded {
 				delete(w.msgs, e.Message)
 			}
 		case decide.Withdrawn:
@@ -71,7 +71,7 @@
 			}
 			w.line("send", "dest=%d target=%q id=%q try=%d timeout=%d", w.dests[a.Target], a.Target, a.Message, try, a.Timeout.Milliseconds())
 		case decide.Refuse:
-			w.end("refuse", a.Message, a.Wait)
+			w.end("refuse", a.Message, a.RetryAfter)
 		case decide.Fail:
 			w.end("fail", a.Message, 0)
 		case decide.CloseIdle:
@@ -95,7 +95,7 @@
 	fmt.Fprintf(w.out, format+"\n", args...)
 }
 
-var resultNames = [...]string{decide.Done: "done", decide.Errored: "errored", decide.Full: "full", decide.TimedOut: "timedout",
+var resultNames = [...]string{decide.Succeeded: "done", decide.Errored: "errored", decide.Overloaded: "full", decide.TimedOut: "timedout",
 	decide.ConnectFailed: "connect", decide.Reset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "notsent", decide.Rejected: "rejected"}
 
 func resultName(r decide.Result) string {
--- a/internal/steplog/steplog_test.go
+++ b/internal/steplog/steplog_test.go
@@ -18,11 +18,11 @@
 	w.Step(0, []decide.Event{decide.TargetList{Targets: []decide.Target{{ID: "a", Destination: 4}}}}, nil)
 	log.WriteString("1.250 ")
 	w.Step(time.Second, []decide.Event{decide.Message{ID: "m1", Destination: 4}, decide.Message{ID: "m2", Destination: 4}},
-		[]decide.Action{decide.Send{Message: "m1", Target: "a"}, decide.Refuse{Message: "m2", Wait: time.Second}})
+		[]decide.Action{decide.Send{Message: "m1", Target: "a"}, decide.Refuse{Message: "m2", RetryAfter: time.Second}})
 	log.WriteString("2.000 time=x msg=other\n2.100 ")
-	w.Step(2*time.Second, []decide.Event{decide.Outcome{Message: "m1", Target: "a", Result: decide.Full, Wait: time.Second}},
+	w.Step(2*time.Second, []decide.Event{decide.Outcome{Message: "m1", Target: "a", Result: decide.Overloaded, RetryAfter: time.Second}},
 		[]decide.Action{decide.Send{Message: "m1", Target: "a"}, decide.CloseIdle{Target: "a"}})
-	w.Step(2*time.Second, []decide.Event{decide.Outcome{Message: "m1", Target: "a", Result: decide.Done, Over: true}}, nil)
+	w.Step(2*time.Second, []decide.Event{decide.Outcome{Message: "m1", Target: "a", Result: decide.Succeeded, NoAnswerNeeded: true}}, nil)
 	log.WriteString("step: outcome dest=")
 	dir := t.TempDir()
 	if _, err := Fleet(dir); err == nil || !strings.Contains(err.Error(), "-log-steps") {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -20,18 +20,18 @@
 // not know are passed over.
 func settings(f *fields) decide.Settings {
 	s := decide.Settings{
-		Zone: f.text("Locality", false), CrossPrice: f.number("Costs.CrossZone", false),
+		Zone: f.text("Locality", false), CrossZonePrice: f.number("Costs.CrossZone", false),
 		ConnectPrice: f.number("Costs.Handshake", false),
-		Forwarders:   f.integer("Siblings", false), OverShareWorth: f.number("OverShareWorth", false),
-		Slots: f.integer("FamilyInfo.Workers", false), MaxHeld: f.integer("Limits.MaxOpen", false),
-		MaxAttempts: f.integer("Limits.MaxAttempts", false), SecondCopies: f.boolean("Limits.SecondCopies"),
+		Forwarders:   f.integer("Siblings", false), OverQuotaValue: f.number("OverShareWorth", false),
+		Slots: f.integer("FamilyInfo.Workers", false), MaxOpen: f.integer("Limits.MaxOpen", false),
+		MaxAttempts: f.integer("Limits.MaxAttempts", false), Hedging: f.boolean("Limits.SecondCopies"),
 		MayProbe: f.boolean("Limits.MayProbe"), MayCancel: f.boolean("Limits.Cancel"),
-		AskEvery: f.duration("Invariants.AskEvery", false),
-		ConnIdle: f.duration("Limits.ConnIdle", false), ConnectLimit: f.duration("Limits.ConnectTimeout", false),
-		Slack: f.duration("Invariants.AnswerSlack", false), DrainGrace: f.duration("Invariants.DrainGrace", false),
-		KeyRest: f.duration("Invariants.KeyRest", false), Cold: f.duration("Invariants.Cold", false),
+		ResubscribeInterval: f.duration("Invariants.AskEvery", false),
+		ConnIdle: f.duration("Limits.ConnIdle", false), ConnectTimeout: f.duration("Limits.ConnectTimeout", false),
+		AnswerSlack: f.duration("Invariants.AnswerSlack", false), DrainGrace: f.duration("Invariants.DrainGrace", false),
+		KeyPause: f.duration("Invariants.KeyRest", false), SlowStart: f.duration("Invariants.Cold", false),
 		StartCapacity: f.number("Invariants.StartCapacity", false),
-		TipMultiple:   f.number("Invariants.TipMultiple", false), Fall: f.duration("Invariants.Fall", false),
+		OverloadFactor:   f.number("Invariants.TipMultiple", false), OverloadOutage: f.duration("Invariants.Fall", false),
 	}
 	if seed, err := strconv.ParseUint(f.text("InitSeed", true), 10, 64); err == nil {
 		s.Seed = seed
@@ -39,11 +39,11 @@
 		f.fail("InitSeed", "bad number", f.pairs["InitSeed"])
 	}
 	if f.boolean("Limits.RetryAfter") {
-		s.AdviceLimit = f.duration("Limits.MaxRetryAfter", false)
+		s.MaxRetryAfter = f.duration("Limits.MaxRetryAfter", false)
 	}
-	s.MustAsk = choice(f, "Discovery", map[string]bool{"automatic": false, "": false, "subscribe": true})
+	s.MustSubscribe = choice(f, "Discovery", map[string]bool{"automatic": false, "": false, "subscribe": true})
 	s.Decay = choice(f, "FamilyInfo.Late", map[string]decide.Decay{
-		"line": decide.Line, "": decide.Line, "halves": decide.Halves})
+		"line": decide.Linear, "": decide.Linear, "halves": decide.Exponential})
 	s.Weights = choice(f, "Weights", map[string]decide.Weights{
 		"": decide.NoWeights, "silent": decide.NoWeights, "live": decide.NoWeights,
 		"nominal": decide.ExactWeights, "rough": decide.RoughWeights})
@@ -52,25 +52,25 @@
 		s.Classes = append(s.Classes, decide.Class{
 			Name: f.text(p+"Name", true),
 			Effect: choice(f, p+"Effect", map[string]decide.Effect{
-				"pure": decide.Pure, "token": decide.Keyed, "side_effect": decide.Unsafe}),
-			ZoneGroup: f.text(p+"DedupScope", false) != "all", Window: f.duration(p+"RepeatWindow", false),
-			Aim: f.duration(p+"OnTime", true), Deadline: f.duration(p+"Deadline", true),
-			Worth: f.number(p+"Worth", false), LateShare: f.number(p+"LateShare", false),
-			KeepsOrder: f.boolean(p + "KeepOrder"),
+				"pure": decide.Idempotent, "token": decide.Deduplicated, "side_effect": decide.AtMostOnce}),
+			DedupPerZone: f.text(p+"DedupScope", false) != "all", DedupWindow: f.duration(p+"RepeatWindow", false),
+			OnTime: f.duration(p+"OnTime", true), Deadline: f.duration(p+"Deadline", true),
+			Value: f.number(p+"Worth", false), LateShare: f.number(p+"LateShare", false),
+			Ordered: f.boolean(p + "KeepOrder"),
 		})
 	}
 	apart, perCall := list(f, "FamilyInfo.SeparateRoutes"), list(f, "FamilyInfo.PerCall")
 	for i, name := range list(f, "Kinds") {
-		k := decide.Kind{Name: name, PerCall: 1}
+		k := decide.Kind{Name: name, MaxBatch: 1}
 		if i < len(apart) {
-			k.Apart = apart[i] == "true" || apart[i] == "1"
+			k.SeparateRoutes = apart[i] == "true" || apart[i] == "1"
 		}
 		if i < len(perCall) {
 			n, err := strconv.ParseFloat(perCall[i], 64)
 			if err != nil {
 				f.fail("FamilyInfo.PerCall", "bad number", perCall[i])
 			}
-			k.PerCall = int(n)
+			k.MaxBatch = int(n)
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -124,8 +124,8 @@
 	case "ACCEPT":
 		in.Event = decide.Message{
 			ID: f.text("Tid", true), Class: f.text("Qos", true), Destination: f.integer("CalledNode", true),
-			Key: f.text("PathKey", false), Tenant: f.text("Customer", false), Left: f.duration("Left", true),
-			Again: f.boolean("Again"), Repeat: f.boolean("Repeat"),
+			Key: f.text("PathKey", false), Tenant: f.text("Customer", false), TimeLeft: f.duration("Left", true),
+			FromFailedForwarder: f.boolean("Again"), ClientRetry: f.boolean("Repeat"),
 		}
 		f.boolean("Update")
 		f.number("Effort", false)
@@ -133,19 +133,19 @@
 		wait := f.integer("Note", false)
 		o := decide.Outcome{
 			Message: f.text("Tid", true), Attempt: f.integer("Try", false), Target: f.text("Target", true),
-			Result: f.result("Ending"), Took: f.duration("Lag", false), Over: f.boolean("NoMore"),
+			Result: f.result("Ending"), Latency: f.duration("Lag", false), NoAnswerNeeded: f.boolean("NoMore"),
 			Allowance: f.allowance("Load"),
 		}
 		switch o.Result {
-		case decide.Full:
-			o.Wait = time.Duration(wait) * time.Millisecond
+		case decide.Overloaded:
+			o.RetryAfter = time.Duration(wait) * time.Millisecond
 		case decide.NotSent:
 			o.NoSlot = wait == 1
 		}
 		in.Event = o
 	case "STATUS_BACK":
 		in.Event = decide.ProbeResult{
-			Target: f.text("Target", true), Result: f.result("Ending"), Took: f.duration("Lag", false),
+			Target: f.text("Target", true), Result: f.result("Ending"), Latency: f.duration("Lag", false),
 			Allowance: f.allowance("Load"),
 		}
 	case "DROPPED":
@@ -225,11 +225,11 @@
 	var l decide.TargetList
 	switch scope := f.text("Scope", true); scope {
 	case "update":
-		l.Scope = decide.Changes
+		l.Scope = decide.Delta
 	case "replace":
-		l.Scope = decide.Whole
+		l.Scope = decide.Snapshot
 	case "restored":
-		l.Scope = decide.Restored
+		l.Scope = decide.LastKnown
 	case "unavailable":
 		l.Scope = decide.Unavailable
 		return l
@@ -248,7 +248,7 @@
 
 // results names the endings of an attempt.
 var results = map[string]decide.Result{
-	"done": decide.Done, "err": decide.Errored, "busy": decide.Full,
+	"done": decide.Succeeded, "err": decide.Errored, "busy": decide.Overloaded,
 	"etimedout": decide.TimedOut, "econnrefused": decide.ConnectFailed,
 	"econnreset": decide.Reset, "ecanceled": decide.Cancelled, "skipped": decide.NotSent,
 }
@@ -360,9 +360,9 @@
 		}
 		switch key {
 		case "x0":
-			a.Told, a.Left = true, v
+			a.Reported, a.Remaining = true, v
 		case "x1":
-			a.Told, a.Rate = true, v
+			a.Reported, a.Rate = true, v
 		}
 	}
 	return a
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,19 +32,19 @@
 	}
 	s := b.Inputs[0].Settings
 	c := s.Classes[0]
-	if s.Seed != 9 || s.Slots != 5 || s.Weights != decide.RoughWeights || s.Decay != decide.Halves || !s.MayCancel ||
-		c.Effect != decide.Keyed || !c.ZoneGroup || c.Window != 900*time.Millisecond ||
-		s.ZoneFee["west"] != 0.5 || s.Kinds[1] != (decide.Kind{Name: "bank", Apart: true, PerCall: 4}) {
+	if s.Seed != 9 || s.Slots != 5 || s.Weights != decide.RoughWeights || s.Decay != decide.Exponential || !s.MayCancel ||
+		c.Effect != decide.Deduplicated || !c.DedupPerZone || c.DedupWindow != 900*time.Millisecond ||
+		s.ZoneFee["west"] != 0.5 || s.Kinds[1] != (decide.Kind{Name: "bank", SeparateRoutes: true, MaxBatch: 4}) {
 		t.Errorf("settings: %+v", s)
 	}
 	l := b.Inputs[1].Event.(decide.TargetList)
-	if l.Scope != decide.Restored || l.Targets[0] != (decide.Target{ID: "t1", Destination: 4, Kind: "bank",
+	if l.Scope != decide.LastKnown || l.Targets[0] != (decide.Target{ID: "t1", Destination: 4, Kind: "bank",
 		Zone: "east", State: decide.Draining, Weight: 1.5}) {
 		t.Errorf("list: %+v", l)
 	}
 	o := b.Inputs[2].Event.(decide.Outcome)
-	want := decide.Outcome{Message: "a", Attempt: 1, Target: "t1", Result: decide.Full, Took: 7250 * time.Microsecond,
-		Wait: 300 * time.Millisecond, Allowance: decide.Allowance{Told: true, Left: .5, Rate: 2.25}}
+	want := decide.Outcome{Message: "a", Attempt: 1, Target: "t1", Result: decide.Overloaded, Latency: 7250 * time.Microsecond,
+		RetryAfter: 300 * time.Millisecond, Allowance: decide.Allowance{Reported: true, Remaining: .5, Rate: 2.25}}
 	if o != want {
 		t.Errorf("outcome: %+v", o)
 	}
@@ -96,7 +96,7 @@
 	w := NewWriter(&out)
 	for _, a := range []decide.Action{
 		decide.Send{Message: "a", Target: "t", Timeout: 80500 * time.Microsecond},
-		decide.Refuse{Message: "a", Wait: time.Second}, decide.Fail{Message: "b"},
+		decide.Refuse{Message: "a", RetryAfter: time.Second}, decide.Fail{Message: "b"},
 		decide.Cancel{Message: "c", Attempt: 2}, decide.CloseIdle{Target: "t"},
 		decide.Subscribe{}, decide.Wake{After: 25 * time.Millisecond},
 	} {
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -26,7 +26,7 @@
 		parts = [3][2]string{{"Tid", a.Message}, {"Target", a.Target}, {"MaxWait", millis(a.Timeout)}}
 	case decide.Refuse:
 		verb = "BOUNCE"
-		parts = [3][2]string{{"Tid", a.Message}, {"Pause", millis(a.Wait)}}
+		parts = [3][2]string{{"Tid", a.Message}, {"Pause", millis(a.RetryAfter)}}
 	case decide.Fail:
 		verb = "ERROR"
 		parts = [3][2]string{{"Tid", a.Message}}
