--- a/cmd/scaleroute-lab/fleetrun.go
+++ b/cmd/scaleroute-lab/fleetrun.go
@@ -351,7 +351,7 @@
 		return
 	}
 	all := audit.Doors(ctx, doors, 5*time.Second, nil)
-	m := audit.Merge(all, version.Want{}, nil)
+	m := audit.Merge(all, version.Desired{}, nil)
 	p.Lists, p.Files, p.Verdicts = m.Lists, m.Files, map[string]int{}
 	for i := range p.Lists {
 		p.Lists[i].Steps = nil
@@ -374,7 +374,7 @@
 		}
 		for _, e := range r.World.Endpoints {
 			seen, _ := n.Arrived(e.Name, time.Time{}, time.Time{})
-			a := audit.Merge([]audit.Gathered{g}, version.Want{}, &audit.Question{Target: e.Name}).Asked
+			a := audit.Merge([]audit.Gathered{g}, version.Desired{}, &audit.Question{Target: e.Name}).Asked
 			p.Audited++
 			if a.Total.Least > uint64(seen) || a.Total.Most < uint64(seen) {
 				p.Differ = append(p.Differ, fmt.Sprintf("%s has seen %d calls of %s, and the audit says %d to %d", e.Name, seen, g.Name, a.Total.Least, a.Total.Most))
@@ -423,7 +423,7 @@
 		put("forwarders.parquet", func(w io.Writer) error { return parquet.Write(w, rows) }),
 		put("calls.parquet", func(w io.Writer) error { return audit.WriteParquet(w, audit.Rows(all)) }),
 		put("lists.png", func(w io.Writer) error {
-			return audit.WriteChart(w, audit.Merge(all, version.Want{}, nil), len(r.Nodes))
+			return audit.WriteChart(w, audit.Merge(all, version.Desired{}, nil), len(r.Nodes))
 		}))
 }
 
--- a/cmd/scaleroute/fleet.go
+++ b/cmd/scaleroute/fleet.go
@@ -81,12 +81,12 @@
 	if from != nil {
 		p.over = from.takeOver + 1
 	}
-	v := version.Vector{Format: version.Format, Build: p.build, Settings: version.Contents{Digest: p.f.c.Digest, Times: 1},
-		Operators: version.Contents{Digest: set.Digest(), Times: p.f.operators.reads}, TakeOver: p.over, Started: p.began}
+	v := version.Vector{Format: version.Format, Build: p.build, Settings: version.Contents{Digest: p.f.c.Digest, LoadCount: 1},
+		Operators: version.Contents{Digest: set.Digest(), LoadCount: p.f.operators.reads}, Handovers: p.over, Started: p.began}
 	if names, err := operations.NewLeftOut(p.f.c.State).Load(); len(names) > 0 || err != nil {
-		v.LeftOut = version.Contents{Digest: version.Names(names), Times: 1}
+		v.Disabled = version.Contents{Digest: version.DigestOfNames(names), LoadCount: 1}
 	}
-	v.List = new(version.Targets).Tell(known.Index, true, known.Entries())
+	v.List = new(version.ListTracker).Update(known.Index, true, known.Entries())
 	a := &engine.Acting{Vector: v, Asleep: func(epoch uint64, slept time.Duration) {
 		select {
 		case <-p.asleep: // an earlier one that nobody has seen to: what is asked for now is newer than both
--- a/cmd/scaleroute/fleet_test.go
+++ b/cmd/scaleroute/fleet_test.go
@@ -190,7 +190,7 @@
 	for _, one := range n[3:] {
 		eventually(t, one.Name+" has read the file", func() bool { return ask[Versions](t, one, "/versions").Vector.Operators.Digest == digest })
 	}
-	if got := ask[Versions](t, n[2], "/versions").Vector; got.Operators.Digest == digest || got.Operators.Times != 1 {
+	if got := ask[Versions](t, n[2], "/versions").Vector; got.Operators.Digest == digest || got.Operators.LoadCount != 1 {
 		t.Errorf("n3 has missed the reload, and says %+v", got.Operators)
 	}
 	old, _ := n[1].Arrived(victim.Name, time.Time{}, time.Time{})
@@ -324,7 +324,7 @@
 	for _, one := range n {
 		doors = append(doors, one.Process().Door())
 	}
-	report := audit.Merge(audit.Doors(t.Context(), doors, 5*time.Second, nil), version.Want{}, &audit.Question{Target: victim.Name, Older: index})
+	report := audit.Merge(audit.Doors(t.Context(), doors, 5*time.Second, nil), version.Desired{}, &audit.Question{Target: victim.Name, Older: index})
 	for _, by := range report.Asked.By {
 		i := slices.IndexFunc(n, func(one *fleet.Node) bool { return one.Name == by.Name })
 		if seen, _ := n[i].Arrived(victim.Name, time.Time{}, time.Time{}); i < 3 && by.Arrived != (ledger.Count{Least: uint64(seen), Most: uint64(seen)}) {
--- a/cmd/scaleroute/member_faults_test.go
+++ b/cmd/scaleroute/member_faults_test.go
@@ -97,13 +97,13 @@
 	for i, one := range nodes {
 		for _, e := range r.World.Endpoints {
 			seen, _ := one.Arrived(e.Name, time.Time{}, time.Time{})
-			a := audit.Merge(all[i:i+1], version.Want{}, &audit.Question{Target: e.Name}).Asked
+			a := audit.Merge(all[i:i+1], version.Desired{}, &audit.Question{Target: e.Name}).Asked
 			if a.Total.Least > uint64(seen) || a.Total.Most < uint64(seen) {
 				t.Errorf("%s has seen %d calls of %s, and the audit says %d to %d", e.Name, seen, one.Name, a.Total.Least, a.Total.Most)
 			}
 		}
 	}
-	return audit.Merge(all, version.Want{}, nil)
+	return audit.Merge(all, version.Desired{}, nil)
 }
 
 // TestFleetParted starts eight forwarders on whose edges to each other three packets in ten are lost and the rest is late. They are cut into halves; in each one forwarder hears nothing of
@@ -146,7 +146,7 @@
 	l.await(t, "n1", "drained by what others know", 1)
 	l.await(t, "n5", "drained by what others know", 1)
 	deaf := time.Now().Add(200 * time.Millisecond)
-	if status, said := put(t, n[2], straggler.Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Want{Index: index}}); status != http.StatusOK {
+	if status, said := put(t, n[2], straggler.Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Desired{Index: index}}); status != http.StatusOK {
 		t.Fatalf("%d %s", status, said)
 	}
 	l.await(t, "n1", "shut out", 1)
@@ -333,7 +333,7 @@
 				before, _ := n[7].Arrived(e.Name, time.Time{}, time.Time{})
 				all := audit.Doors(context.Background(), []string{n[7].Process().Door()}, 5*time.Second, nil)
 				after, _ := n[7].Arrived(e.Name, time.Time{}, time.Time{})
-				a := audit.Merge(all, version.Want{}, &audit.Question{Target: e.Name})
+				a := audit.Merge(all, version.Desired{}, &audit.Question{Target: e.Name})
 				if all[0].Record == nil {
 					t.Errorf("n8 is not audited: %s", all[0].Err)
 					return
@@ -426,7 +426,7 @@
 			return ask[Versions](t, one, "/versions").Vector.Operators.Digest == decoded(t, changed).Digest()
 		})
 	}
-	if status, said := put(t, n[3], straggler.Want{Gen: 1, By: "test", Deadline: 100 * time.Millisecond, What: version.Want{Operators: decoded(t, changed).Digest()}}); status != http.StatusOK {
+	if status, said := put(t, n[3], straggler.Want{Gen: 1, By: "test", Deadline: 100 * time.Millisecond, What: version.Desired{Operators: decoded(t, changed).Digest()}}); status != http.StatusOK {
 		t.Fatalf("%d %s", status, said)
 	}
 	for _, one := range n[:3] {
--- a/cmd/scaleroute/member_test.go
+++ b/cmd/scaleroute/member_test.go
@@ -106,11 +106,11 @@
 	l.await(t, "n1", "drained by what others know", 1)
 	deaf := time.Now().Add(200 * time.Millisecond) // what was being connected is over
 	eventually(t, "n2 sees n1 behind", all(n[1], straggler.Behind, "n1"))
-	if v := verdicts(t, n[1])["n1"]; len(v.Lacks) != 1 || v.Lacks[0] != version.LacksList || v.Remedy == "" {
+	if v := verdicts(t, n[1])["n1"]; len(v.Lacks) != 1 || v.Lacks[0] != version.ListOutdated || v.Remedy == "" {
 		t.Errorf("n1 lacks %+v", v)
 	}
 	// It is wanted. n1 can't reach that: it goes out, alone, and says why.
-	if status, said := put(t, n[2], straggler.Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Want{Index: index}}); status != http.StatusOK {
+	if status, said := put(t, n[2], straggler.Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Desired{Index: index}}); status != http.StatusOK {
 		t.Fatalf("%d %s", status, said)
 	}
 	l.await(t, "n1", "shut out", 1)
@@ -146,7 +146,7 @@
 			t.Fatal(err)
 		}
 	}
-	if status, said := put(t, n[6], straggler.Want{Gen: 2, By: "test", Deadline: time.Minute, What: version.Want{Index: index, Operators: digest}}); status != http.StatusOK {
+	if status, said := put(t, n[6], straggler.Want{Gen: 2, By: "test", Deadline: time.Minute, What: version.Desired{Index: index, Operators: digest}}); status != http.StatusOK {
 		t.Fatalf("%d %s", status, said)
 	}
 	for _, one := range n {
@@ -154,7 +154,7 @@
 	}
 	// Of two wants of one generation all take the same, and the other is named.
 	for i, one := range []*fleet.Node{n[0], n[7]} {
-		put(t, one, straggler.Want{Gen: 3, By: fmt.Sprint("operator ", i), Deadline: time.Minute, What: version.Want{Index: index}})
+		put(t, one, straggler.Want{Gen: 3, By: fmt.Sprint("operator ", i), Deadline: time.Minute, What: version.Desired{Index: index}})
 	}
 	eventually(t, "all want the same", func() bool {
 		by := map[string]int{}
@@ -174,7 +174,7 @@
 		}
 	}
 	// What nobody can reach takes nobody out.
-	put(t, n[4], straggler.Want{Gen: 4, By: "test", Deadline: 100 * time.Millisecond, What: version.Want{Build: "feedface"}})
+	put(t, n[4], straggler.Want{Gen: 4, By: "test", Deadline: 100 * time.Millisecond, What: version.Desired{Build: "feedface"}})
 	eventually(t, "the want is known", func() bool { return ask[FleetView](t, n[0], "/fleet").Want.Gen == 4 })
 	// Meanwhile one is stopped, and there is a second n4.
 	if err := n[6].Stop(); err != nil {
@@ -204,7 +204,7 @@
 			t.Errorf("%s, though nobody can reach what is wanted: %v", one.Name, err)
 		}
 	}
-	put(t, n[4], straggler.Want{Gen: 5, By: "test", Deadline: time.Second, What: version.Want{Index: index}})
+	put(t, n[4], straggler.Want{Gen: 5, By: "test", Deadline: time.Second, What: version.Desired{Index: index}})
 	// Three vanish at once.
 	for _, one := range n[5:] {
 		if err := one.Kill(); err != nil {
--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -230,9 +230,9 @@
 		gone[i] = version.Entry{Name: name, Gone: true}
 	}
 	l := s.set.Forget(membership.Agent, names)
-	if now := s.targets.Tell(index, false, gone); now != s.list {
+	if now := s.targets.Update(index, false, gone); now != s.list {
 		s.list = now
-		l.Version = &version.Change{Cause: ledger.ListTold, Make: func(v *version.Vector) { v.List = now }}
+		l.Version = &version.Change{Cause: ledger.ListTold, Apply: func(v *version.Vector) { v.List = now }}
 	}
 	s.to.Evict(l, destinations)
 }
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -236,7 +236,7 @@
 		f.operators.sources = &sources{to: l, leftOut: operations.NewLeftOut(f.c.State)}
 		lists = f.operators.sources.start(f.operators.now.Endpoints(), lists...)
 		f.operators.sources.noteFile(f.operators.now)
-		f.operators.sources.list = f.operators.sources.targets.Tell(list.Index, true, list.Entries())
+		f.operators.sources.list = f.operators.sources.targets.Update(list.Index, true, list.Entries())
 	}
 	if from != nil && from.engine.Module != nil {
 		err := l.Resume(&from.engine, lists[len(lists)-1])
--- a/cmd/scaleroute/settings.go
+++ b/cmd/scaleroute/settings.go
@@ -157,8 +157,8 @@
 	keepControl(s.now, set)
 	old := s.now
 	s.reads++
-	read := version.Contents{Digest: set.Digest(), Times: s.reads}
-	s.sources.change(version.Change{Cause: ledger.Operators, Make: func(v *version.Vector) { v.Operators = read }}, func() {
+	read := version.Contents{Digest: set.Digest(), LoadCount: s.reads}
+	s.sources.change(version.Change{Cause: ledger.Operators, Apply: func(v *version.Vector) { v.Operators = read }}, func() {
 		s.limits.Store(set.NewLimits())
 		s.routes.Store(routes)
 	}, !reflect.DeepEqual(s.now.Pools, set.Pools), set)
@@ -174,7 +174,7 @@
 	set     membership.Set
 	to      *engine.Engine
 	leftOut operations.LeftOut
-	targets version.Targets // as discovery has told them
+	targets version.ListTracker // as discovery has told them
 	list    version.List
 	times   int               // that a target was left out or put back
 	drain   []straggler.Drain // targets that drain or are gone, by which list, the newest last
@@ -237,9 +237,9 @@
 	defer s.mu.Unlock()
 	l := s.set.Tell(membership.Agent, told.Told())
 	s.noteDrains(told)
-	if now := s.targets.Tell(told.Index, told.Snapshot, told.Entries()); now != s.list {
+	if now := s.targets.Update(told.Index, told.Snapshot, told.Entries()); now != s.list {
 		s.list = now
-		l.Version = &version.Change{Cause: ledger.ListTold, Make: func(v *version.Vector) { v.List = now }}
+		l.Version = &version.Change{Cause: ledger.ListTold, Apply: func(v *version.Vector) { v.List = now }}
 	}
 	if l.Scope == decide.Snapshot || len(l.Endpoints) > 0 || l.Version != nil {
 		s.to.List(l)
@@ -293,8 +293,8 @@
 		return err
 	}
 	s.times++
-	out := version.Contents{Digest: version.Names(s.set.LeftOut()), Times: s.times}
-	l.Version = &version.Change{Cause: ledger.ByHand, By: name, Make: func(v *version.Vector) { v.LeftOut = out }}
+	out := version.Contents{Digest: version.DigestOfNames(s.set.LeftOut()), LoadCount: s.times}
+	l.Version = &version.Change{Cause: ledger.ByHand, By: name, Apply: func(v *version.Vector) { v.Disabled = out }}
 	slog.Info(what, "target", name)
 	if !s.to.ListWithin(l, bindWithin) {
 		slog.Warn("the loop has not heard of an operator's call yet", "after", bindWithin)
--- a/cmd/scaleroutectl/fleet.go
+++ b/cmd/scaleroutectl/fleet.go
@@ -194,7 +194,7 @@
 		return errors.New("say what is wanted: --index, --newest, --operators, --build, or --nothing")
 	}
 	return c.put(out, func(v fleetView, w *straggler.Want) error {
-		w.What, w.Out, w.In = version.Want{Index: c.Index, Build: c.Build}, nil, nil
+		w.What, w.Out, w.In = version.Desired{Index: c.Index, Build: c.Build}, nil, nil
 		if c.Newest {
 			for _, m := range v.Members {
 				w.What.Index = max(w.What.Index, m.Vector.List.Index)
@@ -213,7 +213,7 @@
 		}
 		reach := 0
 		for _, m := range v.Members {
-			if len(m.Vector.Lacks(w.What)) == 0 {
+			if len(m.Vector.Mismatches(w.What)) == 0 {
 				reach++
 			}
 		}
@@ -231,7 +231,7 @@
 			return fmt.Errorf("%s does not know itself yet: ask again in a second", v.Name)
 		}
 		own := v.Members[i].Vector
-		w.What = version.Want{Index: own.List.Index, List: own.List.Digest, Operators: own.Operators.Digest, Build: own.Build.Revision}
+		w.What = version.Desired{Index: own.List.Index, List: own.List.Digest, Operators: own.Operators.Digest, Build: own.Build.Revision}
 		return nil
 	})
 }
@@ -287,7 +287,7 @@
 	if err != nil {
 		return err
 	}
-	var want version.Want
+	var want version.Desired
 	if c.At != "" {
 		v, _, err := atDoor{c.At}.view()
 		if err != nil {
--- a/cmd/scaleroutectl/fleet_test.go
+++ b/cmd/scaleroutectl/fleet_test.go
@@ -64,7 +64,7 @@
 			t.Errorf("%s: %d, %s%s", verdict, status, out, errs)
 		}
 	}
-	holds := &straggler.Want{Gen: 4, By: "x", What: version.Want{Index: 6}, Out: []string{"n2"}}
+	holds := &straggler.Want{Gen: 4, By: "x", What: version.Desired{Index: 6}, Out: []string{"n2"}}
 	at, wants := fleetDoor(t, []straggler.View{view("n1", straggler.Current), view("n2", straggler.Current)}, holds, nil)
 	for _, c := range []struct {
 		args []string
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -39,7 +39,7 @@
 type Member struct {
 	Gathered
 	Verdict straggler.Verdict `json:"verdict"`
-	Lacks   []version.Lack    `json:"lacks,omitempty"`
+	Lacks   []version.Mismatch    `json:"lacks,omitempty"`
 	Remedy  string            `json:"remedy,omitempty"`
 	Changes int               `json:"changes"` // that its ledger has
 	Slept   int               `json:"slept"`   // times that it was fenced
@@ -92,7 +92,7 @@
 }
 
 // Merge judges what was gathered. want is what the fleet is to act under; empty: the newest list that anybody has.
-func Merge(all []Gathered, want version.Want, q *Question) *Report {
+func Merge(all []Gathered, want version.Desired, q *Question) *Report {
 	r := &Report{}
 	all = slices.Clone(all)
 	slices.SortFunc(all, func(a, b Gathered) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Source, b.Source)) })
@@ -136,13 +136,13 @@
 		case v == nil && g.Record != nil && g.Err == "": // a folder: what its process acts under is not known
 			if n := len(g.Record.Entries); n > 0 {
 				last := g.Record.Entries[n-1].Vector
-				m.Lacks = last.Lacks(want)
+				m.Lacks = last.Mismatches(want)
 			}
 			m.Verdict, m.Remedy = straggler.Silent, "its process was not asked: only its folder was read"
 		case v == nil:
 			m.Verdict, m.Remedy = straggler.Silent, "see whether its process runs and its door answers: "+g.Err
 		default:
-			m.Lacks = v.Lacks(want)
+			m.Lacks = v.Mismatches(want)
 			split := false
 			for d, n := range digests[v.List.Index] {
 				split = split || d != v.List.Digest && n >= digests[v.List.Index][v.List.Digest]
@@ -151,7 +151,7 @@
 			case len(processes[g.Name]) > 1:
 				m.Verdict, m.Remedy = straggler.Doubled, "end one of the two: each calls targets on its own"
 			case split:
-				m.Verdict, m.Remedy = straggler.Split, straggler.Remedy([]version.Lack{version.Diverged})
+				m.Verdict, m.Remedy = straggler.Split, straggler.Remedy([]version.Mismatch{version.ListDiverged})
 			case g.ShutOut != "":
 				m.Verdict, m.Remedy = straggler.IsShut, straggler.Remedy(m.Lacks)
 			case len(m.Lacks) > 0:
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -87,7 +87,7 @@
 func TestMerge(t *testing.T) {
 	for seed := range uint64(20) {
 		f := write(t, seed, 3+int(seed), 5)
-		r := Merge(f.all, version.Want{}, &Question{Target: "t1", Older: 5})
+		r := Merge(f.all, version.Desired{}, &Question{Target: "t1", Older: 5})
 		if got := r.Worst(); got != straggler.Current || len(r.Caveats) > 0 || len(r.Members) != len(f.all) {
 			t.Fatalf("seed %d: %v, %v", seed, got, r.Caveats)
 		}
@@ -133,7 +133,7 @@
 	f.all[6].Vector = nil // its folder alone
 	want := map[string]straggler.Verdict{"n0": straggler.Current, "n1": straggler.Behind, "n2": straggler.Split, "n3": straggler.Silent, "n4": straggler.Doubled, "n5": straggler.IsShut,
 		"n6": straggler.Silent, "n7": straggler.Current}
-	r := Merge(f.all, version.Want{}, nil)
+	r := Merge(f.all, version.Desired{}, nil)
 	for _, m := range r.Members {
 		if m.Verdict != want[m.Name] || m.Verdict != straggler.Current && m.Remedy == "" && m.Verdict != straggler.IsShut {
 			t.Errorf("%s is %s (%s)", m.Name, m.Verdict, m.Remedy)
@@ -142,7 +142,7 @@
 	if r.Worst() != straggler.Doubled {
 		t.Errorf("the worst is %s", r.Worst())
 	}
-	if r := Merge(f.all, version.Want{Build: "abc"}, nil); r.Members[0].Verdict != straggler.Behind || !strings.Contains(r.Members[0].Remedy, "upgrade") {
+	if r := Merge(f.all, version.Desired{Build: "abc"}, nil); r.Members[0].Verdict != straggler.Behind || !strings.Contains(r.Members[0].Remedy, "upgrade") {
 		t.Errorf("with another build wanted: %+v", r.Members[0])
 	}
 }
@@ -171,7 +171,7 @@
 		t.Errorf("%v, and it was %v", got, f.calls)
 	}
 	b.Reset()
-	if err := WriteChart(&b, Merge(f.all, version.Want{}, nil), len(f.all)); err != nil {
+	if err := WriteChart(&b, Merge(f.all, version.Desired{}, nil), len(f.all)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := png.Decode(&b); err != nil {
@@ -200,7 +200,7 @@
 			t.Errorf("%+v", g)
 		}
 	}
-	if r := Merge(all, version.Want{}, nil); r.Worst() != straggler.Silent || len(asked) != len(doors) {
+	if r := Merge(all, version.Desired{}, nil); r.Worst() != straggler.Silent || len(asked) != len(doors) {
 		t.Errorf("%v", r.Worst())
 	}
 	if g := Folder(t.TempDir(), "n"); g.Err == "" {
--- a/internal/audit/export.go
+++ b/internal/audit/export.go
@@ -49,7 +49,7 @@
 			v := &e.Vector
 			base := Row{Member: g.Name, Seq: int64(e.Seq), OffsetNS: int64(g.Offset), ErrorNS: int64(g.Error), Cause: e.Cause, By: e.By, Build: v.Build.Revision, Dirty: v.Build.Dirty,
 				Settings: v.Settings.Digest.String(), Operators: v.Operators.Digest.String(), ListIndex: v.List.Index, ListDigest: v.List.Digest.String(),
-				LeftOut: v.LeftOut.Digest.String(), TakeOver: int32(v.TakeOver)}
+				LeftOut: v.Disabled.Digest.String(), TakeOver: int32(v.Handovers)}
 			if !e.At.IsZero() {
 				base.At = e.At.UnixNano()
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Digest = version.Of(own)
+	c.Digest = version.DigestOf(own)
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
--- a/internal/engine/acting.go
+++ b/internal/engine/acting.go
@@ -91,8 +91,8 @@
 	if a.Acting == nil {
 		return
 	}
-	if c.Make != nil {
-		c.Make(&a.now)
+	if c.Apply != nil {
+		c.Apply(&a.now)
 	}
 	if !a.started {
 		return
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -60,14 +60,14 @@
 		revision = nil
 	}
 	b = text(b, string(revision), 32)
-	for _, c := range []version.Contents{v.Settings, v.Operators, v.LeftOut} {
-		b = binary.AppendUvarint(le.AppendUint64(b, uint64(c.Digest)), uint64(max(0, c.Times)))
+	for _, c := range []version.Contents{v.Settings, v.Operators, v.Disabled} {
+		b = binary.AppendUvarint(le.AppendUint64(b, uint64(c.Digest)), uint64(max(0, c.LoadCount)))
 	}
 	b = le.AppendUint64(b, uint64(v.List.Index))
 	b = le.AppendUint64(b, uint64(v.List.Digest))
-	b = le.AppendUint64(b, uint64(v.List.Addresses))
-	b = binary.AppendUvarint(b, uint64(v.List.Targets))
-	b = binary.AppendUvarint(b, uint64(max(0, v.TakeOver)))
+	b = le.AppendUint64(b, uint64(v.List.AddressDigest))
+	b = binary.AppendUvarint(b, uint64(v.List.TargetCount))
+	b = binary.AppendUvarint(b, uint64(max(0, v.Handovers)))
 	b = text(b, n.Why, longestText)
 	b = text(b, n.Door, 64)
 	drains := n.Drains[max(0, len(n.Drains)-mostDrains):]
@@ -163,11 +163,11 @@
 	}
 	n.Agrees = r.fixed()
 	v.Build.Revision = hex.EncodeToString([]byte(r.text(32)))
-	for _, c := range []*version.Contents{&v.Settings, &v.Operators, &v.LeftOut} {
-		*c = version.Contents{Digest: version.Digest(r.fixed()), Times: r.small()}
+	for _, c := range []*version.Contents{&v.Settings, &v.Operators, &v.Disabled} {
+		*c = version.Contents{Digest: version.Digest(r.fixed()), LoadCount: r.small()}
 	}
-	v.List.Index, v.List.Digest, v.List.Addresses = int64(r.fixed()), version.Digest(r.fixed()), version.Digest(r.fixed())
-	v.List.Targets, v.TakeOver = r.small(), r.small()
+	v.List.Index, v.List.Digest, v.List.AddressDigest = int64(r.fixed()), version.Digest(r.fixed()), version.Digest(r.fixed())
+	v.List.TargetCount, v.Handovers = r.small(), r.small()
 	n.Why, n.Door = r.text(longestText), r.text(64)
 	drains := r.number()
 	r.bad = r.bad || drains > mostDrains
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -15,16 +15,16 @@
 func drawNews(t *rapid.T) straggler.News {
 	text := func(label string, most int) string { return rapid.StringN(0, most, most).Draw(t, label) }
 	contents := func(label string) version.Contents {
-		return version.Contents{Digest: version.Digest(rapid.Uint64().Draw(t, label)), Times: rapid.IntRange(0, 1<<20).Draw(t, label)}
+		return version.Contents{Digest: version.Digest(rapid.Uint64().Draw(t, label)), LoadCount: rapid.IntRange(0, 1<<20).Draw(t, label)}
 	}
 	when := func(label string) time.Time { return time.Unix(0, rapid.Int64Min(1).Draw(t, label)).UTC() }
 	n := straggler.News{Format: straggler.Format, Name: text("name", 64), Zone: text("zone", 32), Seq: rapid.Uint64().Draw(t, "seq"), Stand: straggler.Stand(rapid.IntRange(0, 3).Draw(t, "stand")),
 		Why: text("why", longestText), Agrees: rapid.Uint64().Draw(t, "agrees"), Lacking: rapid.Bool().Draw(t, "lacking"), Door: text("door", 64), Clock: when("clock")}
 	v := &n.Vector
-	v.Format, v.Started, v.Settings, v.Operators, v.LeftOut = version.Format, when("started"), contents("settings"), contents("operators"), contents("left out")
+	v.Format, v.Started, v.Settings, v.Operators, v.Disabled = version.Format, when("started"), contents("settings"), contents("operators"), contents("left out")
 	v.Build = version.Build{Revision: rapid.StringMatching("([0-9a-f]{40})?").Draw(t, "revision"), Dirty: rapid.Bool().Draw(t, "dirty")}
-	v.List = version.List{Index: rapid.Int64().Draw(t, "index"), Digest: version.Digest(rapid.Uint64().Draw(t, "list")), Addresses: version.Digest(rapid.Uint64().Draw(t, "where")), Targets: rapid.IntRange(0, 1<<20).Draw(t, "targets")}
-	v.TakeOver = rapid.IntRange(0, 9).Draw(t, "over")
+	v.List = version.List{Index: rapid.Int64().Draw(t, "index"), Digest: version.Digest(rapid.Uint64().Draw(t, "list")), AddressDigest: version.Digest(rapid.Uint64().Draw(t, "where")), TargetCount: rapid.IntRange(0, 1<<20).Draw(t, "targets")}
+	v.Handovers = rapid.IntRange(0, 9).Draw(t, "over")
 	for range rapid.IntRange(0, mostDrains).Draw(t, "drains") {
 		n.Drains = append(n.Drains, straggler.Drain{Target: text("target", 64), Index: rapid.Int64().Draw(t, "index")})
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -106,7 +106,7 @@
 	if bytes < LeastBytes || bytes > MostBytes {
 		return nil, fmt.Errorf("a ledger of %d bytes: from %d to %d", bytes, LeastBytes, MostBytes)
 	}
-	l := &Ledger{fs: files, each: bytes / segments / 4096 * 4096, name: version.Of([]byte(name)), known: map[slotKey]*Slot{}, out: map[string]int{}}
+	l := &Ledger{fs: files, each: bytes / segments / 4096 * 4096, name: version.DigestOf([]byte(name)), known: map[slotKey]*Slot{}, out: map[string]int{}}
 	names, err := files.List()
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -68,7 +68,7 @@
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
 	r := &Record{}
-	own := version.Of([]byte(name))
+	own := version.DigestOf([]byte(name))
 	entries := map[uint64]*Entry{}
 	slices.Sort(names)
 	slices.Reverse(names) // newest first: it says what is before it
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		panic(err) // it was read from that form, or is checked
 	}
-	return version.Of(text)
+	return version.DigestOf(text)
 }
 
 // diffFleet lists what differs of the fleet.
--- a/internal/scale/partial.go
+++ b/internal/scale/partial.go
@@ -55,7 +55,7 @@
 
 	mu      sync.Mutex // one that starts and one that delivers
 	set     membership.Set
-	targets version.Targets
+	targets version.ListTracker
 }
 
 func newPartialList(s *Start, name string, seed uint64) *partialList {
@@ -83,7 +83,7 @@
 func (p *partialList) apply(l *agent.List) {
 	p.mu.Lock()
 	merged := p.set.Tell(membership.Agent, l.Told())
-	p.targets.Tell(l.Index, l.Snapshot, l.Entries())
+	p.targets.Update(l.Index, l.Snapshot, l.Entries())
 	p.mu.Unlock()
 	p.node.apply(l.Index, merged)
 }
@@ -111,7 +111,7 @@
 	}
 	p.mu.Lock()
 	l := p.set.Forget(membership.Agent, names)
-	p.targets.Tell(index, false, gone)
+	p.targets.Update(index, false, gone)
 	p.mu.Unlock()
 	p.node.engine.Evict(l, destinations)
 }
--- a/internal/straggler/model_test.go
+++ b/internal/straggler/model_test.go
@@ -190,7 +190,7 @@
 	pick := func() *one { return m.members[rapid.IntRange(0, n-1).Draw(t, "member")] }
 	run(3 * time.Second)
 	gen := uint64(0)
-	want := func(o *one, w version.Want, deadline time.Duration) {
+	want := func(o *one, w version.Desired, deadline time.Duration) {
 		gen++
 		if !o.dead && !o.paused {
 			o.judge.SetWant(m.now, Want{Gen: gen, By: "test", Deadline: deadline, What: w})
@@ -209,13 +209,13 @@
 					o.judge.Act(o.vector, nil, "")
 				}
 			}
-			want(pick(), version.Want{Index: m.index}, time.Second)
+			want(pick(), version.Desired{Index: m.index}, time.Second)
 			run(time.Duration(rapid.IntRange(0, 15).Draw(t, "s")) * time.Second)
 		case 3: // that nobody can reach, or from two sides at once
-			want(pick(), version.Want{Index: m.index + 1000}, time.Second)
+			want(pick(), version.Desired{Index: m.index + 1000}, time.Second)
 			if rapid.Bool().Draw(t, "two") {
 				gen--
-				want(pick(), version.Want{Index: m.index}, time.Second)
+				want(pick(), version.Desired{Index: m.index}, time.Second)
 			}
 		case 4:
 			m.split = !m.split
@@ -247,7 +247,7 @@
 		}
 		o.deaf, o.paused = false, false
 	}
-	want(m.members[0], version.Want{Index: m.index}, 2*time.Second)
+	want(m.members[0], version.Desired{Index: m.index}, 2*time.Second)
 	run(60 * time.Second)
 	if n := m.outs(); n > 0 {
 		t.Fatalf("%d are still out though all is mended", n)
@@ -308,7 +308,7 @@
 				o.judge.Act(o.vector, nil, "")
 			}
 		}
-		m.members[1].judge.SetWant(m.now, Want{Gen: 1, By: "test", Deadline: 5 * time.Second, What: version.Want{Index: 2}})
+		m.members[1].judge.SetWant(m.now, Want{Gen: 1, By: "test", Deadline: 5 * time.Second, What: version.Desired{Index: 2}})
 		if err := m.run(40 * time.Second); err != nil {
 			t.Fatal(err)
 		}
@@ -348,7 +348,7 @@
 // TestUnreachable: a want that nobody can reach, or a dead control side, takes nobody out.
 func TestUnreachable(t *testing.T) {
 	m := newModel(3, 20, 1, 0.5, 0)
-	m.members[0].judge.SetWant(0, Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Want{Build: "nowhere"}})
+	m.members[0].judge.SetWant(0, Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Desired{Build: "nowhere"}})
 	if err := m.run(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -373,7 +373,7 @@
 			other.vector.List = version.List{Index: 2, Digest: 2}
 			other.judge.Act(other.vector, nil, "")
 		}
-		m.members[0].judge.SetWant(0, Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Want{Index: 2}})
+		m.members[0].judge.SetWant(0, Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Desired{Index: 2}})
 		for !stopAt(o) {
 			if err := m.step(); err != nil || m.now > time.Minute {
 				t.Fatalf("%s: %v, at %v", name, err, m.now)
--- a/internal/straggler/straggler.go
+++ b/internal/straggler/straggler.go
@@ -51,7 +51,7 @@
 	Gen      uint64        `json:"gen"` // a higher one takes the place of a lower
 	By       string        `json:"by"`
 	Deadline time.Duration `json:"deadline_ns"` // from when a member hears of it
-	What     version.Want  `json:"what"`
+	What     version.Desired  `json:"what"`
 	Out      []string      `json:"out,omitempty"` // names of members that are to be out whatever they lack
 	In       []string      `json:"in,omitempty"`  // and in
 }
@@ -140,7 +140,7 @@
 	want      *Want
 	wanted    time.Duration // since then
 	lost      *Want         // one of the same generation that had to give way
-	lacks     []version.Lack
+	lacks     []version.Mismatch
 	since     time.Duration // it lacks something of the want
 	agreed    time.Duration // since then all that must hold to go out does; 0: it does not
 	older     time.Duration // since then others have a newer list; 0: they have not
@@ -304,7 +304,7 @@
 	}
 	j.lacks = nil
 	if j.want != nil {
-		j.lacks = j.own.Vector.Lacks(j.want.What)
+		j.lacks = j.own.Vector.Mismatches(j.want.What)
 	}
 	slept := j.stepped > 0 && now-j.stepped > j.set.Fresh
 	j.stepped = now
@@ -346,10 +346,10 @@
 	} else {
 		j.older = 0
 	}
-	if slices.Contains(j.lacks, version.LacksList) || slices.Contains(j.lacks, version.Diverged) {
+	if slices.Contains(j.lacks, version.ListOutdated) || slices.Contains(j.lacks, version.ListDiverged) {
 		look = fmt.Sprint("want ", j.want.Gen)
 	}
-	if slices.Contains(j.lacks, version.LacksOperators) {
+	if slices.Contains(j.lacks, version.OperatorsMismatch) {
 		read = fmt.Sprint("want ", j.want.Gen)
 	}
 	d.Look = j.due(now, "look", look, j.set.Grace)
@@ -446,12 +446,12 @@
 }
 
 // Remedy says what mends what is lacking.
-func Remedy(lacks []version.Lack) string {
+func Remedy(lacks []version.Mismatch) string {
 	var list []string
 	for _, l := range lacks {
-		list = append(list, map[version.Lack]string{version.LacksList: "see whether its agent answers", version.Diverged: "compare its agent's list with another's",
-			version.LacksOperators: "put the file where its -operators is read", version.LacksSettings: "restart it with the configuration",
-			version.LacksBuild: "start the new build beside it (upgrade by take-over)"}[l])
+		list = append(list, map[version.Mismatch]string{version.ListOutdated: "see whether its agent answers", version.ListDiverged: "compare its agent's list with another's",
+			version.OperatorsMismatch: "put the file where its -operators is read", version.SettingsMismatch: "restart it with the configuration",
+			version.BuildMismatch: "start the new build beside it (upgrade by take-over)"}[l])
 	}
 	return strings.Join(list, ", ")
 }
--- a/internal/straggler/view.go
+++ b/internal/straggler/view.go
@@ -31,7 +31,7 @@
 	Name    string         `json:"name"`
 	Zone    string         `json:"zone,omitempty"`
 	Verdict Verdict        `json:"verdict"`
-	Lacks   []version.Lack `json:"lacks,omitempty"`
+	Lacks   []version.Mismatch `json:"lacks,omitempty"`
 	Since   time.Duration  `json:"since_ns,omitempty"` // how long it has lacked that, as this member saw it
 	Age     time.Duration  `json:"age_ns"`             // of its news
 	Skew    time.Duration  `json:"skew_ns"`            // its clock less this member's, when its news came
@@ -53,7 +53,7 @@
 }
 
 func (j *Judge) lackOf(now time.Duration, m *member) {
-	lacks := j.want != nil && len(m.Vector.Lacks(j.want.What)) > 0 || j.want == nil && m.Vector.List.Index < j.own.Vector.List.Index
+	lacks := j.want != nil && len(m.Vector.Mismatches(j.want.What)) > 0 || j.want == nil && m.Vector.List.Index < j.own.Vector.List.Index
 	if lacks && !m.lacks {
 		m.since = now
 	}
@@ -91,15 +91,15 @@
 	}
 	judge := func(v *View, n *News, double bool) {
 		if j.want != nil {
-			v.Lacks = n.Vector.Lacks(j.want.What)
+			v.Lacks = n.Vector.Mismatches(j.want.What)
 		} else if n.Vector.List.Index < newest {
-			v.Lacks = []version.Lack{version.LacksList}
+			v.Lacks = []version.Mismatch{version.ListOutdated}
 		}
 		switch {
 		case double:
 			v.Verdict, v.Remedy = Doubled, "end one of the two: each calls targets on its own"
 		case split(&n.Vector):
-			v.Verdict, v.Remedy = Split, Remedy([]version.Lack{version.Diverged})
+			v.Verdict, v.Remedy = Split, Remedy([]version.Mismatch{version.ListDiverged})
 		case v.Age > j.set.Fresh:
 			v.Verdict, v.Remedy = Silent, "see whether its process runs and its network reaches others"
 		case n.Stand >= Out:
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -19,8 +19,8 @@
 // Digest tells contents apart. It is no protection against contents made to collide.
 type Digest uint64
 
-// Of is the digest of a text.
-func Of(text []byte) Digest { return Digest(xxhash.Sum64(text)) }
+// DigestOf is the digest of a text.
+func DigestOf(text []byte) Digest { return Digest(xxhash.Sum64(text)) }
 
 func (d Digest) String() string { return fmt.Sprintf("%016x", uint64(d)) }
 
@@ -42,8 +42,8 @@
 	Settings  Contents  `json:"settings"`  // the platform's configuration
 	Operators Contents  `json:"operators"` // what operators have set, resolved
 	List      List      `json:"list"`      // of targets, as discovery tells it
-	LeftOut   Contents  `json:"left_out"`  // targets left out by hand
-	TakeOver  int       `json:"take_over"` // 0 for a process that took over from none, and one more than the process that it took over from
+	Disabled   Contents  `json:"left_out"`  // targets left out by hand
+	Handovers  int       `json:"take_over"` // 0 for a process that took over from none, and one more than the process that it took over from
 	Started   time.Time `json:"started"`   // this process
 }
 
@@ -67,22 +67,22 @@
 // Contents is a file as it was read last.
 type Contents struct {
 	Digest Digest `json:"digest"`
-	Times  int    `json:"times"` // it was taken into force since the process started; 0: nothing is set
+	LoadCount  int    `json:"times"` // it was taken into force since the process started; 0: nothing is set
 }
 
 // List is a list of targets that is in force.
 type List struct {
 	Index     int64  `json:"index"` // as the agent says; two agents may give one index to different lists
 	Digest    Digest `json:"digest"`
-	Addresses Digest `json:"addresses"` // where the targets are, which may differ from one forwarder to the next
-	Targets   int    `json:"targets"`
+	AddressDigest Digest `json:"addresses"` // where the targets are, which may differ from one forwarder to the next
+	TargetCount   int    `json:"targets"`
 }
 
 // Change is a step from one vector to the next. Make is called where it takes effect, and changes it.
 type Change struct {
 	Cause string
 	By    string // who wanted it, if somebody did
-	Make  func(*Vector)
+	Apply  func(*Vector)
 }
 
 // Entry is what a list says of one target.
@@ -93,14 +93,14 @@
 	Gone                             bool // it is in the list no more
 }
 
-// Targets keeps the digest of a list that is told by changes, at a cost that depends on these alone.
-type Targets struct {
+// ListTracker keeps the digest of a list that is told by changes, at a cost that depends on these alone.
+type ListTracker struct {
 	of   map[string][2]Digest
 	list List
 }
 
-// Tell takes a list, the whole of it or what has changed, and returns what is in force from then on.
-func (t *Targets) Tell(index int64, whole bool, entries []Entry) List {
+// Update takes a list, the whole of it or what has changed, and returns what is in force from then on.
+func (t *ListTracker) Update(index int64, whole bool, entries []Entry) List {
 	if t.of == nil || whole {
 		t.of, t.list = make(map[string][2]Digest, len(entries)), List{}
 	}
@@ -109,18 +109,18 @@
 		e := &entries[i]
 		if old, was := t.of[e.Name]; was { // sums: what went in comes out, in any order
 			t.list.Digest -= old[0]
-			t.list.Addresses -= old[1]
+			t.list.AddressDigest -= old[1]
 			delete(t.of, e.Name)
 		}
 		if e.Gone {
 			continue
 		}
-		now := [2]Digest{e.digest(), Of([]byte(strconv.Quote(e.Name) + e.Address))}
+		now := [2]Digest{e.digest(), DigestOf([]byte(strconv.Quote(e.Name) + e.Address))}
 		t.of[e.Name] = now
 		t.list.Digest += now[0]
-		t.list.Addresses += now[1]
+		t.list.AddressDigest += now[1]
 	}
-	t.list.Targets = len(t.of)
+	t.list.TargetCount = len(t.of)
 	return t.list
 }
 
@@ -130,22 +130,22 @@
 		text = append(strconv.AppendQuote(text, s), ' ')
 	}
 	text = append(strconv.AppendInt(text, int64(e.Group), 10), ' ')
-	return Of(strconv.AppendFloat(text, e.Weight, 'g', -1, 64))
+	return DigestOf(strconv.AppendFloat(text, e.Weight, 'g', -1, 64))
 }
 
-// Names is the digest of a set of names, in any order.
-func Names(names []string) Digest {
+// DigestOfNames is the digest of a set of names, in any order.
+func DigestOfNames(names []string) Digest {
 	names = slices.Clone(names)
 	slices.Sort(names)
 	var b strings.Builder
 	for _, n := range names {
 		b.WriteString(strconv.Quote(n))
 	}
-	return Of([]byte(b.String()))
+	return DigestOf([]byte(b.String()))
 }
 
-// Want is what a fleet is to act under. What is empty does not matter.
-type Want struct {
+// Desired is what a fleet is to act under. What is empty does not matter.
+type Desired struct {
 	Build     string `json:"build,omitempty"` // its revision, or how that begins
 	Settings  Digest `json:"settings,omitempty"`
 	Operators Digest `json:"operators,omitempty"`
@@ -154,35 +154,35 @@
 }
 
 // Empty tells whether nothing is wanted.
-func (w Want) Empty() bool { return w == Want{} }
+func (w Desired) Empty() bool { return w == Desired{} }
 
-// Lack is a part of a vector that is not as it is wanted.
-type Lack string
+// Mismatch is a part of a vector that is not as it is wanted.
+type Mismatch string
 
 // What can be behind.
 const (
-	LacksBuild     Lack = "build"     // an upgrade mends it
-	LacksSettings  Lack = "settings"  // the platform writes them; they are read at a start
-	LacksOperators Lack = "operators" // the file is read again
-	LacksList      Lack = "list"      // discovery is asked again
-	Diverged       Lack = "diverged"  // the list has the wanted index and other contents
+	BuildMismatch     Mismatch = "build"     // an upgrade mends it
+	SettingsMismatch  Mismatch = "settings"  // the platform writes them; they are read at a start
+	OperatorsMismatch Mismatch = "operators" // the file is read again
+	ListOutdated      Mismatch = "list"      // discovery is asked again
+	ListDiverged       Mismatch = "diverged"  // the list has the wanted index and other contents
 )
 
-// Lacks lists what of a vector is not as wanted, in the order in which it is to be mended.
-func (v *Vector) Lacks(w Want) (list []Lack) {
+// Mismatches lists what of a vector is not as wanted, in the order in which it is to be mended.
+func (v *Vector) Mismatches(w Desired) (list []Mismatch) {
 	if w.Index > v.List.Index {
-		list = append(list, LacksList)
+		list = append(list, ListOutdated)
 	} else if w.List != 0 && w.Index == v.List.Index && w.List != v.List.Digest {
-		list = append(list, Diverged)
+		list = append(list, ListDiverged)
 	}
 	if w.Operators != 0 && w.Operators != v.Operators.Digest {
-		list = append(list, LacksOperators)
+		list = append(list, OperatorsMismatch)
 	}
 	if w.Settings != 0 && w.Settings != v.Settings.Digest {
-		list = append(list, LacksSettings)
+		list = append(list, SettingsMismatch)
 	}
 	if w.Build != "" && !strings.HasPrefix(v.Build.Revision, w.Build) {
-		list = append(list, LacksBuild)
+		list = append(list, BuildMismatch)
 	}
 	return list
 }
--- a/internal/version/version_test.go
+++ b/internal/version/version_test.go
@@ -14,7 +14,7 @@
 // differ in anything differ in it.
 func TestTargetsByChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var told Targets
+		var told ListTracker
 		model := map[string]Entry{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "lists") {
 			whole := rapid.IntRange(0, 5).Draw(t, "whole") == 0
@@ -31,10 +31,10 @@
 					delete(model, e.Name)
 				}
 			}
-			got := told.Tell(int64(i), whole, entries)
+			got := told.Update(int64(i), whole, entries)
 			all := slices.Collect(maps.Values(model))
-			var fresh Targets
-			if want := fresh.Tell(int64(i), true, all); got != want {
+			var fresh ListTracker
+			if want := fresh.Update(int64(i), true, all); got != want {
 				t.Fatalf("list %d: %+v, and told whole %+v", i, got, want)
 			}
 			for j := range all { // any one thing that differs shows
@@ -42,9 +42,9 @@
 					func(e *Entry) { e.Zone = "z" }, func(e *Entry) { e.Kind = "k" }, func(e *Entry) { e.Gone = true }, func(e *Entry) { e.Address = "c:1" }} {
 					other := slices.Clone(all)
 					change(&other[j])
-					var o Targets
-					list := o.Tell(int64(i), true, other)
-					if same := list.Digest == got.Digest && list.Addresses == got.Addresses; same {
+					var o ListTracker
+					list := o.Update(int64(i), true, other)
+					if same := list.Digest == got.Digest && list.AddressDigest == got.AddressDigest; same {
 						t.Fatalf("list %d: change %d of %+v does not show", i, k, all[j])
 					}
 					if k == 6 && list.Digest != got.Digest { // addresses may differ from one forwarder to the next
@@ -58,24 +58,24 @@
 
 func TestLacks(t *testing.T) {
 	v := Vector{Build: Build{Revision: "abcdef"}, Settings: Contents{Digest: 1}, Operators: Contents{Digest: 2}, List: List{Index: 5, Digest: 9}}
-	for want, lacks := range map[Want][]Lack{
+	for want, lacks := range map[Desired][]Mismatch{
 		{}:                         nil,
 		{Build: "abc", Index: 5}:   nil,
 		{Index: 4, List: 1}:        nil, // a newer list is no worse
-		{Index: 6}:                 {LacksList},
-		{Index: 5, List: 8}:        {Diverged},
+		{Index: 6}:                 {ListOutdated},
+		{Index: 5, List: 8}:        {ListDiverged},
 		{Index: 5, List: 9}:        nil,
-		{Operators: 3, Build: "b"}: {LacksOperators, LacksBuild},
-		{Settings: 7}:              {LacksSettings},
+		{Operators: 3, Build: "b"}: {OperatorsMismatch, BuildMismatch},
+		{Settings: 7}:              {SettingsMismatch},
 	} {
-		if got := v.Lacks(want); !slices.Equal(got, lacks) {
+		if got := v.Mismatches(want); !slices.Equal(got, lacks) {
 			t.Errorf("%+v: %v and not %v", want, got, lacks)
 		}
 	}
 }
 
 func TestWritten(t *testing.T) {
-	v := Vector{Format: Format, Operators: Contents{Digest: 0xab, Times: 2}, List: List{Index: 7, Digest: 1 << 63}}
+	v := Vector{Format: Format, Operators: Contents{Digest: 0xab, LoadCount: 2}, List: List{Index: 7, Digest: 1 << 63}}
 	text, err := json.Marshal(v)
 	var got Vector
 	if err == nil {
@@ -90,7 +90,7 @@
 			t.Errorf("%s is taken for a digest", bad)
 		}
 	}
-	if Names([]string{"a", "b"}) != Names([]string{"b", "a"}) || Names([]string{"a", "b"}) == Names([]string{"ab"}) || Names(nil) == Names([]string{""}) {
+	if DigestOfNames([]string{"a", "b"}) != DigestOfNames([]string{"b", "a"}) || DigestOfNames([]string{"a", "b"}) == DigestOfNames([]string{"ab"}) || DigestOfNames(nil) == DigestOfNames([]string{""}) {
 		t.Error("names")
 	}
 }
