--- a/cmd/scaleroute/main_test.go
+++ b/cmd/scaleroute/main_test.go
@@ -74,7 +74,7 @@
 		}
 		if file := os.Getenv("SCALEROUTE_TEST_STOP"); file != "" {
 			file += "." + filepath.Base(os.Getenv("TMPDIR")) // of this forwarder
-			fence.AtCheck = func() {                         // right before the first byte of a call
+			fence.CheckHook = func() {                         // right before the first byte of a call
 				if os.Remove(file) == nil {
 					syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 				}
--- a/cmd/scaleroute/settings.go
+++ b/cmd/scaleroute/settings.go
@@ -212,7 +212,7 @@
 	if len(names) == 0 && len(s.peers) == 0 {
 		return
 	}
-	l := s.set.Withdraw(names)
+	l := s.set.SetPeerDrains(names)
 	if s.peers = names; len(l.Endpoints) == 0 {
 		return
 	}
@@ -223,10 +223,10 @@
 
 // start tells what is known before the engine runs, and returns what it is to begin with.
 func (s *sources) start(file engine.List, lists ...engine.List) []engine.List {
-	s.set.StartLeftOut(s.leftOut.Start())
-	s.set.Tell(membership.File, file)
+	s.set.RestoreDisabled(s.leftOut.Start())
+	s.set.Update(membership.File, file)
 	for i := range lists {
-		lists[i] = s.set.Tell(membership.Agent, lists[i])
+		lists[i] = s.set.Update(membership.Agent, lists[i])
 	}
 	return lists
 }
@@ -235,7 +235,7 @@
 func (s *sources) hear(told *agent.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.set.Tell(membership.Agent, told.Told())
+	l := s.set.Update(membership.Agent, told.Told())
 	s.noteDrains(told)
 	if now := s.targets.Update(told.Index, told.Snapshot, told.Entries()); now != s.list {
 		s.list = now
@@ -252,7 +252,7 @@
 	defer s.mu.Unlock()
 	var list *engine.List
 	if pools {
-		l := s.set.Tell(membership.File, set.Endpoints())
+		l := s.set.Update(membership.File, set.Endpoints())
 		list = &l
 		s.noteFile(set)
 	}
@@ -268,7 +268,7 @@
 func (s *sources) LeaveOut(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, err := s.set.LeaveOut(name, operations.MostTargets, s.leftOut.Store)
+	l, err := s.set.Disable(name, operations.MostTargets, s.leftOut.Store)
 	return s.bind("left out by hand", name, l, err)
 }
 
@@ -276,14 +276,14 @@
 func (s *sources) byHand() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.set.LeftOut()
+	return s.set.Disabled()
 }
 
 // PutBack puts one back.
 func (s *sources) PutBack(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, err := s.set.PutBack(name, s.leftOut.Store)
+	l, err := s.set.Enable(name, s.leftOut.Store)
 	return s.bind("put back by hand", name, l, err)
 }
 
@@ -293,7 +293,7 @@
 		return err
 	}
 	s.times++
-	out := version.Contents{Digest: version.DigestOfNames(s.set.LeftOut()), LoadCount: s.times}
+	out := version.Contents{Digest: version.DigestOfNames(s.set.Disabled()), LoadCount: s.times}
 	l.Version = &version.Change{Cause: ledger.ByHand, By: name, Apply: func(v *version.Vector) { v.Disabled = out }}
 	slog.Info(what, "target", name)
 	if !s.to.ListWithin(l, bindWithin) {
--- a/internal/engine/acting.go
+++ b/internal/engine/acting.go
@@ -131,7 +131,7 @@
 	if a.Acting == nil || a.Fence == nil {
 		return nil, func() {}
 	}
-	t := time.NewTicker(a.Fence.Every())
+	t := time.NewTicker(a.Fence.RenewInterval())
 	return t.C, t.Stop
 }
 
@@ -153,7 +153,7 @@
 // lookAwake renews the lease, or notes that the process slept.
 func (l *Engine) lookAwake() {
 	a := &l.acting
-	epoch, slept := a.Fence.Beat()
+	epoch, slept := a.Fence.Renew()
 	if epoch == 0 || epoch == a.epoch {
 		return
 	}
--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Least is the shortest lease: below it a busy machine is taken for one that slept.
-const Least = 50 * time.Millisecond
+// MinLease is the shortest lease: below it a busy machine is taken for one that slept.
+const MinLease = 50 * time.Millisecond
 
 // Fence is one process's. Its methods may be called from any goroutine.
 type Fence struct {
@@ -30,7 +30,7 @@
 func New(lease time.Duration) *Fence { return newFence(lease, sinceBoot) }
 
 func newFence(lease time.Duration, now func() time.Duration) *Fence {
-	f := &Fence{lease: max(lease, Least), now: now}
+	f := &Fence{lease: max(lease, MinLease), now: now}
 	f.beat.Store(int64(now()))
 	return f
 }
@@ -44,16 +44,16 @@
 	return time.Duration(t.Nano())
 }
 
-// Every is how often the lease is to be renewed.
-func (f *Fence) Every() time.Duration { return f.lease / 4 }
+// RenewInterval is how often the lease is to be renewed.
+func (f *Fence) RenewInterval() time.Duration { return f.lease / 4 }
 
-// AtCheck is called first in each Check: tests stop the process there. nil for everybody else.
-var AtCheck func()
+// CheckHook is called first in each Check: tests stop the process there. nil for everybody else.
+var CheckHook func()
 
 // Check tells whether a call may begin. It is asked right before the first byte.
 func (f *Fence) Check() bool {
-	if AtCheck != nil {
-		AtCheck()
+	if CheckHook != nil {
+		CheckHook()
 	}
 	if f.closed.Load() {
 		return false
@@ -78,9 +78,9 @@
 	}
 }
 
-// Beat renews the lease; if that had run out, the fence is closed. It returns the number of the sleep that the fence is closed by, 0 while it is
+// Renew renews the lease; if that had run out, the fence is closed. It returns the number of the sleep that the fence is closed by, 0 while it is
 // open, and how long that was.
-func (f *Fence) Beat() (epoch uint64, slept time.Duration) {
+func (f *Fence) Renew() (epoch uint64, slept time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.look(); !f.closed.Load() {
--- a/internal/fence/fence_test.go
+++ b/internal/fence/fence_test.go
@@ -40,7 +40,7 @@
 			case 4:
 				look()
 				renewed = now
-				if epoch, _ := f.Beat(); (epoch != 0) != slept || slept && epoch != number {
+				if epoch, _ := f.Renew(); (epoch != 0) != slept || slept && epoch != number {
 					t.Fatalf("sleep %d, and it slept: %v, the %dth time", epoch, slept, number)
 				}
 			default:
@@ -66,7 +66,7 @@
 		t.Errorf("%d fenced, %d opened, %d refused: this test tests too little", fenced, opened, old)
 	}
 	f := New(0)
-	if f.Every() != Least/4 || !f.Check() || sinceBoot() <= 0 {
+	if f.RenewInterval() != MinLease/4 || !f.Check() || sinceBoot() <= 0 {
 		t.Error("on the real clock")
 	}
 }
--- a/internal/membership/forget_test.go
+++ b/internal/membership/forget_test.go
@@ -17,11 +17,11 @@
 		return l
 	}
 	var s Set
-	s.Tell(File, named("both"))
-	s.Tell(Agent, named("both", "own", "drains"))
+	s.Update(File, named("both"))
+	s.Update(Agent, named("both", "own", "drains"))
 	drains := named("drains")
 	drains.Endpoints[0].State = decide.Draining
-	s.Tell(Agent, drains)
+	s.Update(Agent, drains)
 	l := s.Forget(Agent, []string{"both", "own", "drains", "never"})
 	if len(l.Endpoints) != 2 || l.Scope != decide.Delta || l.Endpoints[0].State != decide.Gone || l.Endpoints[1].State != decide.Gone {
 		t.Fatalf("%+v", l)
@@ -29,7 +29,7 @@
 	if e := s.merged["both"]; e.State != decide.Active || len(s.merged) != 1 {
 		t.Fatalf("%+v", s.merged)
 	}
-	if l := s.Tell(Agent, named("own")); len(l.Endpoints) != 1 || l.Endpoints[0].State != decide.Active {
+	if l := s.Update(Agent, named("own")); len(l.Endpoints) != 1 || l.Endpoints[0].State != decide.Active {
 		t.Fatalf("named again: %+v", l)
 	}
 }
--- a/internal/membership/hand.go
+++ b/internal/membership/hand.go
@@ -17,7 +17,7 @@
 // The answers to a name that can't be left out or put back.
 var (
 	ErrNeverListed = errors.New("no target of that name was ever listed: see the list for its name")
-	ErrTooMany     = errors.New("too many targets are left out by hand: put some back first")
+	ErrTooManyDisabled     = errors.New("too many targets are left out by hand: put some back first")
 )
 
 // hand is what operators have said by hand.
@@ -46,18 +46,18 @@
 	}
 }
 
-// LeaveOut has an endpoint drain until PutBack, and returns what that changes. One that is left out already stays so. What is kept of
+// Disable has an endpoint drain until PutBack, and returns what that changes. One that is left out already stays so. What is kept of
 // it is stored first, all names that are left out from then on; if that fails nothing is changed.
-func (s *Set) LeaveOut(name string, most int, store func([]string) error) (engine.List, error) {
+func (s *Set) Disable(name string, most int, store func([]string) error) (engine.List, error) {
 	s.hand.seen(engine.List{})
 	switch {
 	case !s.listed(name):
 		return engine.List{}, ErrNeverListed
 	case !s.hand.out[name] && len(s.hand.out) >= most:
-		return engine.List{}, ErrTooMany
+		return engine.List{}, ErrTooManyDisabled
 	}
 	if !s.hand.out[name] {
-		if err := store(slices.Sorted(slices.Values(append(s.LeftOut(), name)))); err != nil {
+		if err := store(slices.Sorted(slices.Values(append(s.Disabled(), name)))); err != nil {
 			return engine.List{}, err
 		}
 		s.hand.out[name] = true
@@ -65,8 +65,8 @@
 	return s.changes(s.named(name)), nil
 }
 
-// PutBack ends that, and returns what it changes. To put back one that is not left out changes nothing.
-func (s *Set) PutBack(name string, store func([]string) error) (engine.List, error) {
+// Enable ends that, and returns what it changes. To put back one that is not left out changes nothing.
+func (s *Set) Enable(name string, store func([]string) error) (engine.List, error) {
 	s.hand.seen(engine.List{})
 	if !s.listed(name) {
 		return engine.List{}, ErrNeverListed
@@ -74,7 +74,7 @@
 	if !s.hand.out[name] {
 		return engine.List{Scope: decide.Delta}, nil
 	}
-	if err := store(slices.DeleteFunc(s.LeftOut(), func(n string) bool { return n == name })); err != nil {
+	if err := store(slices.DeleteFunc(s.Disabled(), func(n string) bool { return n == name })); err != nil {
 		return engine.List{}, err
 	}
 	delete(s.hand.out, name)
@@ -95,11 +95,11 @@
 	return map[string]bool{name: true}
 }
 
-// LeftOut lists the names that are left out.
-func (s *Set) LeftOut() []string { return slices.Sorted(maps.Keys(s.hand.out)) }
+// Disabled lists the names that are left out.
+func (s *Set) Disabled() []string { return slices.Sorted(maps.Keys(s.hand.out)) }
 
-// StartLeftOut has endpoints left out from the start, listed yet or not.
-func (s *Set) StartLeftOut(names []string) {
+// RestoreDisabled has endpoints left out from the start, listed yet or not.
+func (s *Set) RestoreDisabled(names []string) {
 	s.hand.seen(engine.List{})
 	for _, name := range names {
 		s.hand.out[name] = true
--- a/internal/membership/hand_test.go
+++ b/internal/membership/hand_test.go
@@ -46,7 +46,7 @@
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				l, err := s.LeaveOut(name, 3, store)
+				l, err := s.Disable(name, 3, store)
 				switch {
 				case !ever[name] && !out[name]:
 					if !errors.Is(err, ErrNeverListed) {
@@ -57,7 +57,7 @@
 						t.Fatal(err)
 					}
 				case len(out) == 3:
-					if !errors.Is(err, ErrTooMany) {
+					if !errors.Is(err, ErrTooManyDisabled) {
 						t.Fatalf("a fourth: %v", err)
 					}
 				case fails:
@@ -69,7 +69,7 @@
 				}
 				take(l)
 			case 1:
-				l, err := s.PutBack(name, store)
+				l, err := s.Enable(name, store)
 				switch {
 				case !ever[name] && !out[name]:
 					if !errors.Is(err, ErrNeverListed) {
@@ -86,7 +86,7 @@
 				take(l)
 			case 2: // a restart: what was stored is all there is
 				s = Set{}
-				s.StartLeftOut(stored)
+				s.RestoreDisabled(stored)
 				clear(view)
 				clear(ever)
 				clear(putBack)
@@ -99,9 +99,9 @@
 					l.Endpoints = append(l.Endpoints, e)
 					ever[e.ID] = true
 				}
-				take(s.Tell(Agent, l))
+				take(s.Update(Agent, l))
 			}
-			if got := s.LeftOut(); len(got) != len(out) || !slices.Equal(got, stored) && len(got)+len(stored) > 0 {
+			if got := s.Disabled(); len(got) != len(out) || !slices.Equal(got, stored) && len(got)+len(stored) > 0 {
 				t.Fatalf("left out %v, stored %v, want %v", got, stored, out)
 			}
 			for id, e := range view {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -45,9 +45,9 @@
 	peers  map[string]bool // what other forwarders know to drain, as far as that is heeded
 }
 
-// Tell takes what a source tells, and returns what all together come to: everything where the source told everything, or else
+// Update takes what a source tells, and returns what all together come to: everything where the source told everything, or else
 // what has changed.
-func (s *Set) Tell(from Source, l engine.List) engine.List {
+func (s *Set) Update(from Source, l engine.List) engine.List {
 	if s.by == nil {
 		s.by, s.merged = map[string]*[sources]said{}, map[string]engine.Endpoint{}
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -49,7 +49,7 @@
 					}
 				}
 			}
-			got := s.Tell(from, l)
+			got := s.Update(from, l)
 			if got.Scope != l.Scope {
 				t.Fatalf("told %v, and %v came of it", l.Scope, got.Scope)
 			}
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -10,9 +10,9 @@
 // What other forwarders tell: a source that only withdraws, and not too much. One that errs or lies must not take a destination away: of
 // its endpoints that serve, half are withdrawn by it at most, and never the last.
 
-// Withdraw has endpoints drain of which other forwarders know that they do, by a list that this one has not heard of yet, and those that are not named any more
+// SetPeerDrains has endpoints drain of which other forwarders know that they do, by a list that this one has not heard of yet, and those that are not named any more
 // serve again as their lists say. It returns what that changes.
-func (s *Set) Withdraw(names []string) engine.List {
+func (s *Set) SetPeerDrains(names []string) engine.List {
 	if len(names) == 0 && len(s.peers) == 0 {
 		return engine.List{Scope: decide.Delta}
 	}
--- a/internal/membership/peers_test.go
+++ b/internal/membership/peers_test.go
@@ -44,7 +44,7 @@
 						delete(lists, e.ID)
 					}
 				}
-				take(s.Tell(Agent, l))
+				take(s.Update(Agent, l))
 			} else {
 				claims = nil
 				for i := range 7 { // also names that nobody has listed
@@ -53,7 +53,7 @@
 					}
 				}
 			}
-			take(s.Withdraw(claims)) // as after each list
+			take(s.SetPeerDrains(claims)) // as after each list
 			for d := range 2 {
 				serving, left := 0, 0
 				for id, e := range lists {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -44,11 +44,11 @@
 	if f.Ledger != 0 && (f.Ledger < ledger.LeastBytes || f.Ledger > ledger.MostBytes) {
 		add("fleet.ledger", fmt.Sprintf("a ledger of %d bytes", f.Ledger), fmt.Sprintf("set from %d to %d bytes, or leave it out", ledger.LeastBytes, ledger.MostBytes))
 	}
-	if d := time.Duration(f.Fence); d != 0 && (d < fence.Least || d > mostFence) {
-		add("fleet.fence", fmt.Sprintf("a lease of %v", d), fmt.Sprintf("set from %v to %v, or leave it out", fence.Least, mostFence))
+	if d := time.Duration(f.Fence); d != 0 && (d < fence.MinLease || d > mostFence) {
+		add("fleet.fence", fmt.Sprintf("a lease of %v", d), fmt.Sprintf("set from %v to %v, or leave it out", fence.MinLease, mostFence))
 	}
-	if d := time.Duration(f.Unheard); d != 0 && (f.Fence == 0 || d < fence.Least || d > mostFence) {
-		add("fleet.unheard", fmt.Sprintf("to wait %v for discovery after a sleep", d), fmt.Sprintf("set fence as well, and from %v to %v", fence.Least, mostFence))
+	if d := time.Duration(f.Unheard); d != 0 && (f.Fence == 0 || d < fence.MinLease || d > mostFence) {
+		add("fleet.unheard", fmt.Sprintf("to wait %v for discovery after a sleep", d), fmt.Sprintf("set fence as well, and from %v to %v", fence.MinLease, mostFence))
 	}
 	if f.Fence != 0 && f.Unheard == 0 { // a file made by hand: the compiler sets it
 		add("fleet.unheard", "nothing says how long a process that slept waits for discovery", fmt.Sprintf("set unheard, as %v", DefaultUnheard))
--- a/internal/scale/partial.go
+++ b/internal/scale/partial.go
@@ -82,7 +82,7 @@
 // apply has a list in force, by way of what a forwarder keeps of each source and of the list's digest.
 func (p *partialList) apply(l *agent.List) {
 	p.mu.Lock()
-	merged := p.set.Tell(membership.Agent, l.Told())
+	merged := p.set.Update(membership.Agent, l.Told())
 	p.targets.Update(l.Index, l.Snapshot, l.Entries())
 	p.mu.Unlock()
 	p.node.apply(l.Index, merged)
