--- a/cmd/scaleroute/main_test.go
+++ b/cmd/scaleroute/main_test.go
@@ -81,7 +81,7 @@
 			}
 		}
 		if text := os.Getenv("SCALEROUTE_TEST_FORMAT"); text != "" { // of another build's news
-			straggler.Speaks, _ = strconv.Atoi(text)
+			straggler.SendFormat, _ = strconv.Atoi(text)
 		}
 		if path := os.Getenv(soak.FaultsVariable); path != "" {
 			plan := faults.NewPlan(path, 1)
--- a/cmd/scaleroute/member.go
+++ b/cmd/scaleroute/member.go
@@ -47,7 +47,7 @@
 // member is this forwarder among others: what is heard goes to the judge, and what the judge decides is carried out.
 type member struct {
 	p      *auditing
-	judge  *straggler.Judge // by mu
+	judge  *straggler.Evaluator // by mu
 	mu     sync.Mutex
 	began  time.Time
 	set    *gossip.Config                // nil: it hears of nobody
@@ -60,16 +60,16 @@
 
 // keptWant is the want as it outlasts the process.
 type keptWant struct {
-	Want straggler.Want `json:"want"`
+	Want straggler.Desired `json:"want"`
 	At   time.Time      `json:"at"` // when it was heard, by this machine's clock
 }
 
 func newMember(p *auditing) (*member, error) {
 	set := p.f.operators.now.Fleet
-	c := straggler.Config{Name: p.f.c.Name, Zone: p.f.c.Settings.Zone, Share: set.Share, Fresh: newsFresh, Settle: settleTime, Detect: deathTime, Grace: listGrace, Seed: p.f.c.Settings.Seed}
+	c := straggler.Config{Name: p.f.c.Name, Zone: p.f.c.Settings.Zone, MaxOutFraction: set.Share, ReportTTL: newsFresh, SettleTime: settleTime, DetectionTime: deathTime, NewerListGrace: listGrace, Seed: p.f.c.Settings.Seed}
 	quick := os.Getenv(quickFleet) != ""
 	if quick {
-		c.Fresh, c.Settle, c.Detect = quickFresh, quickSettle, quickSettle
+		c.ReportTTL, c.SettleTime, c.DetectionTime = quickFresh, quickSettle, quickSettle
 	}
 	m := &member{p: p, judge: straggler.New(c, ledger.Clock), began: p.began, read: make(chan struct{}, 1), again: againAfter}
 	if quick {
@@ -95,22 +95,22 @@
 	return m, m.set.Check()
 }
 
-func (m *member) heard(n straggler.News) {
+func (m *member) heard(n straggler.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.judge.Hear(m.now(), n)
+	m.judge.Receive(m.now(), n)
 }
 
 // meet has a process meet the others.
 func (m *member) meet() {
-	g, err := gossip.Start(m.p.f.operators.gossip, *m.set, m.heard, func(w straggler.Want) { m.want(w) })
+	g, err := gossip.Start(m.p.f.operators.gossip, *m.set, m.heard, func(w straggler.Desired) { m.want(w) })
 	if err != nil {
 		slog.Warn("this forwarder hears of no other: put scaleroute-gossip beside it, or name it by -gossip-host", "again_in", startEvery, "err", err)
 		return
 	}
 	m.gossip.Store(g)
 	m.mu.Lock()
-	w, _ := m.judge.Want()
+	w, _ := m.judge.Desired()
 	m.mu.Unlock()
 	if w != nil {
 		g.Want(*w) // it fits: it came that way, or was checked
@@ -132,16 +132,16 @@
 		slog.Warn("the want that was kept can't be read: it is heard anew from others, or put anew by scaleroutectl fleet want", "file", m.wantFile(), "err", err)
 	default:
 		passed := min(max(0, time.Since(kept.At)), max(0, kept.Want.Deadline)) // a clock that was set says nothing more
-		m.judge.Resume(m.now(), kept.Want, passed)
+		m.judge.RestoreDesired(m.now(), kept.Want, passed)
 	}
 }
 
 func (m *member) wantFile() string { return filepath.Join(m.p.f.c.State, wantName) }
 
 // want takes a want, keeps it, and passes it on. It tells whether it is a newer one.
-func (m *member) want(w straggler.Want) bool {
+func (m *member) want(w straggler.Desired) bool {
 	m.mu.Lock()
-	took := m.judge.SetWant(m.now(), w)
+	took := m.judge.SetDesired(m.now(), w)
 	m.mu.Unlock()
 	if !took {
 		return false
@@ -197,27 +197,27 @@
 			alive := g.Members()
 			m.mu.Lock()
 			for _, a := range alive {
-				m.judge.Alive(m.now(), a.Name, a.Started)
+				m.judge.MarkAlive(m.now(), a.Name, a.Started)
 			}
 			m.mu.Unlock()
 		}
 		m.mu.Lock()
 		if s := l.Standing(); s.Seq != seq || seq == 0 {
 			seq = max(1, s.Seq)
-			m.judge.Act(s.Vector, m.p.f.operators.sources.drains(), m.p.f.door)
+			m.judge.SetLocal(s.Vector, m.p.f.operators.sources.drains(), m.p.f.door)
 		}
-		m.judge.Told(m.now(), waitsLeft(l.ToldWaits(), now))
+		m.judge.SetRetryAfters(m.now(), waitsLeft(l.ToldWaits(), now))
 		d := m.judge.Step(m.now())
-		withdrawn, held := m.judge.Withdrawn(), m.judge.Held(m.now())
-		var news *straggler.News
-		if d.Told {
+		withdrawn, held := m.judge.Withdrawn(), m.judge.TakePeerRetryAfters(m.now())
+		var news *straggler.Report
+		if d.ReportChanged {
 			again = []time.Time{now.Add(m.again), now.Add(3 * m.again)}
 		}
 		if len(again) > 0 && now.After(again[0]) {
 			pending, again = true, again[1:]
 		}
-		if pending = pending || d.Told || now.Sub(told) >= tellEvery; pending && g != nil {
-			n := m.judge.News(m.now())
+		if pending = pending || d.ReportChanged || now.Sub(told) >= tellEvery; pending && g != nil {
+			n := m.judge.NextReport(m.now())
 			news, pending, told = &n, false, now
 		}
 		m.mu.Unlock()
@@ -233,25 +233,25 @@
 }
 
 // waitsLeft says what is left of the waits that targets have told.
-func waitsLeft(list []engine.ToldWait, now time.Time) (left []straggler.Wait) {
+func waitsLeft(list []engine.ToldWait, now time.Time) (left []straggler.RetryAfter) {
 	for _, w := range list {
-		left = append(left, straggler.Wait{Target: w.Target, Left: w.Until.Sub(now)})
+		left = append(left, straggler.RetryAfter{Target: w.Target, Remaining: w.Until.Sub(now)})
 	}
 	return left
 }
 
 // heldWaits has those that others were told held here, too.
-func heldWaits(held []straggler.Wait) (list []decide.PeerRetryAfter) {
+func heldWaits(held []straggler.RetryAfter) (list []decide.PeerRetryAfter) {
 	for _, w := range held {
-		slog.Info("held by a wait that another forwarder was told", "target", w.Target, "left", w.Left)
-		list = append(list, decide.PeerRetryAfter{Target: w.Target, RetryAfter: w.Left})
+		slog.Info("held by a wait that another forwarder was told", "target", w.Target, "left", w.Remaining)
+		list = append(list, decide.PeerRetryAfter{Target: w.Target, RetryAfter: w.Remaining})
 	}
 	return list
 }
 
 // carryOut does what the judge has decided.
 func (m *member) carryOut(ctx context.Context, l *engine.Engine, d straggler.Decision) {
-	if d.Look && m.looked.CompareAndSwap(false, true) {
+	if d.RefreshList && m.looked.CompareAndSwap(false, true) {
 		slog.Info("behind the others, or what is wanted: discovery is asked again")
 		go func() {
 			defer m.looked.Store(false)
@@ -260,7 +260,7 @@
 			m.p.f.platform.Look(limit) // silence is what made it look
 		}()
 	}
-	if d.Read {
+	if d.ReloadOperators {
 		slog.Info("behind what is wanted: the operators' file is read again")
 		select {
 		case m.read <- struct{}{}:
@@ -268,15 +268,15 @@
 		}
 	}
 	switch {
-	case d.ShutOut != "":
-		m.out.Store(&d.ShutOut)
-		l.ShutOut(d.ShutOut, "the fleet")
-		if err := m.p.f.control.ShutOut(fmt.Errorf("shut out of the fleet: %s", d.ShutOut)); err != nil {
+	case d.FenceOffReason != "":
+		m.out.Store(&d.FenceOffReason)
+		l.ShutOut(d.FenceOffReason, "the fleet")
+		if err := m.p.f.control.ShutOut(fmt.Errorf("shut out of the fleet: %s", d.FenceOffReason)); err != nil {
 			slog.Warn("clients are not sent away", "err", err)
 		}
 		// Once it is so: whoever reads this may count on it.
-		slog.Error("shut out: no message is taken and no call begun", "why", d.ShutOut)
-	case d.LetIn:
+		slog.Error("shut out: no message is taken and no call begun", "why", d.FenceOffReason)
+	case d.Readmitted:
 		m.out.Store(nil)
 		l.ShutOut("", "the fleet")
 		if err := m.p.f.control.ShutOut(nil); err != nil {
@@ -296,8 +296,8 @@
 // FleetView is what one member knows of the fleet, as its door tells it.
 type FleetView struct {
 	Name    string           `json:"name"`
-	Want    *straggler.Want  `json:"want,omitempty"`
-	Lost    *straggler.Want  `json:"lost,omitempty"` // of the same generation, that had to give way
+	Want    *straggler.Desired  `json:"want,omitempty"`
+	Lost    *straggler.Desired  `json:"lost,omitempty"` // of the same generation, that had to give way
 	Share   float64          `json:"share"`
 	Members []straggler.View `json:"members"`
 }
@@ -306,7 +306,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v := FleetView{Name: m.p.f.c.Name, Share: m.p.f.operators.now.Fleet.Share, Members: m.judge.Fleet(m.now())}
-	v.Want, v.Lost = m.judge.Want()
+	v.Want, v.Lost = m.judge.Desired()
 	return v
 }
 
@@ -320,7 +320,7 @@
 
 // put takes a want from an operator.
 func (m *member) put(w http.ResponseWriter, r *http.Request) {
-	var want straggler.Want
+	var want straggler.Desired
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&want); err != nil {
@@ -333,9 +333,9 @@
 	}
 	if !m.want(want) {
 		m.mu.Lock()
-		have, _ := m.judge.Want()
+		have, _ := m.judge.Desired()
 		m.mu.Unlock()
-		if have == nil || have.Gen != want.Gen || have.By != want.By || have.What != want.What {
+		if have == nil || have.Gen != want.Gen || have.By != want.By || have.Version != want.Version {
 			http.Error(w, fmt.Sprintf("want %d of %s holds: look at it (scaleroutectl fleet status), and put yours after it", have.Gen, have.By), http.StatusConflict)
 			return
 		}
--- a/cmd/scaleroute/member_faults_test.go
+++ b/cmd/scaleroute/member_faults_test.go
@@ -146,7 +146,7 @@
 	l.await(t, "n1", "drained by what others know", 1)
 	l.await(t, "n5", "drained by what others know", 1)
 	deaf := time.Now().Add(200 * time.Millisecond)
-	if status, said := put(t, n[2], straggler.Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Desired{Index: index}}); status != http.StatusOK {
+	if status, said := put(t, n[2], straggler.Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Index: index}}); status != http.StatusOK {
 		t.Fatalf("%d %s", status, said)
 	}
 	l.await(t, "n1", "shut out", 1)
@@ -163,7 +163,7 @@
 	r.Between(n, bad) // all is healed, but for what is lost and late
 	l.await(t, "n5", "shut out", 1)
 	eventually(t, "all know that two are out", func() bool {
-		return seen(n[6], straggler.IsShut, n[0], n[4])() && seen(n[1], straggler.IsShut, n[0], n[4])()
+		return seen(n[6], straggler.FencedOff, n[0], n[4])() && seen(n[1], straggler.FencedOff, n[0], n[4])()
 	})
 	eventually(t, "n4 is heard", seen(n[1], straggler.Current, n[3]))
 	n[0].List.Set(fleet.Fault{})
@@ -310,7 +310,7 @@
 	for _, one := range n {
 		eventually(t, one.Name+" has the list", func() bool { return ask[Versions](t, one, "/versions").Vector.List.Index >= index })
 	}
-	eventually(t, "n6 is seen to have diverged", func() bool { return verdicts(t, n[1])["n6"].Verdict == straggler.Split })
+	eventually(t, "n6 is seen to have diverged", func() bool { return verdicts(t, n[1])["n6"].Verdict == straggler.Diverged })
 	for _, other := range []string{"n1", "n2", "n3", "n4", "n5", "n7", "n8"} {
 		eventually(t, other+" is seen to be current", func() bool { return verdicts(t, n[3])[other].Verdict == straggler.Current })
 	}
@@ -369,7 +369,7 @@
 		if d := m.Offset - skew; d < -m.Error-time.Millisecond || d > m.Error+time.Millisecond {
 			t.Errorf("%s: its clock is said to be off by %v within %v, and is by %v", m.Name, m.Offset, m.Error, skew)
 		}
-		if want := m.Name == "n6"; (m.Verdict == straggler.Split) != want {
+		if want := m.Name == "n6"; (m.Verdict == straggler.Diverged) != want {
 			t.Errorf("%s is %s", m.Name, m.Verdict)
 		}
 	}
@@ -426,7 +426,7 @@
 			return ask[Versions](t, one, "/versions").Vector.Operators.Digest == decoded(t, changed).Digest()
 		})
 	}
-	if status, said := put(t, n[3], straggler.Want{Gen: 1, By: "test", Deadline: 100 * time.Millisecond, What: version.Desired{Operators: decoded(t, changed).Digest()}}); status != http.StatusOK {
+	if status, said := put(t, n[3], straggler.Desired{Gen: 1, By: "test", Deadline: 100 * time.Millisecond, Version: version.Desired{Operators: decoded(t, changed).Digest()}}); status != http.StatusOK {
 		t.Fatalf("%d %s", status, said)
 	}
 	for _, one := range n[:3] {
@@ -449,7 +449,7 @@
 	if t.Failed() {
 		return
 	}
-	put(t, n[4], straggler.Want{Gen: 2, By: "test", Deadline: time.Minute})
+	put(t, n[4], straggler.Desired{Gen: 2, By: "test", Deadline: time.Minute})
 	for _, one := range n {
 		eventually(t, one.Name+" is ready", func() bool { return healthy(one) == nil })
 	}
--- a/cmd/scaleroute/member_test.go
+++ b/cmd/scaleroute/member_test.go
@@ -20,7 +20,7 @@
 )
 
 // put has a want put at a forwarder's door, and returns the status.
-func put(t *testing.T, n *fleet.Node, w straggler.Want) (int, string) {
+func put(t *testing.T, n *fleet.Node, w straggler.Desired) (int, string) {
 	t.Helper()
 	text, err := json.Marshal(w)
 	if err != nil {
@@ -105,12 +105,12 @@
 	index := n[1].Discovery.Index()
 	l.await(t, "n1", "drained by what others know", 1)
 	deaf := time.Now().Add(200 * time.Millisecond) // what was being connected is over
-	eventually(t, "n2 sees n1 behind", all(n[1], straggler.Behind, "n1"))
-	if v := verdicts(t, n[1])["n1"]; len(v.Lacks) != 1 || v.Lacks[0] != version.ListOutdated || v.Remedy == "" {
+	eventually(t, "n2 sees n1 behind", all(n[1], straggler.Stale, "n1"))
+	if v := verdicts(t, n[1])["n1"]; len(v.Mismatches) != 1 || v.Mismatches[0] != version.ListOutdated || v.Remedy == "" {
 		t.Errorf("n1 lacks %+v", v)
 	}
 	// It is wanted. n1 can't reach that: it goes out, alone, and says why.
-	if status, said := put(t, n[2], straggler.Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Desired{Index: index}}); status != http.StatusOK {
+	if status, said := put(t, n[2], straggler.Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Index: index}}); status != http.StatusOK {
 		t.Fatalf("%d %s", status, said)
 	}
 	l.await(t, "n1", "shut out", 1)
@@ -118,8 +118,8 @@
 	if got := client.try("PING"); got == "+PONG" {
 		t.Error("n1 is shut out, and says yes")
 	}
-	eventually(t, "all know that n1 is out", all(n[5], straggler.IsShut, "n1"))
-	if v := verdicts(t, n[5])["n1"]; v.Why == "" || v.Remedy == "" {
+	eventually(t, "all know that n1 is out", all(n[5], straggler.FencedOff, "n1"))
+	if v := verdicts(t, n[5])["n1"]; v.Reason == "" || v.Remedy == "" {
 		t.Errorf("n1 is out without a reason: %+v", v)
 	}
 	for _, one := range n[1:] {
@@ -146,7 +146,7 @@
 			t.Fatal(err)
 		}
 	}
-	if status, said := put(t, n[6], straggler.Want{Gen: 2, By: "test", Deadline: time.Minute, What: version.Desired{Index: index, Operators: digest}}); status != http.StatusOK {
+	if status, said := put(t, n[6], straggler.Desired{Gen: 2, By: "test", Deadline: time.Minute, Version: version.Desired{Index: index, Operators: digest}}); status != http.StatusOK {
 		t.Fatalf("%d %s", status, said)
 	}
 	for _, one := range n {
@@ -154,7 +154,7 @@
 	}
 	// Of two wants of one generation all take the same, and the other is named.
 	for i, one := range []*fleet.Node{n[0], n[7]} {
-		put(t, one, straggler.Want{Gen: 3, By: fmt.Sprint("operator ", i), Deadline: time.Minute, What: version.Desired{Index: index}})
+		put(t, one, straggler.Desired{Gen: 3, By: fmt.Sprint("operator ", i), Deadline: time.Minute, Version: version.Desired{Index: index}})
 	}
 	eventually(t, "all want the same", func() bool {
 		by := map[string]int{}
@@ -174,7 +174,7 @@
 		}
 	}
 	// What nobody can reach takes nobody out.
-	put(t, n[4], straggler.Want{Gen: 4, By: "test", Deadline: 100 * time.Millisecond, What: version.Desired{Build: "feedface"}})
+	put(t, n[4], straggler.Desired{Gen: 4, By: "test", Deadline: 100 * time.Millisecond, Version: version.Desired{Build: "feedface"}})
 	eventually(t, "the want is known", func() bool { return ask[FleetView](t, n[0], "/fleet").Want.Gen == 4 })
 	// Meanwhile one is stopped, and there is a second n4.
 	if err := n[6].Stop(); err != nil {
@@ -189,8 +189,8 @@
 		t.Fatal(err)
 	}
 	eventually(t, "n7 is silent", all(n[1], straggler.Silent, "n7"))
-	eventually(t, "n4 is doubled", all(n[1], straggler.Doubled, "n4"))
-	eventually(t, "n4 knows it", all(n[3], straggler.Doubled, "n4"))
+	eventually(t, "n4 is doubled", all(n[1], straggler.Duplicate, "n4"))
+	eventually(t, "n4 knows it", all(n[3], straggler.Duplicate, "n4"))
 	if err := twin.Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -198,13 +198,13 @@
 		t.Fatal(err)
 	}
 	l.await(t, "n7", "calls begin again", 1)
-	eventually(t, "n7 is back and n4 is one", all(n[1], straggler.Behind, "n7", "n4"))
+	eventually(t, "n7 is back and n4 is one", all(n[1], straggler.Stale, "n7", "n4"))
 	for _, one := range n {
 		if err := healthy(one); err != nil {
 			t.Errorf("%s, though nobody can reach what is wanted: %v", one.Name, err)
 		}
 	}
-	put(t, n[4], straggler.Want{Gen: 5, By: "test", Deadline: time.Second, What: version.Desired{Index: index}})
+	put(t, n[4], straggler.Desired{Gen: 5, By: "test", Deadline: time.Second, Version: version.Desired{Index: index}})
 	// Three vanish at once.
 	for _, one := range n[5:] {
 		if err := one.Kill(); err != nil {
--- a/cmd/scaleroutectl/fleet.go
+++ b/cmd/scaleroutectl/fleet.go
@@ -36,7 +36,7 @@
 }
 
 // exits are the exit statuses by the worst verdict. 2 is that the command could not do what was asked.
-var exits = map[straggler.Verdict]exit{straggler.Behind: 1, straggler.IsShut: 1, straggler.Silent: 3, straggler.Split: 4, straggler.Doubled: 5}
+var exits = map[straggler.Verdict]exit{straggler.Stale: 1, straggler.FencedOff: 1, straggler.Silent: 3, straggler.Diverged: 4, straggler.Duplicate: 5}
 
 // found is a verdict that is an exit status.
 type found struct{ exit }
@@ -53,8 +53,8 @@
 // fleetView is what a member knows of the fleet.
 type fleetView struct {
 	Name    string           `json:"name"`
-	Want    *straggler.Want  `json:"want"`
-	Lost    *straggler.Want  `json:"lost"`
+	Want    *straggler.Desired  `json:"want"`
+	Lost    *straggler.Desired  `json:"lost"`
 	Share   float64          `json:"share"`
 	Members []straggler.View `json:"members"`
 }
@@ -82,7 +82,7 @@
 	worst, counts := straggler.Current, map[straggler.Verdict]int{}
 	for _, m := range v.Members {
 		counts[m.Verdict]++
-		if straggler.Worse(m.Verdict, worst) > 0 {
+		if straggler.CompareVerdicts(m.Verdict, worst) > 0 {
 			worst = m.Verdict
 		}
 	}
@@ -95,23 +95,23 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "member\tzone\tverdict\tlist\tbuild\toperators\tlacks\tfor\tclock\tnews")
 	for _, m := range v.Members {
-		lacks := make([]string, len(m.Lacks))
-		for i, l := range m.Lacks {
+		lacks := make([]string, len(m.Mismatches))
+		for i, l := range m.Mismatches {
 			lacks[i] = string(l)
 		}
 		since := ""
-		if m.Since > 0 {
-			since = m.Since.Round(100 * time.Millisecond).String()
+		if m.StaleFor > 0 {
+			since = m.StaleFor.Round(100 * time.Millisecond).String()
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%.8s\t%s\t%s\t%+.1fs\t%v ago\n", m.Name, m.Zone, m.Verdict, m.Vector.List.Index, m.Vector.Build, m.Vector.Operators.Digest, strings.Join(lacks, ","), since,
-			m.Skew.Seconds(), m.Age.Round(100*time.Millisecond))
+			m.ClockSkew.Seconds(), m.ReportAge.Round(100*time.Millisecond))
 	}
 	t.Flush()
 	for _, m := range v.Members {
 		if m.Verdict != straggler.Current {
 			fmt.Fprintf(out, "%s is %s", m.Name, m.Verdict)
-			if m.Why != "" {
-				fmt.Fprintf(out, ": %s", m.Why)
+			if m.Reason != "" {
+				fmt.Fprintf(out, ": %s", m.Reason)
 			}
 			if m.Remedy != "" {
 				fmt.Fprintf(out, "; remedy: %s", m.Remedy)
@@ -127,7 +127,7 @@
 		fmt.Fprintln(out, "nothing is wanted: behind is who has an older list than others")
 		return
 	}
-	text, _ := json.Marshal(v.Want.What) // plain values
+	text, _ := json.Marshal(v.Want.Version) // plain values
 	fmt.Fprintf(out, "want %d of %s, within %v: %s; %.0f%% may be shut out\n", v.Want.Gen, v.Want.By, v.Want.Deadline, text, 100*v.Share)
 	if v.Lost != nil {
 		fmt.Fprintf(out, "another want %d, of %s, came at the same time and had to give way: agree, and put one after them\n", v.Lost.Gen, v.Lost.By)
@@ -142,12 +142,12 @@
 }
 
 // put puts the next want after the one that holds.
-func (c *wanting) put(out io.Writer, change func(v fleetView, w *straggler.Want) error) error {
+func (c *wanting) put(out io.Writer, change func(v fleetView, w *straggler.Desired) error) error {
 	v, _, err := c.view()
 	if err != nil {
 		return err
 	}
-	w := straggler.Want{}
+	w := straggler.Desired{}
 	if v.Want != nil {
 		w = *v.Want
 	}
@@ -193,11 +193,11 @@
 	if !c.Nothing && c.Index == 0 && !c.Newest && c.Operators == "" && c.Build == "" {
 		return errors.New("say what is wanted: --index, --newest, --operators, --build, or --nothing")
 	}
-	return c.put(out, func(v fleetView, w *straggler.Want) error {
-		w.What, w.Out, w.In = version.Desired{Index: c.Index, Build: c.Build}, nil, nil
+	return c.put(out, func(v fleetView, w *straggler.Desired) error {
+		w.Version, w.ForceOut, w.ForceIn = version.Desired{Index: c.Index, Build: c.Build}, nil, nil
 		if c.Newest {
 			for _, m := range v.Members {
-				w.What.Index = max(w.What.Index, m.Vector.List.Index)
+				w.Version.Index = max(w.Version.Index, m.Vector.List.Index)
 			}
 		}
 		if c.Operators != "" {
@@ -209,11 +209,11 @@
 			if err != nil {
 				return err
 			}
-			w.What.Operators = set.Digest()
+			w.Version.Operators = set.Digest()
 		}
 		reach := 0
 		for _, m := range v.Members {
-			if len(m.Vector.Mismatches(w.What)) == 0 {
+			if len(m.Vector.Mismatches(w.Version)) == 0 {
 				reach++
 			}
 		}
@@ -225,13 +225,13 @@
 type upCommand struct{ wanting }
 
 func (c *upCommand) Run(out io.Writer) error {
-	return c.put(out, func(v fleetView, w *straggler.Want) error {
+	return c.put(out, func(v fleetView, w *straggler.Desired) error {
 		i := slices.IndexFunc(v.Members, func(m straggler.View) bool { return m.Name == v.Name })
 		if i < 0 {
 			return fmt.Errorf("%s does not know itself yet: ask again in a second", v.Name)
 		}
 		own := v.Members[i].Vector
-		w.What = version.Desired{Index: own.List.Index, List: own.List.Digest, Operators: own.Operators.Digest, Build: own.Build.Revision}
+		w.Version = version.Desired{Index: own.List.Index, List: own.List.Digest, Operators: own.Operators.Digest, Build: own.Build.Revision}
 		return nil
 	})
 }
@@ -247,11 +247,11 @@
 }
 
 func (c *outCommand) Run(out io.Writer) error {
-	return c.put(out, func(v fleetView, w *straggler.Want) error { return move(v, c.Members, &w.Out, &w.In) })
+	return c.put(out, func(v fleetView, w *straggler.Desired) error { return move(v, c.Members, &w.ForceOut, &w.ForceIn) })
 }
 
 func (c *inCommand) Run(out io.Writer) error {
-	return c.put(out, func(v fleetView, w *straggler.Want) error { return move(v, c.Members, &w.In, &w.Out) })
+	return c.put(out, func(v fleetView, w *straggler.Desired) error { return move(v, c.Members, &w.ForceIn, &w.ForceOut) })
 }
 
 func move(v fleetView, names []string, to, from *[]string) error {
@@ -294,7 +294,7 @@
 			return err
 		}
 		if v.Want != nil {
-			want = v.Want.What
+			want = v.Want.Version
 		}
 	}
 	if len(doors)+len(c.Folder) == 0 {
@@ -347,10 +347,10 @@
 		for _, m := range v.Members {
 			switch {
 			case m.Name == v.Name:
-			case m.Door == "":
+			case m.AdminAddress == "":
 				unheard = append(unheard, m.Name)
 			default:
-				doors = append(doors, m.Door)
+				doors = append(doors, m.AdminAddress)
 			}
 		}
 	}
--- a/cmd/scaleroutectl/fleet_test.go
+++ b/cmd/scaleroutectl/fleet_test.go
@@ -20,9 +20,9 @@
 )
 
 // fleetDoor stands in for the door of a member of a fleet; it keeps the wants that are put.
-func fleetDoor(t *testing.T, members []straggler.View, want *straggler.Want, record *ledger.Record) (at string, wants func() []straggler.Want) {
+func fleetDoor(t *testing.T, members []straggler.View, want *straggler.Desired, record *ledger.Record) (at string, wants func() []straggler.Desired) {
 	t.Helper()
-	var put []straggler.Want
+	var put []straggler.Desired
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET /fleet":
@@ -32,7 +32,7 @@
 		case "GET /ledger":
 			json.NewEncoder(w).Encode(record)
 		case "PUT /fleet/want":
-			var v straggler.Want
+			var v straggler.Desired
 			if err := json.NewDecoder(r.Body).Decode(&v); err != nil {
 				t.Error(err)
 			}
@@ -43,7 +43,7 @@
 		}
 	}))
 	t.Cleanup(s.Close)
-	return s.Listener.Addr().String(), func() []straggler.Want { return put }
+	return s.Listener.Addr().String(), func() []straggler.Desired { return put }
 }
 
 func ctl(args ...string) (status int, out, errs string) {
@@ -57,14 +57,14 @@
 	view := func(name string, v straggler.Verdict) straggler.View {
 		return straggler.View{Name: name, Verdict: v, Remedy: "the remedy", Vector: version.Vector{Build: version.Build{Revision: "abcdef"}, List: version.List{Index: 7, Digest: 3}, Operators: version.Contents{Digest: 5}}}
 	}
-	for verdict, want := range map[straggler.Verdict]int{straggler.Current: 0, straggler.Behind: 1, straggler.IsShut: 1, straggler.Silent: 3, straggler.Split: 4, straggler.Doubled: 5} {
+	for verdict, want := range map[straggler.Verdict]int{straggler.Current: 0, straggler.Stale: 1, straggler.FencedOff: 1, straggler.Silent: 3, straggler.Diverged: 4, straggler.Duplicate: 5} {
 		at, _ := fleetDoor(t, []straggler.View{view("n1", straggler.Current), view("n2", verdict)}, nil, nil)
 		status, out, errs := ctl("fleet", "status", "--at", at)
 		if status != want || errs != "" || verdict != straggler.Current && !strings.Contains(out, "n2 is "+string(verdict)+"; remedy: the remedy") {
 			t.Errorf("%s: %d, %s%s", verdict, status, out, errs)
 		}
 	}
-	holds := &straggler.Want{Gen: 4, By: "x", What: version.Desired{Index: 6}, Out: []string{"n2"}}
+	holds := &straggler.Desired{Gen: 4, By: "x", Version: version.Desired{Index: 6}, ForceOut: []string{"n2"}}
 	at, wants := fleetDoor(t, []straggler.View{view("n1", straggler.Current), view("n2", straggler.Current)}, holds, nil)
 	for _, c := range []struct {
 		args []string
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -149,13 +149,13 @@
 			}
 			switch {
 			case len(processes[g.Name]) > 1:
-				m.Verdict, m.Remedy = straggler.Doubled, "end one of the two: each calls targets on its own"
+				m.Verdict, m.Remedy = straggler.Duplicate, "end one of the two: each calls targets on its own"
 			case split:
-				m.Verdict, m.Remedy = straggler.Split, straggler.Remedy([]version.Mismatch{version.ListDiverged})
+				m.Verdict, m.Remedy = straggler.Diverged, straggler.Remedy([]version.Mismatch{version.ListDiverged})
 			case g.ShutOut != "":
-				m.Verdict, m.Remedy = straggler.IsShut, straggler.Remedy(m.Lacks)
+				m.Verdict, m.Remedy = straggler.FencedOff, straggler.Remedy(m.Lacks)
 			case len(m.Lacks) > 0:
-				m.Verdict, m.Remedy = straggler.Behind, straggler.Remedy(m.Lacks)
+				m.Verdict, m.Remedy = straggler.Stale, straggler.Remedy(m.Lacks)
 			}
 		}
 		r.Members = append(r.Members, m)
@@ -171,7 +171,7 @@
 func (r *Report) Worst() straggler.Verdict {
 	worst := straggler.Current
 	for _, m := range r.Members {
-		if straggler.Worse(m.Verdict, worst) > 0 {
+		if straggler.CompareVerdicts(m.Verdict, worst) > 0 {
 			worst = m.Verdict
 		}
 	}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -131,18 +131,18 @@
 	f.all = append(f.all, twin)
 	f.all[5].ShutOut = "behind"
 	f.all[6].Vector = nil // its folder alone
-	want := map[string]straggler.Verdict{"n0": straggler.Current, "n1": straggler.Behind, "n2": straggler.Split, "n3": straggler.Silent, "n4": straggler.Doubled, "n5": straggler.IsShut,
+	want := map[string]straggler.Verdict{"n0": straggler.Current, "n1": straggler.Stale, "n2": straggler.Diverged, "n3": straggler.Silent, "n4": straggler.Duplicate, "n5": straggler.FencedOff,
 		"n6": straggler.Silent, "n7": straggler.Current}
 	r := Merge(f.all, version.Desired{}, nil)
 	for _, m := range r.Members {
-		if m.Verdict != want[m.Name] || m.Verdict != straggler.Current && m.Remedy == "" && m.Verdict != straggler.IsShut {
+		if m.Verdict != want[m.Name] || m.Verdict != straggler.Current && m.Remedy == "" && m.Verdict != straggler.FencedOff {
 			t.Errorf("%s is %s (%s)", m.Name, m.Verdict, m.Remedy)
 		}
 	}
-	if r.Worst() != straggler.Doubled {
+	if r.Worst() != straggler.Duplicate {
 		t.Errorf("the worst is %s", r.Worst())
 	}
-	if r := Merge(f.all, version.Desired{Build: "abc"}, nil); r.Members[0].Verdict != straggler.Behind || !strings.Contains(r.Members[0].Remedy, "upgrade") {
+	if r := Merge(f.all, version.Desired{Build: "abc"}, nil); r.Members[0].Verdict != straggler.Stale || !strings.Contains(r.Members[0].Remedy, "upgrade") {
 		t.Errorf("with another build wanted: %+v", r.Members[0])
 	}
 }
--- a/internal/capacity/measure/model.go
+++ b/internal/capacity/measure/model.go
@@ -32,11 +32,11 @@
 
 func measureMemberBound(_ context.Context, _ *Lab, members int, seed uint64, into result) error {
 	began := time.Unix(1_700_000_000, 0).UTC()
-	var judge *straggler.Judge
+	var judge *straggler.Evaluator
 	heap := heapOf(func() any {
-		judge = straggler.New(straggler.Config{Name: "n0", Zone: "a", Fresh: 4 * time.Second, Settle: 20 * time.Second, Seed: seed}, func() time.Time { return began })
+		judge = straggler.New(straggler.Config{Name: "n0", Zone: "a", ReportTTL: 4 * time.Second, SettleTime: 20 * time.Second, Seed: seed}, func() time.Time { return began })
 		for i := range members {
-			judge.Hear(time.Second, straggler.News{Format: straggler.Format, Name: fmt.Sprintf("n%d", i+1), Zone: "a", Seq: 1, Vector: version.Vector{Started: began}, Door: "127.0.0.1:7946", Clock: began})
+			judge.Receive(time.Second, straggler.Report{Format: straggler.Format, Name: fmt.Sprintf("n%d", i+1), Zone: "a", Seq: 1, Vector: version.Vector{Started: began}, AdminAddress: "127.0.0.1:7946", Clock: began})
 		}
 		return judge
 	})
--- a/internal/fleet/play.go
+++ b/internal/fleet/play.go
@@ -273,7 +273,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	var to *door.Client
-	want := straggler.Want{By: "scenario", Deadline: deadline}
+	want := straggler.Desired{By: "scenario", Deadline: deadline}
 	files, most := map[version.Digest]int{}, 0
 	for _, n := range p.r.Nodes {
 		pr := n.Process()
@@ -286,10 +286,10 @@
 			return fmt.Errorf("%s: %w", n.Name, err)
 		}
 		to = client
-		want.What.Index = max(want.What.Index, acts.List.Index)
+		want.Version.Index = max(want.Version.Index, acts.List.Index)
 		set := acts.Operators.Digest
 		if files[set]++; files[set] > most {
-			want.What.Operators, most = set, files[set]
+			want.Version.Operators, most = set, files[set]
 		}
 	}
 	if to == nil {
--- a/internal/gossip/frame.go
+++ b/internal/gossip/frame.go
@@ -119,8 +119,8 @@
 }
 
 // DecodeNews and DecodeWant read messages, with their kind in front.
-func DecodeNews(b []byte) (straggler.News, error) { return decodeNews(b) }
-func DecodeWant(b []byte) (straggler.Want, error) { return decodeWant(b) }
+func DecodeNews(b []byte) (straggler.Report, error) { return decodeNews(b) }
+func DecodeWant(b []byte) (straggler.Desired, error) { return decodeWant(b) }
 
 // EncodeNews writes news.
-func EncodeNews(n *straggler.News) []byte { return encodeNews(n) }
+func EncodeNews(n *straggler.Report) []byte { return encodeNews(n) }
--- a/internal/gossip/host/host_test.go
+++ b/internal/gossip/host/host_test.go
@@ -18,12 +18,12 @@
 	g    *Gossip
 	addr string
 	mu   sync.Mutex
-	news map[string]straggler.News
-	want straggler.Want
+	news map[string]straggler.Report
+	want straggler.Desired
 	told chan struct{}
 }
 
-func (n *node) heard(name string) (straggler.News, straggler.Want) {
+func (n *node) heard(name string) (straggler.Report, straggler.Desired) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.news[name], n.want
@@ -41,7 +41,7 @@
 
 func join(t *testing.T, name, addr string, key []byte, to ...string) *node {
 	t.Helper()
-	n := &node{addr: addr, news: map[string]straggler.News{}, told: make(chan struct{}, 1)}
+	n := &node{addr: addr, news: map[string]straggler.Report{}, told: make(chan struct{}, 1)}
 	note := func() {
 		select {
 		case n.told <- struct{}{}:
@@ -84,7 +84,7 @@
 	return n
 }
 
-func (n *node) tell(v straggler.News) { n.g.Tell(gossip.EncodeNews(&v)) }
+func (n *node) tell(v straggler.Report) { n.g.Tell(gossip.EncodeNews(&v)) }
 
 func (n *node) await(t *testing.T, what string, so func() bool) {
 	t.Helper()
@@ -106,9 +106,9 @@
 		nodes = append(nodes, join(t, fmt.Sprint("n", i), free(t), nil, first))
 	}
 	for i, n := range nodes {
-		n.tell(straggler.News{Format: 1, Name: fmt.Sprint("n", i), Seq: 1, Vector: version.Vector{Started: n.g.set.Started, List: version.List{Index: int64(i)}}})
+		n.tell(straggler.Report{Format: 1, Name: fmt.Sprint("n", i), Seq: 1, Vector: version.Vector{Started: n.g.set.Started, List: version.List{Index: int64(i)}}})
 	}
-	want, err := gossip.EncodeWant(&straggler.Want{Gen: 4, By: "test"})
+	want, err := gossip.EncodeWant(&straggler.Desired{Gen: 4, By: "test"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	old := gossip.EncodeNews(&straggler.News{Format: 1, Name: "n1", Seq: 0, Vector: version.Vector{Started: nodes[1].g.set.Started, List: version.List{Index: 99}}})
+	old := gossip.EncodeNews(&straggler.Report{Format: 1, Name: "n1", Seq: 0, Vector: version.Vector{Started: nodes[1].g.set.Started, List: version.List{Index: 99}}})
 	for i := range 200 {
 		b := make([]byte, rng.IntN(300))
 		for j := range b {
@@ -142,8 +142,8 @@
 		conn.Write(b)
 	}
 	stranger := join(t, "n9", free(t), []byte("0123456789abcdef"), first)
-	stranger.tell(straggler.News{Format: 1, Name: "n9", Seq: 1})
-	nodes[1].tell(straggler.News{Format: 1, Name: "n1", Seq: 2, Vector: version.Vector{Started: nodes[1].g.set.Started, List: version.List{Index: 7}}})
+	stranger.tell(straggler.Report{Format: 1, Name: "n9", Seq: 1})
+	nodes[1].tell(straggler.Report{Format: 1, Name: "n1", Seq: 2, Vector: version.Vector{Started: nodes[1].g.set.Started, List: version.List{Index: 7}}})
 	nodes[0].await(t, "n0 hears of n1 again", func() bool { v, _ := nodes[0].heard("n1"); return v.Seq == 2 })
 	if v, _ := nodes[0].heard("n1"); v.Vector.List.Index != 7 {
 		t.Errorf("old news count: %+v", v)
--- a/internal/gossip/process.go
+++ b/internal/gossip/process.go
@@ -19,8 +19,8 @@
 type Gossip struct {
 	cmd    *exec.Cmd
 	in     io.WriteCloser
-	heard  func(straggler.News)
-	wanted func(straggler.Want)
+	heard  func(straggler.Report)
+	wanted func(straggler.Desired)
 	ended  chan struct{}
 
 	mu      sync.Mutex
@@ -34,7 +34,7 @@
 )
 
 // Start starts one. What it hears is told by one goroutine.
-func Start(program string, c Config, heard func(straggler.News), wanted func(straggler.Want)) (*Gossip, error) {
+func Start(program string, c Config, heard func(straggler.Report), wanted func(straggler.Desired)) (*Gossip, error) {
 	g := &Gossip{cmd: exec.Command(program), heard: heard, wanted: wanted, ended: make(chan struct{}), out: make(chan []byte, queued)}
 	g.cmd.Env = append(os.Environ(), Marker+"=1")
 	g.cmd.Stderr = os.Stderr
@@ -124,10 +124,10 @@
 }
 
 // Tell tells news of this member; what it told before is not sent any more.
-func (g *Gossip) Tell(n straggler.News) { g.tell(KindNews, encodeNews(&n)[1:]) }
+func (g *Gossip) Tell(n straggler.Report) { g.tell(KindNews, encodeNews(&n)[1:]) }
 
 // Want tells a want.
-func (g *Gossip) Want(w straggler.Want) error {
+func (g *Gossip) Want(w straggler.Desired) error {
 	text, err := EncodeWant(&w)
 	if err == nil {
 		g.tell(KindWant, text[1:])
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -1,4 +1,4 @@
-// Package gossip has the members of a fleet tell each other what they act under. It decides nothing: what is heard goes to a [straggler.Judge], which has a member
+// Package gossip has the members of a fleet tell each other what they act under. It decides nothing: what is heard goes to a [straggler.Evaluator], which has a member
 // become more careful by it, and never less. The library that finds the others and carries messages is in a process of its own, package host.
 package gossip
 
@@ -33,7 +33,7 @@
 var errMessage = errors.New("no message that this program knows")
 
 // encodeNews writes news; texts that are too long are cut.
-func encodeNews(n *straggler.News) []byte {
+func encodeNews(n *straggler.Report) []byte {
 	le := binary.LittleEndian
 	text := func(b []byte, s string, most int) []byte {
 		s = s[:min(len(s), most)]
@@ -46,15 +46,15 @@
 	b = binary.AppendUvarint(b, n.Seq)
 	b = le.AppendUint64(b, uint64(v.Started.UnixNano()))
 	b = le.AppendUint64(b, uint64(nano(n.Clock)))
-	flags := byte(n.Stand)
-	if n.Lacking {
+	flags := byte(n.State)
+	if n.Stale {
 		flags |= 1 << 4
 	}
 	if v.Build.Dirty {
 		flags |= 1 << 5
 	}
 	b = append(b, flags)
-	b = le.AppendUint64(b, n.Agrees)
+	b = le.AppendUint64(b, n.StateDigest)
 	revision, err := hex.DecodeString(v.Build.Revision)
 	if err != nil || len(revision) > 32 {
 		revision = nil
@@ -68,8 +68,8 @@
 	b = le.AppendUint64(b, uint64(v.List.AddressDigest))
 	b = binary.AppendUvarint(b, uint64(v.List.TargetCount))
 	b = binary.AppendUvarint(b, uint64(max(0, v.Handovers)))
-	b = text(b, n.Why, longestText)
-	b = text(b, n.Door, 64)
+	b = text(b, n.Reason, longestText)
+	b = text(b, n.AdminAddress, 64)
 	drains := n.Drains[max(0, len(n.Drains)-mostDrains):]
 	b = binary.AppendUvarint(b, uint64(len(drains)))
 	for _, d := range drains {
@@ -78,10 +78,10 @@
 	if n.Format < 2 {
 		return b
 	}
-	waits := n.Waits[:min(len(n.Waits), straggler.MostWaits)]
+	waits := n.RetryAfters[:min(len(n.RetryAfters), straggler.MaxReportedRetryAfters)]
 	b = binary.AppendUvarint(b, uint64(len(waits)))
 	for _, w := range waits {
-		b = binary.AppendUvarint(text(b, w.Target, 64), uint64(max(0, w.Left.Milliseconds())))
+		b = binary.AppendUvarint(text(b, w.Target, 64), uint64(max(0, w.Remaining.Milliseconds())))
 	}
 	if n.Format > straggler.Format { // only a test speaks it
 		b = append(b, "later"...)
@@ -149,7 +149,7 @@
 }
 
 // decodeNews reads them.
-func decodeNews(b []byte) (n straggler.News, err error) {
+func decodeNews(b []byte) (n straggler.Report, err error) {
 	if len(b) < 2 || len(b) > mostMessage || b[0] != kindNews || b[1] == 0 {
 		return n, errMessage
 	}
@@ -159,16 +159,16 @@
 	n.Name, n.Zone, n.Seq = r.text(64), r.text(32), r.number()
 	v.Started, n.Clock = r.time(), r.time()
 	if flags := r.bytes(1); flags != nil {
-		n.Stand, n.Lacking, v.Build.Dirty = straggler.Stand(flags[0]&15), flags[0]&(1<<4) != 0, flags[0]&(1<<5) != 0
+		n.State, n.Stale, v.Build.Dirty = straggler.MemberState(flags[0]&15), flags[0]&(1<<4) != 0, flags[0]&(1<<5) != 0
 	}
-	n.Agrees = r.fixed()
+	n.StateDigest = r.fixed()
 	v.Build.Revision = hex.EncodeToString([]byte(r.text(32)))
 	for _, c := range []*version.Contents{&v.Settings, &v.Operators, &v.Disabled} {
 		*c = version.Contents{Digest: version.Digest(r.fixed()), LoadCount: r.small()}
 	}
 	v.List.Index, v.List.Digest, v.List.AddressDigest = int64(r.fixed()), version.Digest(r.fixed()), version.Digest(r.fixed())
 	v.List.TargetCount, v.Handovers = r.small(), r.small()
-	n.Why, n.Door = r.text(longestText), r.text(64)
+	n.Reason, n.AdminAddress = r.text(longestText), r.text(64)
 	drains := r.number()
 	r.bad = r.bad || drains > mostDrains
 	for i := uint64(0); i < drains && !r.bad; i++ {
@@ -176,9 +176,9 @@
 	}
 	if n.Format >= 2 {
 		waits := r.number()
-		r.bad = r.bad || waits > straggler.MostWaits
+		r.bad = r.bad || waits > straggler.MaxReportedRetryAfters
 		for i := uint64(0); i < waits && !r.bad; i++ {
-			n.Waits = append(n.Waits, straggler.Wait{Target: r.text(64), Left: time.Duration(r.small()) * time.Millisecond})
+			n.RetryAfters = append(n.RetryAfters, straggler.RetryAfter{Target: r.text(64), Remaining: time.Duration(r.small()) * time.Millisecond})
 		}
 	}
 	if r.bad || len(r.b) > 0 && n.Format <= straggler.Format {
@@ -188,7 +188,7 @@
 }
 
 // EncodeWant writes a want; the error says that it is too long.
-func EncodeWant(w *straggler.Want) ([]byte, error) {
+func EncodeWant(w *straggler.Desired) ([]byte, error) {
 	text, err := json.Marshal(w)
 	if err != nil {
 		return nil, err
@@ -199,7 +199,7 @@
 	return append([]byte{kindWant}, text...), nil
 }
 
-func decodeWant(b []byte) (w straggler.Want, err error) {
+func decodeWant(b []byte) (w straggler.Desired, err error) {
 	if len(b) < 2 || len(b) > mostMessage || b[0] != kindWant {
 		return w, errMessage
 	}
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -12,14 +12,14 @@
 	"scaleroute/internal/version"
 )
 
-func drawNews(t *rapid.T) straggler.News {
+func drawNews(t *rapid.T) straggler.Report {
 	text := func(label string, most int) string { return rapid.StringN(0, most, most).Draw(t, label) }
 	contents := func(label string) version.Contents {
 		return version.Contents{Digest: version.Digest(rapid.Uint64().Draw(t, label)), LoadCount: rapid.IntRange(0, 1<<20).Draw(t, label)}
 	}
 	when := func(label string) time.Time { return time.Unix(0, rapid.Int64Min(1).Draw(t, label)).UTC() }
-	n := straggler.News{Format: straggler.Format, Name: text("name", 64), Zone: text("zone", 32), Seq: rapid.Uint64().Draw(t, "seq"), Stand: straggler.Stand(rapid.IntRange(0, 3).Draw(t, "stand")),
-		Why: text("why", longestText), Agrees: rapid.Uint64().Draw(t, "agrees"), Lacking: rapid.Bool().Draw(t, "lacking"), Door: text("door", 64), Clock: when("clock")}
+	n := straggler.Report{Format: straggler.Format, Name: text("name", 64), Zone: text("zone", 32), Seq: rapid.Uint64().Draw(t, "seq"), State: straggler.MemberState(rapid.IntRange(0, 3).Draw(t, "stand")),
+		Reason: text("why", longestText), StateDigest: rapid.Uint64().Draw(t, "agrees"), Stale: rapid.Bool().Draw(t, "lacking"), AdminAddress: text("door", 64), Clock: when("clock")}
 	v := &n.Vector
 	v.Format, v.Started, v.Settings, v.Operators, v.Disabled = version.Format, when("started"), contents("settings"), contents("operators"), contents("left out")
 	v.Build = version.Build{Revision: rapid.StringMatching("([0-9a-f]{40})?").Draw(t, "revision"), Dirty: rapid.Bool().Draw(t, "dirty")}
@@ -28,8 +28,8 @@
 	for range rapid.IntRange(0, mostDrains).Draw(t, "drains") {
 		n.Drains = append(n.Drains, straggler.Drain{Target: text("target", 64), Index: rapid.Int64().Draw(t, "index")})
 	}
-	for range rapid.IntRange(0, straggler.MostWaits).Draw(t, "waits") {
-		n.Waits = append(n.Waits, straggler.Wait{Target: text("target", 64), Left: time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "left")) * time.Millisecond})
+	for range rapid.IntRange(0, straggler.MaxReportedRetryAfters).Draw(t, "waits") {
+		n.RetryAfters = append(n.RetryAfters, straggler.RetryAfter{Target: text("target", 64), Remaining: time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "left")) * time.Millisecond})
 	}
 	return n
 }
@@ -55,7 +55,7 @@
 			t.Fatal("with more behind it is read")
 		}
 		older := n
-		older.Format, older.Waits = 1, nil
+		older.Format, older.RetryAfters = 1, nil
 		if got, err := decodeNews(encodeNews(&older)); err != nil || !reflect.DeepEqual(got, older) {
 			t.Fatalf("the format before: %+v\n%+v (%v)", got, older, err)
 		}
@@ -64,14 +64,14 @@
 			t.Fatalf("a later format: %+v (%v)", later, err)
 		}
 	})
-	usual := straggler.News{Format: 1, Name: "n123", Zone: "a", Seq: 77, Vector: version.Vector{Build: version.Build{Revision: strings.Repeat("ab", 20)}, Started: time.Now()}, Door: "127.0.0.1:19000"}
+	usual := straggler.Report{Format: 1, Name: "n123", Zone: "a", Seq: 77, Vector: version.Vector{Build: version.Build{Revision: strings.Repeat("ab", 20)}, Started: time.Now()}, AdminAddress: "127.0.0.1:19000"}
 	if n := len(encodeNews(&usual)); n > 160 {
 		t.Errorf("usual news take %d bytes: eight should go into a packet", n)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	n := straggler.News{Format: 1, Name: "n", Drains: []straggler.Drain{{Target: "t", Index: 4}}}
+	n := straggler.Report{Format: 1, Name: "n", Drains: []straggler.Drain{{Target: "t", Index: 4}}}
 	f.Add(encodeNews(&n))
 	f.Add([]byte(`w{"gen":1,"by":"x","deadline_ns":5}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/straggler/model_test.go
+++ b/internal/straggler/model_test.go
@@ -19,13 +19,13 @@
 type parcel struct {
 	at   time.Duration
 	to   int
-	news News
+	news Report
 }
 
 // one is a member of the modelled fleet.
 type one struct {
 	name, zone string
-	judge      *Judge
+	judge      *Evaluator
 	vector     version.Vector
 	dead       bool
 	paused     bool
@@ -64,14 +64,14 @@
 
 func (m *model) start(o *one) {
 	m.starts++
-	o.judge = New(Config{Name: o.name, Zone: o.zone, Share: m.share, Fresh: 5 * time.Second, Settle: 7 * time.Second, Grace: time.Second, Seed: uint64(m.starts)}, nil)
+	o.judge = New(Config{Name: o.name, Zone: o.zone, MaxOutFraction: m.share, ReportTTL: 5 * time.Second, SettleTime: 7 * time.Second, NewerListGrace: time.Second, Seed: uint64(m.starts)}, nil)
 	o.vector = version.Vector{Started: time.Unix(int64(m.starts), 0), List: version.List{Index: m.index, Digest: version.Digest(m.index)}}
 	o.dead, o.paused, o.out = false, false, false
-	o.judge.Act(o.vector, nil, "")
+	o.judge.SetLocal(o.vector, nil, "")
 }
 
 func (m *model) send(from int, o *one) {
-	n := o.judge.News(m.now)
+	n := o.judge.NextReport(m.now)
 	for to, peer := range m.members {
 		if to == from || peer.dead || m.rng.Float64() < m.loss {
 			continue
@@ -93,7 +93,7 @@
 			rest = append(rest, p)
 		case to.dead, m.split && from.side != to.side:
 		default:
-			to.judge.Hear(m.now, p.news)
+			to.judge.Receive(m.now, p.news)
 		}
 	}
 	m.mail = rest
@@ -102,23 +102,23 @@
 			continue
 		}
 		d := o.judge.Step(m.now)
-		if d.Look {
+		if d.RefreshList {
 			o.looks++
 			if !o.deaf {
 				o.vector.List = version.List{Index: m.index, Digest: version.Digest(m.index)}
-				o.judge.Act(o.vector, nil, "")
+				o.judge.SetLocal(o.vector, nil, "")
 			}
 		}
 		switch {
-		case d.ShutOut != "" && d.LetIn, d.ShutOut != "" && o.out, d.LetIn && !o.out:
+		case d.FenceOffReason != "" && d.Readmitted, d.FenceOffReason != "" && o.out, d.Readmitted && !o.out:
 			return fmt.Errorf("%v: %s is out: %v, and is told %+v", m.now, o.name, o.out, d)
-		case d.ShutOut != "":
+		case d.FenceOffReason != "":
 			o.out = true
 			o.turns++
-		case d.LetIn:
+		case d.Readmitted:
 			o.out = false
 		}
-		if d.Told && m.now-o.told >= 200*time.Millisecond || m.now-o.told >= time.Second {
+		if d.ReportChanged && m.now-o.told >= 200*time.Millisecond || m.now-o.told >= time.Second {
 			m.send(i, o)
 		}
 	}
@@ -193,7 +193,7 @@
 	want := func(o *one, w version.Desired, deadline time.Duration) {
 		gen++
 		if !o.dead && !o.paused {
-			o.judge.SetWant(m.now, Want{Gen: gen, By: "test", Deadline: deadline, What: w})
+			o.judge.SetDesired(m.now, Desired{Gen: gen, By: "test", Deadline: deadline, Version: w})
 		}
 	}
 	for range rapid.IntRange(1, 8).Draw(t, "steps") {
@@ -206,7 +206,7 @@
 			for _, o := range m.members {
 				if !o.dead && !o.deaf && !o.paused {
 					o.vector.List = version.List{Index: m.index, Digest: version.Digest(m.index)}
-					o.judge.Act(o.vector, nil, "")
+					o.judge.SetLocal(o.vector, nil, "")
 				}
 			}
 			want(pick(), version.Desired{Index: m.index}, time.Second)
@@ -305,10 +305,10 @@
 		for _, o := range m.members {
 			if !o.deaf {
 				o.vector.List = version.List{Index: 2, Digest: 2}
-				o.judge.Act(o.vector, nil, "")
+				o.judge.SetLocal(o.vector, nil, "")
 			}
 		}
-		m.members[1].judge.SetWant(m.now, Want{Gen: 1, By: "test", Deadline: 5 * time.Second, What: version.Desired{Index: 2}})
+		m.members[1].judge.SetDesired(m.now, Desired{Gen: 1, By: "test", Deadline: 5 * time.Second, Version: version.Desired{Index: 2}})
 		if err := m.run(40 * time.Second); err != nil {
 			t.Fatal(err)
 		}
@@ -331,7 +331,7 @@
 			if o.out {
 				o.deaf = false
 				o.vector.List = version.List{Index: 2, Digest: 2}
-				o.judge.Act(o.vector, nil, "")
+				o.judge.SetLocal(o.vector, nil, "")
 			}
 		}
 		if err := m.run(5 * time.Second); err != nil {
@@ -348,7 +348,7 @@
 // TestUnreachable: a want that nobody can reach, or a dead control side, takes nobody out.
 func TestUnreachable(t *testing.T) {
 	m := newModel(3, 20, 1, 0.5, 0)
-	m.members[0].judge.SetWant(0, Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Desired{Build: "nowhere"}})
+	m.members[0].judge.SetDesired(0, Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Build: "nowhere"}})
 	if err := m.run(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -371,9 +371,9 @@
 		m.index = 2
 		for _, other := range m.members[:7] {
 			other.vector.List = version.List{Index: 2, Digest: 2}
-			other.judge.Act(other.vector, nil, "")
+			other.judge.SetLocal(other.vector, nil, "")
 		}
-		m.members[0].judge.SetWant(0, Want{Gen: 1, By: "test", Deadline: time.Second, What: version.Desired{Index: 2}})
+		m.members[0].judge.SetDesired(0, Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Index: 2}})
 		for !stopAt(o) {
 			if err := m.step(); err != nil || m.now > time.Minute {
 				t.Fatalf("%s: %v, at %v", name, err, m.now)
--- a/internal/straggler/straggler.go
+++ b/internal/straggler/straggler.go
@@ -23,17 +23,17 @@
 // Format is the version of News. A member that hears of a higher one uses what it knows of it. 2 has Waits.
 const Format = 2
 
-// Speaks is the format in which this program tells its news: that of a build before, or after, where a test says so.
-var Speaks = Format
+// SendFormat is the format in which this program tells its news: that of a build before, or after, where a test says so.
+var SendFormat = Format
 
 // Config is what a member is told.
 type Config struct {
 	Name, Zone string
-	Share      float64       // of the fleet, and of each zone, that may be out; 0: nobody
-	Fresh      time.Duration // news that is older says nothing of what is
-	Settle     time.Duration // how long all must agree; longer than Fresh
-	Detect     time.Duration // how long a process may be said to be there that is gone
-	Grace      time.Duration // how long another's newer list may be known before this member asks
+	MaxOutFraction      float64       // of the fleet, and of each zone, that may be out; 0: nobody
+	ReportTTL      time.Duration // news that is older says nothing of what is
+	SettleTime     time.Duration // how long all must agree; longer than Fresh
+	DetectionTime     time.Duration // how long a process may be said to be there that is gone
+	NewerListGrace      time.Duration // how long another's newer list may be known before this member asks
 	Seed       uint64
 }
 
@@ -46,57 +46,57 @@
 	mostText    = 200
 )
 
-// Want is what the fleet is to act under from some time on.
-type Want struct {
+// Desired is what the fleet is to act under from some time on.
+type Desired struct {
 	Gen      uint64        `json:"gen"` // a higher one takes the place of a lower
 	By       string        `json:"by"`
 	Deadline time.Duration `json:"deadline_ns"` // from when a member hears of it
-	What     version.Desired  `json:"what"`
-	Out      []string      `json:"out,omitempty"` // names of members that are to be out whatever they lack
-	In       []string      `json:"in,omitempty"`  // and in
+	Version     version.Desired  `json:"what"`
+	ForceOut      []string      `json:"out,omitempty"` // names of members that are to be out whatever they lack
+	ForceIn       []string      `json:"in,omitempty"`  // and in
 }
 
 // digest tells two wants of one generation apart.
-func (w *Want) digest() uint64 {
-	return xxhash.Sum64String(fmt.Sprintf("%d %q %d %+v %q %q", w.Gen, w.By, w.Deadline, w.What, w.Out, w.In))
+func (w *Desired) digest() uint64 {
+	return xxhash.Sum64String(fmt.Sprintf("%d %q %d %+v %q %q", w.Gen, w.By, w.Deadline, w.Version, w.ForceOut, w.ForceIn))
 }
 
 // same tells whether two are one want.
-func (w *Want) same(o *Want) bool {
-	return w.Gen == o.Gen && w.By == o.By && w.Deadline == o.Deadline && w.What == o.What && slices.Equal(w.Out, o.Out) && slices.Equal(w.In, o.In)
+func (w *Desired) same(o *Desired) bool {
+	return w.Gen == o.Gen && w.By == o.By && w.Deadline == o.Deadline && w.Version == o.Version && slices.Equal(w.ForceOut, o.ForceOut) && slices.Equal(w.ForceIn, o.ForceIn)
 }
 
 // newer tells whether it takes the place of another. Of two with one generation all members take the same.
-func (w *Want) newer(o *Want) bool {
+func (w *Desired) newer(o *Desired) bool {
 	return o == nil || w.Gen > o.Gen || w.Gen == o.Gen && !w.same(o) && w.digest() > o.digest()
 }
 
-// Stand is how a member stands to being out.
-type Stand int
+// MemberState is how a member stands to being out.
+type MemberState int
 
 // The stands.
 const (
-	In     Stand = iota
-	Claims       // it would go out, if the others agree
-	Out          // it is
-	ByHand       // it is, since an operator said so
+	InRotation     MemberState = iota
+	RemovalRequested       // it would go out, if the others agree
+	OutOfRotation          // it is
+	OutByOperator       // it is, since an operator said so
 )
 
-// News is what a member tells of itself.
-type News struct {
+// Report is what a member tells of itself.
+type Report struct {
 	Format  int            `json:"format"`
 	Name    string         `json:"name"`
 	Zone    string         `json:"zone,omitempty"`
 	Seq     uint64         `json:"seq"` // within a process
 	Vector  version.Vector `json:"vector"`
-	Stand   Stand          `json:"stand,omitempty"`
-	Why     string         `json:"why,omitempty"`
-	Agrees  uint64         `json:"agrees"` // with what it knows of everybody's stand
-	Lacking bool           `json:"lacking,omitempty"`
-	Want    *Want          `json:"want,omitempty"`
+	State   MemberState          `json:"stand,omitempty"`
+	Reason     string         `json:"why,omitempty"`
+	StateDigest  uint64         `json:"agrees"` // with what it knows of everybody's stand
+	Stale bool           `json:"lacking,omitempty"`
+	Desired    *Desired          `json:"want,omitempty"`
 	Drains  []Drain        `json:"drains,omitempty"`
-	Waits   []Wait         `json:"waits,omitempty"`
-	Door    string         `json:"door,omitempty"` // for operators
+	RetryAfters   []RetryAfter         `json:"waits,omitempty"`
+	AdminAddress    string         `json:"door,omitempty"` // for operators
 	Clock   time.Time      `json:"clock"`          // its own, when it told this
 }
 
@@ -108,7 +108,7 @@
 
 // member is what is known of another one.
 type member struct {
-	News
+	Report
 	first time.Duration // its process was heard of first then
 	heard time.Duration // it was there last then
 	since time.Duration // it lacks something, as far as this member sees; only while it does
@@ -124,22 +124,22 @@
 
 // Decision is what this member is to do now.
 type Decision struct {
-	Look    bool   // ask discovery again
-	Read    bool   // read the operators' file again
-	ShutOut string // why it is out from now on
-	LetIn   bool   // it is in again
-	Told    bool   // its news has changed and is to be told at once
+	RefreshList    bool   // ask discovery again
+	ReloadOperators    bool   // read the operators' file again
+	FenceOffReason string // why it is out from now on
+	Readmitted   bool   // it is in again
+	ReportChanged    bool   // its news has changed and is to be told at once
 }
 
-// Judge is one member's.
-type Judge struct {
+// Evaluator is one member's.
+type Evaluator struct {
 	set       Config
 	rng       *rand.Rand
-	own       News
+	own       Report
 	members   map[string]*member // the process that stands for each other one
-	want      *Want
+	want      *Desired
 	wanted    time.Duration // since then
-	lost      *Want         // one of the same generation that had to give way
+	lost      *Desired         // one of the same generation that had to give way
 	lacks     []version.Mismatch
 	since     time.Duration // it lacks something of the want
 	agreed    time.Duration // since then all that must hold to go out does; 0: it does not
@@ -163,26 +163,26 @@
 }
 
 // New makes one. The clock is only told to others, for the audit.
-func New(c Config, clock func() time.Time) *Judge {
-	c.Settle = max(c.Settle, c.Fresh+c.Fresh/4)
-	return &Judge{set: c, rng: rand.New(rand.NewPCG(c.Seed, xxhash.Sum64String(c.Name))), members: map[string]*member{}, processes: map[process]*member{}, retry: map[string]*retry{}, clock: clock,
-		own: News{Format: Speaks, Name: c.Name, Zone: c.Zone}}
+func New(c Config, clock func() time.Time) *Evaluator {
+	c.SettleTime = max(c.SettleTime, c.ReportTTL+c.ReportTTL/4)
+	return &Evaluator{set: c, rng: rand.New(rand.NewPCG(c.Seed, xxhash.Sum64String(c.Name))), members: map[string]*member{}, processes: map[process]*member{}, retry: map[string]*retry{}, clock: clock,
+		own: Report{Format: SendFormat, Name: c.Name, Zone: c.Zone}}
 }
 
-// Act tells under which vector this member acts from now on, and which targets drain by its list.
-func (j *Judge) Act(v version.Vector, drains []Drain, door string) {
-	j.own.Vector, j.own.Drains, j.own.Door = v, drains, door
+// SetLocal tells under which vector this member acts from now on, and which targets drain by its list.
+func (j *Evaluator) SetLocal(v version.Vector, drains []Drain, door string) {
+	j.own.Vector, j.own.Drains, j.own.AdminAddress = v, drains, door
 	j.changed, j.judged = true, false
 }
 
-// Hear takes another member's news. What is older than what is known, or of this member's own process, is passed over; so is what makes no sense.
-func (j *Judge) Hear(now time.Duration, n News) (took bool) {
-	if n.Name == "" || len(n.Name) > mostText || n.Seq == 0 || n.Stand < In || n.Stand > ByHand {
+// Receive takes another member's news. What is older than what is known, or of this member's own process, is passed over; so is what makes no sense.
+func (j *Evaluator) Receive(now time.Duration, n Report) (took bool) {
+	if n.Name == "" || len(n.Name) > mostText || n.Seq == 0 || n.State < InRotation || n.State > OutByOperator {
 		return false
 	}
-	n.Why = n.Why[:min(len(n.Why), mostText)]
-	if n.Want != nil {
-		j.SetWant(now, *n.Want)
+	n.Reason = n.Reason[:min(len(n.Reason), mostText)]
+	if n.Desired != nil {
+		j.SetDesired(now, *n.Desired)
 	}
 	if n.Name == j.set.Name && n.Vector.Started.Equal(j.own.Vector.Started) {
 		return false
@@ -198,18 +198,18 @@
 		m = &member{first: now}
 		j.processes[k] = m
 	}
-	stood := m.Stand
-	if m.News, m.heard = n, now; !n.Clock.IsZero() && j.clock != nil {
+	stood := m.State
+	if m.Report, m.heard = n, now; !n.Clock.IsZero() && j.clock != nil {
 		m.skew = n.Clock.Sub(j.clock())
 	}
 	if n.Name == j.set.Name { // another process says that it is this member
 		return true
 	}
-	for _, w := range n.Waits {
+	for _, w := range n.RetryAfters {
 		j.waits.hear(now, n.Name, w)
 	}
 	j.choose(now, n.Name)
-	if j.members[n.Name] == m && stood != n.Stand {
+	if j.members[n.Name] == m && stood != n.State {
 		j.summed = false // what this member agrees with is another now
 	}
 	j.lackOf(now, m)
@@ -217,7 +217,7 @@
 }
 
 // choose finds the process that stands for a member: of those that are heard of the one that was started last, or else the one heard last.
-func (j *Judge) choose(now time.Duration, name string) {
+func (j *Evaluator) choose(now time.Duration, name string) {
 	old := j.members[name]
 	var best *member
 	for k, m := range j.processes {
@@ -236,8 +236,8 @@
 	j.members[name] = best
 }
 
-func (j *Judge) better(now time.Duration, a, b *member) bool {
-	if fa, fb := now-a.heard <= j.set.Fresh, now-b.heard <= j.set.Fresh; fa != fb {
+func (j *Evaluator) better(now time.Duration, a, b *member) bool {
+	if fa, fb := now-a.heard <= j.set.ReportTTL, now-b.heard <= j.set.ReportTTL; fa != fb {
 		return fa
 	} else if !fa {
 		return a.heard > b.heard
@@ -247,30 +247,30 @@
 
 // doubled tells whether two processes say that they are one member. One that has just been started may be taken for that until the end of the one before has been
 // found out.
-func (j *Judge) doubled(now time.Duration, name string) bool {
+func (j *Evaluator) doubled(now time.Duration, name string) bool {
 	n := 0
 	for k, m := range j.processes {
-		if k.name == name && now-m.heard <= j.set.Fresh && now-m.first > j.set.Detect {
+		if k.name == name && now-m.heard <= j.set.ReportTTL && now-m.first > j.set.DetectionTime {
 			n++
 		}
 	}
 	return n > 1 || n == 1 && name == j.set.Name
 }
 
-// Alive tells that a process of a member is there, whatever it has told.
-func (j *Judge) Alive(now time.Duration, name string, started int64) {
+// MarkAlive tells that a process of a member is there, whatever it has told.
+func (j *Evaluator) MarkAlive(now time.Duration, name string, started int64) {
 	m := j.processes[process{name, started}]
 	if m == nil {
 		return
 	}
-	was := now-m.heard <= j.set.Fresh
+	was := now-m.heard <= j.set.ReportTTL
 	if m.heard = now; !was && name != j.set.Name {
 		j.choose(now, name)
 	}
 }
 
-// SetWant takes a want, unless a newer one is known; it tells whether.
-func (j *Judge) SetWant(now time.Duration, w Want) bool {
+// SetDesired takes a want, unless a newer one is known; it tells whether.
+func (j *Evaluator) SetDesired(now time.Duration, w Desired) bool {
 	w.By = w.By[:min(len(w.By), mostText)]
 	if !w.newer(j.want) {
 		if w.Gen == j.want.Gen && !w.same(j.want) {
@@ -288,25 +288,25 @@
 	return true
 }
 
-// Want is the one that holds, and one of the same generation that gave way; nil: none.
-func (j *Judge) Want() (want, lost *Want) { return j.want, j.lost }
+// Desired is the one that holds, and one of the same generation that gave way; nil: none.
+func (j *Evaluator) Desired() (want, lost *Desired) { return j.want, j.lost }
 
 // Step decides.
-func (j *Judge) Step(now time.Duration) (d Decision) {
+func (j *Evaluator) Step(now time.Duration) (d Decision) {
 	for k, m := range j.processes {
 		// Of a process that was followed by another one nothing is kept once it is silent.
-		if now-m.heard > forget || now-m.heard > j.set.Fresh && j.members[k.name] != m && j.members[k.name] != nil {
+		if now-m.heard > forget || now-m.heard > j.set.ReportTTL && j.members[k.name] != m && j.members[k.name] != nil {
 			delete(j.processes, k)
 			j.choose(now, k.name)
-		} else if now-m.heard > j.set.Fresh && j.members[k.name] == m {
+		} else if now-m.heard > j.set.ReportTTL && j.members[k.name] == m {
 			j.choose(now, k.name)
 		}
 	}
 	j.lacks = nil
 	if j.want != nil {
-		j.lacks = j.own.Vector.Mismatches(j.want.What)
+		j.lacks = j.own.Vector.Mismatches(j.want.Version)
 	}
-	slept := j.stepped > 0 && now-j.stepped > j.set.Fresh
+	slept := j.stepped > 0 && now-j.stepped > j.set.ReportTTL
 	j.stepped = now
 	lacking := len(j.lacks) > 0
 	switch {
@@ -315,25 +315,25 @@
 	case j.since == 0:
 		j.since = max(1, now)
 	}
-	if lacking != j.own.Lacking {
-		j.own.Lacking, j.changed = lacking, true
+	if lacking != j.own.Stale {
+		j.own.Stale, j.changed = lacking, true
 	}
 	j.note(now)
 	j.bringUp(now, &d)
 	j.stand(now, slept, &d)
-	if agrees := j.agrees(); agrees != j.own.Agrees {
-		j.own.Agrees, j.changed = agrees, true
+	if agrees := j.agrees(); agrees != j.own.StateDigest {
+		j.own.StateDigest, j.changed = agrees, true
 	}
-	d.Told, j.changed = j.changed, false
+	d.ReportChanged, j.changed = j.changed, false
 	return d
 }
 
 // bringUp asks again for what this member lacks, or for a list that others have: each a few times, with waits that double and are drawn by chance, since
 // all that are behind are so for the same reason.
-func (j *Judge) bringUp(now time.Duration, d *Decision) {
+func (j *Evaluator) bringUp(now time.Duration, d *Decision) {
 	newest := j.own.Vector.List.Index
 	for _, m := range j.members {
-		if now-m.heard <= j.set.Fresh {
+		if now-m.heard <= j.set.ReportTTL {
 			newest = max(newest, m.Vector.List.Index)
 		}
 	}
@@ -352,12 +352,12 @@
 	if slices.Contains(j.lacks, version.OperatorsMismatch) {
 		read = fmt.Sprint("want ", j.want.Gen)
 	}
-	d.Look = j.due(now, "look", look, j.set.Grace)
-	d.Read = j.due(now, "read", read, 0)
+	d.RefreshList = j.due(now, "look", look, j.set.NewerListGrace)
+	d.ReloadOperators = j.due(now, "read", read, 0)
 }
 
 // due tells whether something is to be asked for now.
-func (j *Judge) due(now time.Duration, what, reason string, grace time.Duration) bool {
+func (j *Evaluator) due(now time.Duration, what, reason string, grace time.Duration) bool {
 	r := j.retry[what]
 	if reason == "" {
 		if r != nil && now > r.next+forget/10 { // it is as if it had never been
@@ -386,58 +386,58 @@
 	return true
 }
 
-func (j *Judge) jitter(d time.Duration) time.Duration {
+func (j *Evaluator) jitter(d time.Duration) time.Duration {
 	return time.Duration(j.rng.Int64N(int64(d)))
 }
 
 // stand decides whether this member is in, would go, or is out. One that was stopped for longer than news are good for settles anew, in: what made it go out need not hold any
 // more, and what others told meanwhile comes now as if it were new. The settling is longer than such news are taken for fresh.
-func (j *Judge) stand(now time.Duration, slept bool, d *Decision) {
+func (j *Evaluator) stand(now time.Duration, slept bool, d *Decision) {
 	why, byHand := j.reason(now)
-	was := j.own.Stand
+	was := j.own.State
 	switch {
-	case why == "" || j.set.Share <= 0:
-		j.own.Stand, j.agreed = In, 0
-	case was == In, slept:
-		j.own.Stand, j.agreed = Claims, 0
-	case was == Claims:
+	case why == "" || j.set.MaxOutFraction <= 0:
+		j.own.State, j.agreed = InRotation, 0
+	case was == InRotation, slept:
+		j.own.State, j.agreed = RemovalRequested, 0
+	case was == RemovalRequested:
 		if !j.roomFor(now) || !byHand && !j.mostCurrent(now) {
 			j.agreed = 0
 		} else if j.agreed == 0 {
 			j.agreed = max(1, now)
-		} else if now-j.agreed >= j.set.Settle {
-			j.own.Stand = Out
+		} else if now-j.agreed >= j.set.SettleTime {
+			j.own.State = OutOfRotation
 			if byHand {
-				j.own.Stand = ByHand
+				j.own.State = OutByOperator
 			}
 		}
 	default: // out: for as long as there is room for that
 		if !j.roomFor(now) || !byHand && !j.mostCurrent(now) {
-			j.own.Stand, j.agreed = Claims, 0
+			j.own.State, j.agreed = RemovalRequested, 0
 		}
 	}
-	isOut, wasOut := j.own.Stand >= Out, was >= Out
+	isOut, wasOut := j.own.State >= OutOfRotation, was >= OutOfRotation
 	switch {
 	case isOut && !wasOut:
-		d.ShutOut = why
+		d.FenceOffReason = why
 	case wasOut && !isOut:
-		d.LetIn = true
+		d.Readmitted = true
 	}
-	if j.own.Stand != was {
-		j.own.Why, j.changed, j.summed = why, true, false
-		if j.own.Stand == In {
-			j.own.Why = ""
+	if j.own.State != was {
+		j.own.Reason, j.changed, j.summed = why, true, false
+		if j.own.State == InRotation {
+			j.own.Reason = ""
 		}
 	}
 }
 
 // reason is why this member should be out; empty: it should not.
-func (j *Judge) reason(now time.Duration) (why string, byHand bool) {
+func (j *Evaluator) reason(now time.Duration) (why string, byHand bool) {
 	w := j.want
 	switch {
-	case w == nil || slices.Contains(w.In, j.set.Name):
+	case w == nil || slices.Contains(w.ForceIn, j.set.Name):
 		return "", false
-	case slices.Contains(w.Out, j.set.Name):
+	case slices.Contains(w.ForceOut, j.set.Name):
 		return fmt.Sprintf("%s has said so (want %d); scaleroutectl fleet in %s lets it in", w.By, w.Gen, j.set.Name), true
 	case j.since == 0 || now-j.wanted < w.Deadline || w.Deadline <= 0:
 		return "", false
@@ -457,7 +457,7 @@
 }
 
 // agrees is a digest of who is known not to be in, this member included, and of the want. One that has fallen silent is taken to be as it was last.
-func (j *Judge) agrees() uint64 {
+func (j *Evaluator) agrees() uint64 {
 	if j.summed {
 		return j.sum
 	}
@@ -473,13 +473,13 @@
 }
 
 // notIn are the names of those who claim or are out, in order.
-func (j *Judge) notIn() (names []string) {
+func (j *Evaluator) notIn() (names []string) {
 	for name, m := range j.members {
-		if m.Stand != In {
+		if m.State != InRotation {
 			names = append(names, name)
 		}
 	}
-	if j.own.Stand != In {
+	if j.own.State != InRotation {
 		names = append(names, j.set.Name)
 	}
 	slices.Sort(names)
@@ -487,40 +487,40 @@
 }
 
 // roomFor tells whether this member may be out: of those that agree, the share takes it in, behind those that are out and those that all agree go first.
-func (j *Judge) roomFor(now time.Duration) bool {
+func (j *Evaluator) roomFor(now time.Duration) bool {
 	own := j.agrees()
 	type one struct {
 		name, zone string
-		stand      Stand
+		stand      MemberState
 		order      uint64
 	}
 	var ahead []one
 	all, zone := 1, 1
 	for name, m := range j.members {
-		if now-m.heard <= j.set.Fresh && m.Agrees == own {
+		if now-m.heard <= j.set.ReportTTL && m.StateDigest == own {
 			if all++; m.Zone == j.set.Zone {
 				zone++
 			}
 		}
-		if m.Stand != In {
-			ahead = append(ahead, one{name, m.Zone, m.Stand, j.order(name)})
+		if m.State != InRotation {
+			ahead = append(ahead, one{name, m.Zone, m.State, j.order(name)})
 		}
 	}
-	me := one{j.set.Name, j.set.Zone, j.own.Stand, j.order(j.set.Name)}
+	me := one{j.set.Name, j.set.Zone, j.own.State, j.order(j.set.Name)}
 	allRank, zoneRank := 0, 0
 	for _, o := range ahead {
 		// Those out go before those that claim: who is out is not pushed in by who comes later.
-		if cmp.Or(cmp.Compare(min(me.stand, Out), min(o.stand, Out)), cmp.Compare(o.order, me.order), cmp.Compare(o.name, me.name)) < 0 {
+		if cmp.Or(cmp.Compare(min(me.stand, OutOfRotation), min(o.stand, OutOfRotation)), cmp.Compare(o.order, me.order), cmp.Compare(o.name, me.name)) < 0 {
 			if allRank++; o.zone == me.zone {
 				zoneRank++
 			}
 		}
 	}
-	return allRank < int(j.set.Share*float64(all)) && zoneRank < int(j.set.Share*float64(zone))
+	return allRank < int(j.set.MaxOutFraction*float64(all)) && zoneRank < int(j.set.MaxOutFraction*float64(zone))
 }
 
 // order is by rendezvous of name and want, the same for all members and another for each want.
-func (j *Judge) order(name string) uint64 {
+func (j *Evaluator) order(name string) uint64 {
 	gen := uint64(0)
 	if j.want != nil {
 		gen = j.want.Gen
@@ -529,10 +529,10 @@
 }
 
 // mostCurrent tells whether most of those that are heard of lack nothing, by what they say of the same want.
-func (j *Judge) mostCurrent(now time.Duration) bool {
+func (j *Evaluator) mostCurrent(now time.Duration) bool {
 	heard, current := 1, 0
 	for _, m := range j.members {
-		if now-m.heard > j.set.Fresh {
+		if now-m.heard > j.set.ReportTTL {
 			continue
 		}
 		if heard++; !m.lacks {
@@ -542,21 +542,21 @@
 	return 2*current > heard
 }
 
-// News is what this member tells now. Each is newer than the one before.
-func (j *Judge) News(now time.Duration) News {
+// NextReport is what this member tells now. Each is newer than the one before.
+func (j *Evaluator) NextReport(now time.Duration) Report {
 	j.own.Seq++
 	n := j.own
-	n.Waits = j.waits.tell(now)
-	n.Want = j.want
+	n.RetryAfters = j.waits.tell(now)
+	n.Desired = j.want
 	if j.clock != nil {
 		n.Clock = j.clock()
 	}
 	return n
 }
 
-// Resume goes on with a want that this member knew before its process started, for a time that has passed already.
-func (j *Judge) Resume(now time.Duration, w Want, passed time.Duration) {
-	if j.SetWant(now, w) {
+// RestoreDesired goes on with a want that this member knew before its process started, for a time that has passed already.
+func (j *Evaluator) RestoreDesired(now time.Duration, w Desired, passed time.Duration) {
+	if j.SetDesired(now, w) {
 		j.wanted = now - passed
 	}
 }
--- a/internal/straggler/waits.go
+++ b/internal/straggler/waits.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Wait is one that a target told a member, and what was left of it when the member told others. Clocks play no part: what is on its way for a second makes it end a second later for who hears
+// RetryAfter is one that a target told a member, and what was left of it when the member told others. Clocks play no part: what is on its way for a second makes it end a second later for who hears
 // it, and never sooner.
-type Wait struct {
+type RetryAfter struct {
 	Target string        `json:"target"`
-	Left   time.Duration `json:"left_ns"`
+	Remaining   time.Duration `json:"left_ns"`
 }
 
 // Bounds of waits. One that is shorter is over before most others hear of it.
 const (
 	leastWait = time.Second
 	mostWait  = 30 * time.Second
-	MostWaits = 4 // that a member tells at once, the longest
+	MaxReportedRetryAfters = 4 // that a member tells at once, the longest
 	mostHeld  = 4096
 	mostTold  = 4 * mostHeld
 )
@@ -33,8 +33,8 @@
 	next   []string                 // held anew
 }
 
-// Told tells of the waits that targets have told this member itself. What others tell it is not passed on by it: a wait would never end.
-func (j *Judge) Told(now time.Duration, list []Wait) {
+// SetRetryAfters tells of the waits that targets have told this member itself. What others tell it is not passed on by it: a wait would never end.
+func (j *Evaluator) SetRetryAfters(now time.Duration, list []RetryAfter) {
 	w := &j.waits
 	for target, until := range w.own {
 		if until <= now {
@@ -42,8 +42,8 @@
 		}
 	}
 	for _, one := range list {
-		until := now + min(one.Left, mostWait)
-		if one.Left < leastWait || len(one.Target) > mostText || until < w.own[one.Target]+leastWait/2 {
+		until := now + min(one.Remaining, mostWait)
+		if one.Remaining < leastWait || len(one.Target) > mostText || until < w.own[one.Target]+leastWait/2 {
 			continue // too short, or known
 		}
 		if w.own == nil {
@@ -57,19 +57,19 @@
 }
 
 // tell lists the longest, as others are to hear them.
-func (w *waits) tell(now time.Duration) (list []Wait) {
+func (w *waits) tell(now time.Duration) (list []RetryAfter) {
 	for target, until := range w.own {
 		if left := until - now; left >= leastWait && until > w.held[target]+leastWait/2 {
-			list = append(list, Wait{target, left})
+			list = append(list, RetryAfter{target, left})
 		}
 	}
-	slices.SortFunc(list, func(a, b Wait) int { return cmp.Or(cmp.Compare(b.Left, a.Left), cmp.Compare(a.Target, b.Target)) })
-	return list[:min(len(list), MostWaits)]
+	slices.SortFunc(list, func(a, b RetryAfter) int { return cmp.Or(cmp.Compare(b.Remaining, a.Remaining), cmp.Compare(a.Target, b.Target)) })
+	return list[:min(len(list), MaxReportedRetryAfters)]
 }
 
 // hear takes another's wait. After each it rests for as long again: one that errs or lies holds a target for half of the time.
-func (w *waits) hear(now time.Duration, from string, one Wait) {
-	left, by := min(one.Left, mostWait), teller{from, one.Target}
+func (w *waits) hear(now time.Duration, from string, one RetryAfter) {
+	left, by := min(one.Remaining, mostWait), teller{from, one.Target}
 	if left <= 0 || len(one.Target) > mostText || now < w.rested[by] {
 		return
 	}
@@ -102,11 +102,11 @@
 	}
 }
 
-// Held lists the waits that others have told since it was asked last, with what is left of them.
-func (j *Judge) Held(now time.Duration) (list []Wait) {
+// TakePeerRetryAfters lists the waits that others have told since it was asked last, with what is left of them.
+func (j *Evaluator) TakePeerRetryAfters(now time.Duration) (list []RetryAfter) {
 	for _, target := range j.waits.next {
-		if left := j.waits.held[target] - now; left > 0 && !slices.ContainsFunc(list, func(w Wait) bool { return w.Target == target }) {
-			list = append(list, Wait{target, left})
+		if left := j.waits.held[target] - now; left > 0 && !slices.ContainsFunc(list, func(w RetryAfter) bool { return w.Target == target }) {
+			list = append(list, RetryAfter{target, left})
 		}
 	}
 	j.waits.next = nil
--- a/internal/straggler/waits_test.go
+++ b/internal/straggler/waits_test.go
@@ -15,7 +15,7 @@
 func TestWaits(t *testing.T) {
 	told, held := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		j := New(Config{Name: "n0", Fresh: 5 * time.Second}, nil)
+		j := New(Config{Name: "n0", ReportTTL: 5 * time.Second}, nil)
 		now := time.Duration(0)
 		seq := map[string]uint64{}
 		ownUntil, until := map[string]time.Duration{}, map[string]time.Duration{}
@@ -25,27 +25,27 @@
 			target := fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "target"))
 			left := time.Duration(rapid.IntRange(-1000, 60_000).Draw(t, "left")) * time.Millisecond
 			if rapid.Bool().Draw(t, "own") {
-				j.Told(now, []Wait{{target, left}})
+				j.SetRetryAfters(now, []RetryAfter{{target, left}})
 				ownUntil[target] = max(ownUntil[target], now+left)
 			} else {
 				from := fmt.Sprint("n", rapid.IntRange(1, 2).Draw(t, "from"))
 				seq[from]++
 				before := until[target]
-				j.Hear(now, News{Format: Format, Name: from, Seq: seq[from], Waits: []Wait{{target, left}}})
-				for _, w := range j.Held(now) {
+				j.Receive(now, Report{Format: Format, Name: from, Seq: seq[from], RetryAfters: []RetryAfter{{target, left}}})
+				for _, w := range j.TakePeerRetryAfters(now) {
 					held++
-					if w.Target != target || w.Left > min(left, mostWait) || now+w.Left <= before {
+					if w.Target != target || w.Remaining > min(left, mostWait) || now+w.Remaining <= before {
 						t.Fatalf("held by %v of %s, told %v", w, from, left)
 					}
-					until[target] = now + w.Left
-					by[teller{from, target}] += w.Left
+					until[target] = now + w.Remaining
+					by[teller{from, target}] += w.Remaining
 				}
-				if list := j.Held(now); len(list) > 0 {
+				if list := j.TakePeerRetryAfters(now); len(list) > 0 {
 					t.Fatalf("held twice: %v", list)
 				}
 			}
-			for _, w := range j.News(now).Waits {
-				if told++; now+w.Left > ownUntil[w.Target] || w.Left < leastWait {
+			for _, w := range j.NextReport(now).RetryAfters {
+				if told++; now+w.Remaining > ownUntil[w.Target] || w.Remaining < leastWait {
 					t.Fatalf("tells %v, and was told until %v, at %v", w, ownUntil[w.Target], now)
 				}
 			}
@@ -64,24 +64,24 @@
 // TestWithdrawnHolds: what a member has told to drain holds though it falls silent, until this member's own list has come that far, the other tells otherwise, or is forgotten.
 func TestWithdrawnHolds(t *testing.T) {
 	list := func(index int64) version.Vector { return version.Vector{List: version.List{Index: index}} }
-	news := func(seq uint64, index int64, drains ...Drain) News {
-		return News{Format: Format, Name: "n1", Seq: seq, Vector: list(index), Drains: drains}
+	news := func(seq uint64, index int64, drains ...Drain) Report {
+		return Report{Format: Format, Name: "n1", Seq: seq, Vector: list(index), Drains: drains}
 	}
 	for name, c := range map[string]struct {
-		then func(j *Judge)
+		then func(j *Evaluator)
 		want int
 	}{
-		"silent":           {func(j *Judge) { j.Step(time.Minute) }, 1},
-		"own list is old":  {func(j *Judge) { j.Act(list(4), nil, "") }, 1},
-		"own list is new":  {func(j *Judge) { j.Act(list(5), nil, "") }, 0},
-		"it serves again":  {func(j *Judge) { j.Hear(time.Second, news(2, 6)) }, 0},
-		"old news":         {func(j *Judge) { j.Hear(time.Second, news(1, 6)) }, 1},
-		"it is forgotten":  {func(j *Judge) { j.Step(forget + time.Second) }, 0},
-		"more than it has": {func(j *Judge) { j.Hear(time.Second, news(2, 6, Drain{"t", 7})) }, 0},
+		"silent":           {func(j *Evaluator) { j.Step(time.Minute) }, 1},
+		"own list is old":  {func(j *Evaluator) { j.SetLocal(list(4), nil, "") }, 1},
+		"own list is new":  {func(j *Evaluator) { j.SetLocal(list(5), nil, "") }, 0},
+		"it serves again":  {func(j *Evaluator) { j.Receive(time.Second, news(2, 6)) }, 0},
+		"old news":         {func(j *Evaluator) { j.Receive(time.Second, news(1, 6)) }, 1},
+		"it is forgotten":  {func(j *Evaluator) { j.Step(forget + time.Second) }, 0},
+		"more than it has": {func(j *Evaluator) { j.Receive(time.Second, news(2, 6, Drain{"t", 7})) }, 0},
 	} {
-		j := New(Config{Name: "n0", Fresh: 5 * time.Second}, nil)
-		j.Act(list(3), nil, "")
-		j.Hear(0, news(1, 5, Drain{"t", 5}))
+		j := New(Config{Name: "n0", ReportTTL: 5 * time.Second}, nil)
+		j.SetLocal(list(3), nil, "")
+		j.Receive(0, news(1, 5, Drain{"t", 5}))
 		if got := j.Withdrawn(); len(got) != 1 {
 			t.Fatalf("%s: %v at first", name, got)
 		}
