--- a/cmd/scaleroute/main_test.go
+++ b/cmd/scaleroute/main_test.go
@@ -35,7 +35,7 @@
 // TestMain lets the test binary stand in for the program, so that the tests
 // can kill a real process.
 func TestMain(m *testing.M) {
-	if os.Getenv(gossip.Marker) != "" { // a process that speaks for one of the tests'
+	if os.Getenv(gossip.SidecarEnv) != "" { // a process that speaks for one of the tests'
 		host.Main(os.Stdin, os.Stdout)
 		os.Exit(0)
 	}
@@ -74,7 +74,7 @@
 		}
 		if file := os.Getenv("SCALEROUTE_TEST_STOP"); file != "" {
 			file += "." + filepath.Base(os.Getenv("TMPDIR")) // of this forwarder
-			fence.CheckHook = func() {                         // right before the first byte of a call
+			fence.CheckHook = func() {                       // right before the first byte of a call
 				if os.Remove(file) == nil {
 					syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 				}
--- a/cmd/scaleroute/member.go
+++ b/cmd/scaleroute/member.go
@@ -50,9 +50,9 @@
 	judge  *straggler.Evaluator // by mu
 	mu     sync.Mutex
 	began  time.Time
-	set    *gossip.Config                // nil: it hears of nobody
-	gossip atomic.Pointer[gossip.Gossip] // while it serves
-	read   chan struct{}                 // the operators' file is to be read again
+	set    *gossip.Config                 // nil: it hears of nobody
+	gossip atomic.Pointer[gossip.Sidecar] // while it serves
+	read   chan struct{}                  // the operators' file is to be read again
 	out    atomic.Pointer[string]
 	looked atomic.Bool // discovery is being asked
 	again  time.Duration
@@ -61,7 +61,7 @@
 // keptWant is the want as it outlasts the process.
 type keptWant struct {
 	Want straggler.Desired `json:"want"`
-	At   time.Time      `json:"at"` // when it was heard, by this machine's clock
+	At   time.Time         `json:"at"` // when it was heard, by this machine's clock
 }
 
 func newMember(p *auditing) (*member, error) {
@@ -91,8 +91,8 @@
 			return nil, fmt.Errorf("fleet.gossip.key_file: %w", err)
 		}
 	}
-	m.set = &gossip.Config{Name: c.Name, Started: p.began, Listen: listen, Advertise: advertise, Join: set.Gossip.Join, Key: key, Seed: c.Seed, Quick: quick}
-	return m, m.set.Check()
+	m.set = &gossip.Config{Name: c.Name, Started: p.began, Listen: listen, Advertise: advertise, Join: set.Gossip.Join, Key: key, Seed: c.Seed, ShortTimeouts: quick}
+	return m, m.set.Validate()
 }
 
 func (m *member) heard(n straggler.Report) {
@@ -113,7 +113,7 @@
 	w, _ := m.judge.Desired()
 	m.mu.Unlock()
 	if w != nil {
-		g.Want(*w) // it fits: it came that way, or was checked
+		g.SendDesired(*w) // it fits: it came that way, or was checked
 	}
 }
 
@@ -160,7 +160,7 @@
 		slog.Warn("the want is not kept over a restart", "err", err)
 	}
 	if g := m.gossip.Load(); g != nil {
-		if err := g.Want(w); err != nil {
+		if err := g.SendDesired(w); err != nil {
 			slog.Warn("the want is not passed on", "err", err)
 		}
 	}
@@ -184,13 +184,13 @@
 		}
 		now := time.Now()
 		g := m.gossip.Load()
-		if m.set != nil && (g == nil || g.Ended()) && now.Sub(started) >= startEvery {
+		if m.set != nil && (g == nil || g.Exited()) && now.Sub(started) >= startEvery {
 			started, pending = now, true
 			m.meet()
 			continue
 		}
 		if g != nil {
-			g.Beat()
+			g.SendHeartbeat()
 		}
 		if g != nil && now.Sub(who) >= whoEvery {
 			who = now
@@ -222,7 +222,7 @@
 		}
 		m.mu.Unlock()
 		if news != nil {
-			g.Tell(*news)
+			g.SendReport(*news)
 		}
 		m.p.f.operators.sources.withdraw(withdrawn)
 		if len(held) > 0 {
@@ -295,11 +295,11 @@
 
 // FleetView is what one member knows of the fleet, as its door tells it.
 type FleetView struct {
-	Name    string           `json:"name"`
-	Want    *straggler.Desired  `json:"want,omitempty"`
-	Lost    *straggler.Desired  `json:"lost,omitempty"` // of the same generation, that had to give way
-	Share   float64          `json:"share"`
-	Members []straggler.View `json:"members"`
+	Name    string             `json:"name"`
+	Want    *straggler.Desired `json:"want,omitempty"`
+	Lost    *straggler.Desired `json:"lost,omitempty"` // of the same generation, that had to give way
+	Share   float64            `json:"share"`
+	Members []straggler.View   `json:"members"`
 }
 
 func (m *member) view() FleetView {
@@ -327,7 +327,7 @@
 		http.Error(w, fmt.Sprintf("no want: %v: make it by scaleroutectl fleet want", err), http.StatusBadRequest)
 		return
 	}
-	if _, err := gossip.EncodeWant(&want); err != nil || want.Gen == 0 || want.By == "" || want.Deadline < 0 {
+	if _, err := gossip.EncodeDesired(&want); err != nil || want.Gen == 0 || want.By == "" || want.Deadline < 0 {
 		http.Error(w, "a want has a generation above 0, says who wants it, and is no longer than a packet: make it by scaleroutectl fleet want", http.StatusBadRequest)
 		return
 	}
--- a/cmd/scaleroutectl/fleet.go
+++ b/cmd/scaleroutectl/fleet.go
@@ -52,11 +52,11 @@
 
 // fleetView is what a member knows of the fleet.
 type fleetView struct {
-	Name    string           `json:"name"`
-	Want    *straggler.Desired  `json:"want"`
-	Lost    *straggler.Desired  `json:"lost"`
-	Share   float64          `json:"share"`
-	Members []straggler.View `json:"members"`
+	Name    string             `json:"name"`
+	Want    *straggler.Desired `json:"want"`
+	Lost    *straggler.Desired `json:"lost"`
+	Share   float64            `json:"share"`
+	Members []straggler.View   `json:"members"`
 }
 
 func (d atDoor) view() (v fleetView, text string, err error) {
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -38,11 +38,11 @@
 // Member is how one stands.
 type Member struct {
 	Gathered
-	Verdict straggler.Verdict `json:"verdict"`
-	Lacks   []version.Mismatch    `json:"lacks,omitempty"`
-	Remedy  string            `json:"remedy,omitempty"`
-	Changes int               `json:"changes"` // that its ledger has
-	Slept   int               `json:"slept"`   // times that it was fenced
+	Verdict straggler.Verdict  `json:"verdict"`
+	Lacks   []version.Mismatch `json:"lacks,omitempty"`
+	Remedy  string             `json:"remedy,omitempty"`
+	Changes int                `json:"changes"` // that its ledger has
+	Slept   int                `json:"slept"`   // times that it was fenced
 }
 
 // RollOut is how a version went through the fleet.
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -35,8 +35,8 @@
 // The kinds of effect.
 const (
 	Idempotent   Effect = iota // safe to repeat
-	Deduplicated                // a repeat is dropped by the same group within a window
-	AtMostOnce               // must never take effect twice
+	Deduplicated               // a repeat is dropped by the same group within a window
+	AtMostOnce                 // must never take effect twice
 )
 
 // Decay is how the value of a message falls once its aim has passed.
@@ -44,28 +44,28 @@
 
 // The kinds of decay.
 const (
-	Linear   Decay = iota // evenly, down to the late share at the deadline
+	Linear      Decay = iota // evenly, down to the late share at the deadline
 	Exponential              // by half with each further aim, not under the late share
 )
 
 // Class describes one class of message.
 type Class struct {
-	Name       string
-	Effect     Effect
-	DedupPerZone  bool          // for Keyed: only endpoints of one zone drop repeats; else all do
-	DedupWindow     time.Duration // for Keyed: how long a repeat is dropped
-	OnTime        time.Duration // delivered by then it has its full value
-	Deadline   time.Duration // it fails if it is not delivered by then
-	Value      float64
-	LateShare  float64 // share of the value left at the deadline
-	Ordered bool    // messages with one key go one at a time, in order
+	Name         string
+	Effect       Effect
+	DedupPerZone bool          // for Keyed: only endpoints of one zone drop repeats; else all do
+	DedupWindow  time.Duration // for Keyed: how long a repeat is dropped
+	OnTime       time.Duration // delivered by then it has its full value
+	Deadline     time.Duration // it fails if it is not delivered by then
+	Value        float64
+	LateShare    float64 // share of the value left at the deadline
+	Ordered      bool    // messages with one key go one at a time, in order
 }
 
 // Kind describes one kind of destination.
 type Kind struct {
-	Name    string
-	SeparateRoutes   bool // its endpoints are separate routes
-	MaxBatch int  // messages that one call carries at most
+	Name           string
+	SeparateRoutes bool // its endpoints are separate routes
+	MaxBatch       int  // messages that one call carries at most
 }
 
 // Tenant is one of those whose messages are delivered.
@@ -83,46 +83,46 @@
 	Decay          Decay
 	OverQuotaValue float64 // value of a message beyond its tenant's quota, as a share
 
-	Zone         string             // this forwarder's own
-	ZoneFee      map[string]float64 // price of a message accepted by a separate route, by zone
-	CrossZonePrice   float64            // price of an attempt that leaves the zone
-	ConnectPrice float64            // price of a new connection; at 0 none is kept idle
-	Forwarders   int                // how many there are, this one included
-	Weights      Weights            // what Target.Weight holds
-
-	Slots        int                                                      // calls in flight at once
-	MaxOpen      int                                                      // open messages at once; 0 for no limit
-	MaxAttempts  int                                                      // attempts for one message; 0 for no limit
-	Limits       func(class string, destination int, route string) Limits // a pure function; nil for none
-	Hedging bool
-	MayProbe     bool
-	MayCancel    bool
-	MustSubscribe      bool          // the list comes only when asked for
-	ResubscribeInterval     time.Duration // how often to ask where the list must be asked for
-
-	ConnIdle     time.Duration // an idle connection is closed after this
+	Zone           string             // this forwarder's own
+	ZoneFee        map[string]float64 // price of a message accepted by a separate route, by zone
+	CrossZonePrice float64            // price of an attempt that leaves the zone
+	ConnectPrice   float64            // price of a new connection; at 0 none is kept idle
+	Forwarders     int                // how many there are, this one included
+	Weights        Weights            // what Target.Weight holds
+
+	Slots               int                                                      // calls in flight at once
+	MaxOpen             int                                                      // open messages at once; 0 for no limit
+	MaxAttempts         int                                                      // attempts for one message; 0 for no limit
+	Limits              func(class string, destination int, route string) Limits // a pure function; nil for none
+	Hedging             bool
+	MayProbe            bool
+	MayCancel           bool
+	MustSubscribe       bool          // the list comes only when asked for
+	ResubscribeInterval time.Duration // how often to ask where the list must be asked for
+
+	ConnIdle       time.Duration // an idle connection is closed after this
 	ConnectTimeout time.Duration // a connection not made by then has failed
 	MaxRetryAfter  time.Duration // the longest wait that a client heeds
 
-	AnswerSlack         time.Duration // a final answer may be this late
-	DrainGrace    time.Duration // sends to a draining target must have ended by then
+	AnswerSlack    time.Duration // a final answer may be this late
+	DrainGrace     time.Duration // sends to a draining target must have ended by then
 	KeyPause       time.Duration // pause of a key after an attempt that may still run
-	StartCapacity float64       // share of its capacity that a returning destination has
-	SlowStart          time.Duration // it has all of it after this
-	OverloadFactor   float64       // sent over this multiple of its present capacity
-	OverloadOutage          time.Duration // for this long, it falls over
+	StartCapacity  float64       // share of its capacity that a returning destination has
+	SlowStart      time.Duration // it has all of it after this
+	OverloadFactor float64       // sent over this multiple of its present capacity
+	OverloadOutage time.Duration // for this long, it falls over
 }
 
 // Limits restricts what is done for some messages; 0 is no limit.
 type Limits struct {
-	MaxAttempts int           // for one message
-	AttemptTimeout   time.Duration // how long one attempt may wait for its answer
+	MaxAttempts    int           // for one message
+	AttemptTimeout time.Duration // how long one attempt may wait for its answer
 	RetryDelay     time.Duration // before the first retry, still jittered; it doubles from there
 	HedgeDelay     time.Duration // until a hedged request of a repeatable message, where Settings.SecondCopies
 
 	// For all messages of a destination together: requested without a class.
 	MaxInFlight   int     // calls in flight at once, of each route
-	MaxRate  float64 // calls a second, of each route, by this forwarder
+	MaxRate       float64 // calls a second, of each route, by this forwarder
 	MaxRetryRatio float64 // retries, as a share of first attempts
 }
 
@@ -160,7 +160,7 @@
 	Weight      float64
 	Backup      bool    // used only while the others of its destination fail or are gone
 	Share       float64 // its weight in the round robin of its route; 0 is 1
-	EnableCount     uint32  // how often an operator disabled and enabled it: it comes back cold
+	EnableCount uint32  // how often an operator disabled and enabled it: it comes back cold
 }
 
 // ListScope says how a TargetList relates to the one before it.
@@ -168,9 +168,9 @@
 
 // The scopes of a list.
 const (
-	Snapshot       ListScope = iota // a complete snapshot: an endpoint missing from it is gone
-	LastKnown                     // the last known snapshot, possibly out of date
-	Delta                      // a delta
+	Snapshot    ListScope = iota // a complete snapshot: an endpoint missing from it is gone
+	LastKnown                    // the last known snapshot, possibly out of date
+	Delta                        // a delta
 	Unavailable                  // the request failed; the last list stays valid
 )
 
@@ -182,22 +182,22 @@
 
 // Message is a new message, or a recovered one. The forwarder owes it one final answer.
 type Message struct {
-	ID          string
-	Class       string
-	Destination int
-	Key         string // for classes that keep order: messages of one key go one at a time
-	Tenant      string
-	TimeLeft        time.Duration // until its deadline
-	FromFailedForwarder       bool          // it was open at a forwarder that died
-	ClientRetry      bool          // a client's repeat, where clients mark it
-	Route       string        // by which it came, for its limits
-	Filter       *EndpointFilter        // which endpoints it may go to; nil: any of its destination
+	ID                  string
+	Class               string
+	Destination         int
+	Key                 string // for classes that keep order: messages of one key go one at a time
+	Tenant              string
+	TimeLeft            time.Duration   // until its deadline
+	FromFailedForwarder bool            // it was open at a forwarder that died
+	ClientRetry         bool            // a client's repeat, where clients mark it
+	Route               string          // by which it came, for its limits
+	Filter              *EndpointFilter // which endpoints it may go to; nil: any of its destination
 
 	// What a restarted host knows of a message that it had accepted before.
-	Recovered  bool // accepted before the restart: it is never rejected for lack of room
-	Attempts   int  // sends made before; the next one has this number
-	HasOpenAttempt       bool // the last of them has no known outcome
-	MayHaveRun bool // one of them may have run
+	Recovered      bool // accepted before the restart: it is never rejected for lack of room
+	Attempts       int  // sends made before; the next one has this number
+	HasOpenAttempt bool // the last of them has no known outcome
+	MayHaveRun     bool // one of them may have run
 }
 
 // EndpointFilter restricts and orders the endpoints that a message may go to. It permits none
@@ -212,9 +212,9 @@
 
 // The ways in which an attempt can end.
 const (
-	Succeeded          Result = iota
+	Succeeded     Result = iota
 	Errored              // answered with an error; it may have run
-	Overloaded                 // rejected: it did not run
+	Overloaded           // rejected: it did not run
 	TimedOut             // it may have run, or still do so
 	ConnectFailed        // never reached the target
 	Reset                // the connection broke; it may have run
@@ -228,30 +228,30 @@
 
 // Allowance is what a destination reports of its limit.
 type Allowance struct {
-	Reported bool
+	Reported  bool
 	Remaining float64 // share of the limit that is left
-	Rate float64 // calls a second that the limit allows; 0 where there is none
+	Rate      float64 // calls a second that the limit allows; 0 where there is none
 }
 
 // Outcome reports how an attempt ended. Every Send gets exactly one.
 type Outcome struct {
-	Message   string
-	Attempt   int // numbered from 0 in the order of the sends
-	Target    string
-	Result    Result
-	Latency      time.Duration
-	RetryAfter      time.Duration // the retry-after time, or 0
-	NoSlot    bool          // with NotSent: no slot was free
-	RetryDelay      time.Duration // with NotSent: its message is not retried before
-	NoAnswerNeeded      bool          // the message needs no answer any more
-	Allowance Allowance
+	Message        string
+	Attempt        int // numbered from 0 in the order of the sends
+	Target         string
+	Result         Result
+	Latency        time.Duration
+	RetryAfter     time.Duration // the retry-after time, or 0
+	NoSlot         bool          // with NotSent: no slot was free
+	RetryDelay     time.Duration // with NotSent: its message is not retried before
+	NoAnswerNeeded bool          // the message needs no answer any more
+	Allowance      Allowance
 }
 
 // ProbeResult reports how a probe ended.
 type ProbeResult struct {
 	Target    string
 	Result    Result
-	Latency      time.Duration
+	Latency   time.Duration
 	Allowance Allowance
 }
 
@@ -275,20 +275,20 @@
 // PeerRetryAfter reports a retry-after time that another sender got from this endpoint: nothing
 // is sent there until then. It never shortens one.
 type PeerRetryAfter struct {
-	Target string
-	RetryAfter   time.Duration
+	Target     string
+	RetryAfter time.Duration
 }
 
-func (TargetList) event()  {}
-func (Message) event()     {}
-func (Outcome) event()     {}
-func (ProbeResult) event() {}
-func (Withdrawn) event()   {}
-func (Woken) event()       {}
-func (StoreFull) event()     {}
-func (Stopping) event()    {}
-func (Fenced) event()     {}
-func (PeerRetryAfter) event()    {}
+func (TargetList) event()     {}
+func (Message) event()        {}
+func (Outcome) event()        {}
+func (ProbeResult) event()    {}
+func (Withdrawn) event()      {}
+func (Woken) event()          {}
+func (StoreFull) event()      {}
+func (Stopping) event()       {}
+func (Fenced) event()         {}
+func (PeerRetryAfter) event() {}
 
 // Action is something that the host must do: [Send], [Refuse], [Fail],
 // [Cancel], [CloseIdle], [Subscribe] or [Wake].
@@ -297,16 +297,16 @@
 // Send starts an attempt. Sends of one Step to one endpoint travel as one call
 // where the endpoint's kind allows it.
 type Send struct {
-	Message string
-	Target  string
-	Timeout time.Duration
-	StartWithin  time.Duration // its first byte is written within that, or not at all; 0: whenever
+	Message     string
+	Target      string
+	Timeout     time.Duration
+	StartWithin time.Duration // its first byte is written within that, or not at all; 0: whenever
 }
 
 // Refuse is a final answer: handing the message in again is harmless.
 type Refuse struct {
-	Message string
-	RetryAfter    time.Duration // advice: how long to stay away; 0 for none
+	Message    string
+	RetryAfter time.Duration // advice: how long to stay away; 0 for none
 }
 
 // Fail is a final answer that promises nothing about the message's effect.
@@ -338,12 +338,12 @@
 
 // RouteView is the state of one route as operators see it.
 type RouteView struct {
-	Route         string        // the destination's number, or the endpoint's id where routes are separate
-	CircuitOpen          bool          // the circuit is open: only probes go
-	OpenReason           string        // why the circuit is open; empty if it is not
-	RetryAfterLeft      time.Duration // until the retry-after time
-	RetryRatio        float64       // retries allowed, as a share of first attempts
-	Amplification float64       // all attempts over first attempts
-	InFlight           int           // calls in flight
-	Queued       int           // messages queued for the destination
+	Route          string        // the destination's number, or the endpoint's id where routes are separate
+	CircuitOpen    bool          // the circuit is open: only probes go
+	OpenReason     string        // why the circuit is open; empty if it is not
+	RetryAfterLeft time.Duration // until the retry-after time
+	RetryRatio     float64       // retries allowed, as a share of first attempts
+	Amplification  float64       // all attempts over first attempts
+	InFlight       int           // calls in flight
+	Queued         int           // messages queued for the destination
 }
--- a/internal/decide/view.go
+++ b/internal/decide/view.go
@@ -28,7 +28,7 @@
 type TargetView struct {
 	Target
 	InFlight, Connections int    // calls in flight; those and idle connections
-	BlockedReason             string // why it would not be called now; empty if it would
+	BlockedReason         string // why it would not be called now; empty if it would
 }
 
 // Targets lists the endpoints that are known and not gone, by name.
--- a/internal/gossip/frame.go
+++ b/internal/gossip/frame.go
@@ -16,43 +16,43 @@
 // The daemon and the process that speaks for it tell each other frames: a length (4 bytes, little-endian), and a message whose first byte is its kind.
 // Those of the wire go both ways as they are; these are between the two alone.
 const (
-	KindNews    = kindNews
-	KindWant    = kindWant
-	KindSet     = 'c' // how to meet the others: JSON, first and once
-	KindBeat    = 'b' // the daemon runs: without one for BeatLimit the others are to miss it
-	KindLeave   = 'l' // it ends in order
-	KindMembers = 'm' // who is there: JSON
-	KindTrouble = 't' // what is in the way, in words
+	KindReport    = kindNews
+	KindDesired   = kindWant
+	KindConfig    = 'c' // how to meet the others: JSON, first and once
+	KindHeartbeat = 'b' // the daemon runs: without one for BeatLimit the others are to miss it
+	KindLeave     = 'l' // it ends in order
+	KindMembers   = 'm' // who is there: JSON
+	KindError     = 't' // what is in the way, in words
 
 	longestFrame = 1 << 20
-	// BeatLimit is how long the daemon may be silent. A daemon that is stopped must not be told as there by a process that is not.
-	BeatLimit = 2 * time.Second
+	// HeartbeatTimeout is how long the daemon may be silent. A daemon that is stopped must not be told as there by a process that is not.
+	HeartbeatTimeout = 2 * time.Second
 )
 
 // Config is how a member meets the others.
 type Config struct {
-	Name      string    `json:"name"` // of the forwarder
-	Started   time.Time `json:"started"`
-	Listen    string    `json:"listen"`              // an IP address and a port
-	Advertise string    `json:"advertise,omitempty"` // where others reach it, if that is elsewhere
-	Join      []string  `json:"join"`
-	Key       []byte    `json:"key,omitempty"` // 16, 24 or 32 bytes; none: nothing is encrypted
-	Seed      uint64    `json:"seed"`
-	Quick     bool      `json:"quick,omitempty"` // for tests: on one machine, a death is found sooner
+	Name          string    `json:"name"` // of the forwarder
+	Started       time.Time `json:"started"`
+	Listen        string    `json:"listen"`              // an IP address and a port
+	Advertise     string    `json:"advertise,omitempty"` // where others reach it, if that is elsewhere
+	Join          []string  `json:"join"`
+	Key           []byte    `json:"key,omitempty"` // 16, 24 or 32 bytes; none: nothing is encrypted
+	Seed          uint64    `json:"seed"`
+	ShortTimeouts bool      `json:"quick,omitempty"` // for tests: on one machine, a death is found sooner
 }
 
-// Alive is a member that is there.
-type Alive struct {
+// Member is a member that is there.
+type Member struct {
 	Name    string `json:"name"`
 	Started int64  `json:"started"` // Unix time in ns
 }
 
-// Check says what is wrong with the address or the key.
-func (c *Config) Check() error {
-	if _, _, err := c.Address(); err != nil {
+// Validate says what is wrong with the address or the key.
+func (c *Config) Validate() error {
+	if _, _, err := c.ListenAddress(); err != nil {
 		return err
 	}
-	if _, _, err := c.Told(); err != nil {
+	if _, _, err := c.AdvertisedAddress(); err != nil {
 		return err
 	}
 	if n := len(c.Key); n != 0 && n != 16 && n != 24 && n != 32 {
@@ -61,15 +61,15 @@
 	return nil
 }
 
-// Address is where it listens.
-func (c *Config) Address() (host string, port int, err error) {
+// ListenAddress is where it listens.
+func (c *Config) ListenAddress() (host string, port int, err error) {
 	return split(c.Listen, "fleet.gossip.listen, or NODE_GOSSIP")
 }
 
-// Told is where others reach it.
-func (c *Config) Told() (host string, port int, err error) {
+// AdvertisedAddress is where others reach it.
+func (c *Config) AdvertisedAddress() (host string, port int, err error) {
 	if c.Advertise == "" {
-		return c.Address()
+		return c.ListenAddress()
 	}
 	return split(c.Advertise, "fleet.gossip.advertise, or NODE_GOSSIP_ADVERTISE")
 }
@@ -85,24 +85,24 @@
 	return host, port, nil
 }
 
-// Write writes a frame.
-func Write(w io.Writer, kind byte, message []byte) error {
+// WriteFrame writes a frame.
+func WriteFrame(w io.Writer, kind byte, message []byte) error {
 	b := binary.LittleEndian.AppendUint32(make([]byte, 0, 5+len(message)), uint32(len(message)+1))
 	_, err := w.Write(append(append(b, kind), message...))
 	return err
 }
 
-// WriteJSON writes one whose message is JSON.
-func WriteJSON(w io.Writer, kind byte, v any) error {
+// WriteJSONFrame writes one whose message is JSON.
+func WriteJSONFrame(w io.Writer, kind byte, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return Write(w, kind, text)
+	return WriteFrame(w, kind, text)
 }
 
-// Read reads one.
-func Read(r io.Reader) (kind byte, message []byte, err error) {
+// ReadFrame reads one.
+func ReadFrame(r io.Reader) (kind byte, message []byte, err error) {
 	var head [5]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
@@ -118,9 +118,9 @@
 	return head[4], message, nil
 }
 
-// DecodeNews and DecodeWant read messages, with their kind in front.
-func DecodeNews(b []byte) (straggler.Report, error) { return decodeNews(b) }
-func DecodeWant(b []byte) (straggler.Desired, error) { return decodeWant(b) }
+// DecodeReport and DecodeWant read messages, with their kind in front.
+func DecodeReport(b []byte) (straggler.Report, error)   { return decodeNews(b) }
+func DecodeDesired(b []byte) (straggler.Desired, error) { return decodeWant(b) }
 
-// EncodeNews writes news.
-func EncodeNews(n *straggler.Report) []byte { return encodeNews(n) }
+// EncodeReport writes news.
+func EncodeReport(n *straggler.Report) []byte { return encodeNews(n) }
--- a/internal/gossip/host/host.go
+++ b/internal/gossip/host/host.go
@@ -21,12 +21,12 @@
 // Config is what it is told.
 type Config struct {
 	gossip.Config
-	Heard  func(message []byte) // news that are new
-	Wanted func(message []byte)
+	OnReport  func(message []byte) // news that are new
+	OnDesired func(message []byte)
 }
 
-// Gossip is one member's.
-type Gossip struct {
+// Node is one member's.
+type Node struct {
 	set   Config
 	list  *memberlist.Memberlist
 	queue *memberlist.TransmitLimitedQueue
@@ -48,23 +48,23 @@
 )
 
 // New begins to listen.
-func New(c Config) (*Gossip, error) {
-	address, number, err := c.Address()
+func New(c Config) (*Node, error) {
+	address, number, err := c.ListenAddress()
 	if err != nil {
 		return nil, err
 	}
-	known, knownNumber, err := c.Told()
+	known, knownNumber, err := c.AdvertisedAddress()
 	if err != nil {
 		return nil, err
 	}
-	g := &Gossip{set: c, rng: rand.New(rand.NewPCG(c.Seed, 0x90551)), all: map[string]told{}, seen: map[string]string{}}
+	g := &Node{set: c, rng: rand.New(rand.NewPCG(c.Seed, 0x90551)), all: map[string]told{}, seen: map[string]string{}}
 	m := memberlist.DefaultLANConfig()
 	// On a change of the list every member has news, and every member passes all of them on: with the library's 12 transmissions of each at 200 members, to 3 others 5 times a second, that took
 	// longer than a member may be behind. 6 transmissions reach 99.75% of them (each hears of each 6 times on average, and e^-6 never); below a hundred 4 reach 98%. A member tells its news
 	// twice more once the first have passed (member.go), and what is missed all the same comes with the next push and pull.
 	m.RetransmitMult, m.GossipInterval, m.GossipNodes = 2, 100*time.Millisecond, 5
 	m.EnableCompression = false // digests don't shrink, and to try costs more than all else
-	if c.Quick {
+	if c.ShortTimeouts {
 		m.ProbeInterval, m.ProbeTimeout, m.SuspicionMult, m.GossipInterval, m.PushPullInterval = 200*time.Millisecond, 100*time.Millisecond, 2, 50*time.Millisecond, 2*time.Second
 		m.TCPTimeout = time.Second
 	}
@@ -119,7 +119,7 @@
 
 // Join looks for members: those that were named, and those that were there once. It is called again and again, so that halves that were cut
 // apart find each other, and a member that slept finds its way back.
-func (g *Gossip) Join() {
+func (g *Node) Join() {
 	there := map[string]bool{}
 	for _, n := range g.list.Members() {
 		there[n.Address()] = true
@@ -152,27 +152,27 @@
 }
 
 // Members lists who is there, this member too.
-func (g *Gossip) Members() (list []gossip.Alive) {
+func (g *Node) Members() (list []gossip.Member) {
 	for _, n := range g.list.Members() {
 		name, started, ok := strings.Cut(n.Name, "/")
 		at, err := strconv.ParseInt(started, 36, 64)
 		if ok && err == nil {
-			list = append(list, gossip.Alive{Name: name, Started: at})
+			list = append(list, gossip.Member{Name: name, Started: at})
 		}
 	}
 	return list
 }
 
-// Tell tells news of this member; what it told before is not sent any more.
-func (g *Gossip) Tell(news []byte) {
+// BroadcastReport tells news of this member; what it told before is not sent any more.
+func (g *Node) BroadcastReport(news []byte) {
 	g.mu.Lock()
 	g.own = news
 	g.mu.Unlock()
 	g.queue.QueueBroadcast(&broadcast{"n " + g.set.Name, news})
 }
 
-// Want tells a want.
-func (g *Gossip) Want(want []byte) {
+// BroadcastDesired tells a want.
+func (g *Node) BroadcastDesired(want []byte) {
 	g.mu.Lock()
 	g.want = want
 	g.mu.Unlock()
@@ -180,13 +180,13 @@
 }
 
 // Close leaves.
-func (g *Gossip) Close() (err error) {
+func (g *Node) Close() (err error) {
 	g.over.Do(func() { err = errors.Join(g.list.Leave(leaveFor), g.list.Shutdown()) })
 	return err
 }
 
-// Vanish goes without a word: the others miss it.
-func (g *Gossip) Vanish() { g.over.Do(func() { g.list.Shutdown() }) }
+// CloseWithoutLeaving goes without a word: the others miss it.
+func (g *Node) CloseWithoutLeaving() { g.over.Do(func() { g.list.Shutdown() }) }
 
 // broadcast is a message on its way; a newer one about the same takes its place.
 type broadcast struct {
@@ -203,24 +203,24 @@
 func (b *broadcast) Name() string    { return b.about }
 
 // delegate is what memberlist calls.
-type delegate Gossip
+type delegate Node
 
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return (*Gossip)(d).queue.GetBroadcasts(overhead, limit)
+	return (*Node)(d).queue.GetBroadcasts(overhead, limit)
 }
 
 // NotifyMsg takes what came; what can't be read is passed over. News that are new to this member are passed on.
-func (d *delegate) NotifyMsg(b []byte) { (*Gossip)(d).hear(b) }
+func (d *delegate) NotifyMsg(b []byte) { (*Node)(d).hear(b) }
 
-func (g *Gossip) hear(b []byte) {
+func (g *Node) hear(b []byte) {
 	if len(b) == 0 {
 		return
 	}
 	switch b[0] {
-	case gossip.KindNews:
-		n, err := gossip.DecodeNews(b)
+	case gossip.KindReport:
+		n, err := gossip.DecodeReport(b)
 		if err != nil || n.Name == "" {
 			return
 		}
@@ -236,18 +236,18 @@
 		g.mu.Unlock()
 		if n.Name != g.set.Name || !n.Vector.Started.Equal(g.set.Started) {
 			g.queue.QueueBroadcast(&broadcast{"n " + about, text})
-			g.set.Heard(text)
+			g.set.OnReport(text)
 		}
-	case gossip.KindWant:
-		if _, err := gossip.DecodeWant(b); err == nil {
-			g.set.Wanted(append([]byte(nil), b...))
+	case gossip.KindDesired:
+		if _, err := gossip.DecodeDesired(b); err == nil {
+			g.set.OnDesired(append([]byte(nil), b...))
 		}
 	}
 }
 
 // LocalState is what this member tells another one that it meets: all that it knows to one that joins, else its own.
 func (d *delegate) LocalState(join bool) []byte {
-	g := (*Gossip)(d)
+	g := (*Node)(d)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var b []byte
@@ -273,13 +273,13 @@
 		if n > len(b)-2 {
 			return
 		}
-		(*Gossip)(d).hear(b[2 : 2+n])
+		(*Node)(d).hear(b[2 : 2+n])
 		b = b[2+n:]
 	}
 }
 
-// Forget drops what is kept of processes that are not there any more.
-func (g *Gossip) Forget() {
+// PruneReports drops what is kept of processes that are not there any more.
+func (g *Node) PruneReports() {
 	there := map[string]bool{}
 	for _, n := range g.list.Members() {
 		there[n.Name] = true
--- a/internal/gossip/host/host_test.go
+++ b/internal/gossip/host/host_test.go
@@ -15,7 +15,7 @@
 
 // node is a member of a small fleet in this process.
 type node struct {
-	g    *Gossip
+	g    *Node
 	addr string
 	mu   sync.Mutex
 	news map[string]straggler.Report
@@ -49,9 +49,9 @@
 		}
 	}
 	var err error
-	n.g, err = New(Config{Config: gossip.Config{Name: name, Started: time.Now(), Listen: addr, Join: to, Key: key, Quick: true},
-		Heard: func(b []byte) {
-			v, err := gossip.DecodeNews(b)
+	n.g, err = New(Config{Config: gossip.Config{Name: name, Started: time.Now(), Listen: addr, Join: to, Key: key, ShortTimeouts: true},
+		OnReport: func(b []byte) {
+			v, err := gossip.DecodeReport(b)
 			if err != nil {
 				t.Errorf("heard what is no news: %v", err)
 			}
@@ -60,8 +60,8 @@
 			n.mu.Unlock()
 			note()
 		},
-		Wanted: func(b []byte) {
-			w, err := gossip.DecodeWant(b)
+		OnDesired: func(b []byte) {
+			w, err := gossip.DecodeDesired(b)
 			if err != nil {
 				t.Errorf("heard what is no want: %v", err)
 			}
@@ -72,7 +72,7 @@
 			}
 			n.mu.Unlock()
 			if newer { // it is passed on by whoever takes it
-				n.g.Want(b)
+				n.g.BroadcastDesired(b)
 			}
 			note()
 		}})
@@ -84,7 +84,7 @@
 	return n
 }
 
-func (n *node) tell(v straggler.Report) { n.g.Tell(gossip.EncodeNews(&v)) }
+func (n *node) tell(v straggler.Report) { n.g.BroadcastReport(gossip.EncodeReport(&v)) }
 
 func (n *node) await(t *testing.T, what string, so func() bool) {
 	t.Helper()
@@ -108,11 +108,11 @@
 	for i, n := range nodes {
 		n.tell(straggler.Report{Format: 1, Name: fmt.Sprint("n", i), Seq: 1, Vector: version.Vector{Started: n.g.set.Started, List: version.List{Index: int64(i)}}})
 	}
-	want, err := gossip.EncodeWant(&straggler.Desired{Gen: 4, By: "test"})
+	want, err := gossip.EncodeDesired(&straggler.Desired{Gen: 4, By: "test"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes[3].g.Want(want)
+	nodes[3].g.BroadcastDesired(want)
 	late := join(t, "n5", free(t), nil, nodes[2].addr)
 	for i, n := range append(nodes, late) {
 		for j := range nodes {
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	old := gossip.EncodeNews(&straggler.Report{Format: 1, Name: "n1", Seq: 0, Vector: version.Vector{Started: nodes[1].g.set.Started, List: version.List{Index: 99}}})
+	old := gossip.EncodeReport(&straggler.Report{Format: 1, Name: "n1", Seq: 0, Vector: version.Vector{Started: nodes[1].g.set.Started, List: version.List{Index: 99}}})
 	for i := range 200 {
 		b := make([]byte, rng.IntN(300))
 		for j := range b {
@@ -152,7 +152,7 @@
 		t.Error("one with another key is heard")
 	}
 	// A death, and a return under the same address.
-	nodes[4].g.Vanish()
+	nodes[4].g.CloseWithoutLeaving()
 	nodes[0].await(t, "n4 is missed", func() bool { return len(nodes[0].g.Members()) == 5 })
 	back := join(t, "n4", nodes[4].addr, nil, first)
 	back.await(t, "it is back", func() bool { back.g.Join(); return len(back.g.Members()) == 6 })
--- a/internal/gossip/host/main.go
+++ b/internal/gossip/host/main.go
@@ -20,23 +20,23 @@
 // Main speaks for a daemon over its standard input and output until that ends.
 func Main(in io.Reader, out io.Writer) error {
 	r := bufio.NewReader(in)
-	kind, text, err := gossip.Read(r)
-	if err != nil || kind != gossip.KindSet {
+	kind, text, err := gossip.ReadFrame(r)
+	if err != nil || kind != gossip.KindConfig {
 		return fmt.Errorf("this program is started by scaleroute alone (%v)", err)
 	}
 	h := &speaker{out: out, beat: time.Now()}
 	if err := json.Unmarshal(text, &h.set.Config); err != nil {
 		return err
 	}
-	h.set.Heard = func(b []byte) { h.write(b[0], b[1:]) }
-	h.set.Wanted = h.set.Heard
+	h.set.OnReport = func(b []byte) { h.write(b[0], b[1:]) }
+	h.set.OnDesired = h.set.OnReport
 	over := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() { h.run(over) })
 	defer all.Wait()
 	defer close(over)
 	for {
-		kind, message, err := gossip.Read(r)
+		kind, message, err := gossip.ReadFrame(r)
 		if err != nil {
 			return nil // the daemon is gone: the others find that out
 		}
@@ -54,7 +54,7 @@
 	out io.Writer
 
 	mu    sync.Mutex
-	g     *Gossip // nil: it is not among the others
+	g     *Node // nil: it is not among the others
 	beat  time.Time
 	news  []byte
 	want  []byte
@@ -64,7 +64,7 @@
 func (h *speaker) write(kind byte, message []byte) {
 	h.wmu.Lock()
 	defer h.wmu.Unlock()
-	gossip.Write(h.out, kind, message) // an error: the daemon is gone, and reading ends too
+	gossip.WriteFrame(h.out, kind, message) // an error: the daemon is gone, and reading ends too
 }
 
 func (h *speaker) hear(kind byte, message []byte) {
@@ -73,13 +73,13 @@
 	h.beat = time.Now()
 	text := append([]byte{kind}, message...)
 	switch kind {
-	case gossip.KindNews:
+	case gossip.KindReport:
 		if h.news = text; h.g != nil {
-			h.g.Tell(text)
+			h.g.BroadcastReport(text)
 		}
-	case gossip.KindWant:
+	case gossip.KindDesired:
 		if h.want = text; h.g != nil {
-			h.g.Want(text)
+			h.g.BroadcastDesired(text)
 		}
 	case gossip.KindLeave:
 		h.leave = true
@@ -94,11 +94,11 @@
 	for {
 		now := time.Now()
 		h.mu.Lock()
-		g, runs := h.g, now.Sub(h.beat) <= gossip.BeatLimit
+		g, runs := h.g, now.Sub(h.beat) <= gossip.HeartbeatTimeout
 		h.mu.Unlock()
 		switch {
 		case g != nil && !runs:
-			g.Vanish()
+			g.CloseWithoutLeaving()
 			h.mu.Lock()
 			h.g = nil
 			h.mu.Unlock()
@@ -108,11 +108,11 @@
 		case g != nil && now.Sub(who) >= whoEvery:
 			who = now
 			h.wmu.Lock()
-			gossip.WriteJSON(h.out, gossip.KindMembers, g.Members())
+			gossip.WriteJSONFrame(h.out, gossip.KindMembers, g.Members())
 			h.wmu.Unlock()
 			if now.Sub(join) >= joinEvery {
 				join = now
-				g.Forget()
+				g.PruneReports()
 				go g.Join()
 			}
 		}
@@ -123,7 +123,7 @@
 			if h.g != nil && h.leave {
 				h.g.Close()
 			} else if h.g != nil {
-				h.g.Vanish()
+				h.g.CloseWithoutLeaving()
 			}
 			return
 		case <-tick.C:
@@ -135,17 +135,17 @@
 func (h *speaker) meet() {
 	g, err := New(h.set)
 	if err != nil {
-		h.write(gossip.KindTrouble, []byte(err.Error()))
+		h.write(gossip.KindError, []byte(err.Error()))
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.g = g
 	if h.news != nil {
-		g.Tell(h.news)
+		g.BroadcastReport(h.news)
 	}
 	if h.want != nil {
-		g.Want(h.want)
+		g.BroadcastDesired(h.want)
 	}
 	go g.Join()
 }
--- a/internal/gossip/process.go
+++ b/internal/gossip/process.go
@@ -14,9 +14,9 @@
 	"scaleroute/internal/straggler"
 )
 
-// Gossip is the process that speaks for a daemon. It is another one so that a daemon that does not gossip carries nothing of the library, and so that what
+// Sidecar is the process that speaks for a daemon. It is another one so that a daemon that does not gossip carries nothing of the library, and so that what
 // comes from the network is read elsewhere. It ends with the daemon; it may end sooner, and then this member hears of nobody until another is started.
-type Gossip struct {
+type Sidecar struct {
 	cmd    *exec.Cmd
 	in     io.WriteCloser
 	heard  func(straggler.Report)
@@ -24,7 +24,7 @@
 	ended  chan struct{}
 
 	mu      sync.Mutex
-	members []Alive
+	members []Member
 	out     chan []byte // frames to be written
 }
 
@@ -34,9 +34,9 @@
 )
 
 // Start starts one. What it hears is told by one goroutine.
-func Start(program string, c Config, heard func(straggler.Report), wanted func(straggler.Desired)) (*Gossip, error) {
-	g := &Gossip{cmd: exec.Command(program), heard: heard, wanted: wanted, ended: make(chan struct{}), out: make(chan []byte, queued)}
-	g.cmd.Env = append(os.Environ(), Marker+"=1")
+func Start(program string, c Config, heard func(straggler.Report), wanted func(straggler.Desired)) (*Sidecar, error) {
+	g := &Sidecar{cmd: exec.Command(program), heard: heard, wanted: wanted, ended: make(chan struct{}), out: make(chan []byte, queued)}
+	g.cmd.Env = append(os.Environ(), SidecarEnv+"=1")
 	g.cmd.Stderr = os.Stderr
 	var err error
 	if g.in, err = g.cmd.StdinPipe(); err != nil {
@@ -55,7 +55,7 @@
 			case <-g.ended:
 				return
 			case frame := <-g.out:
-				if err := Write(g.in, frame[0], frame[1:]); err != nil {
+				if err := WriteFrame(g.in, frame[0], frame[1:]); err != nil {
 					return
 				}
 				if frame[0] == KindLeave {
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.tell(KindSet, text)
+	g.tell(KindConfig, text)
 	go func() {
 		defer close(g.ended)
 		if err := g.listen(from); !errors.Is(err, io.EOF) {
@@ -81,72 +81,72 @@
 	return g, nil
 }
 
-// Marker is set in the environment of the process, by which a test's own binary knows that it is one.
-const Marker = "SCALEROUTE_GOSSIP"
+// SidecarEnv is set in the environment of the process, by which a test's own binary knows that it is one.
+const SidecarEnv = "SCALEROUTE_GOSSIP"
 
 // listen takes in what the process writes until that ends, and returns why it ended: never nil.
-func (g *Gossip) listen(from io.Reader) error {
+func (g *Sidecar) listen(from io.Reader) error {
 	r := bufio.NewReader(from)
 	for {
-		kind, message, err := Read(r)
+		kind, message, err := ReadFrame(r)
 		if err != nil {
 			return err
 		}
 		switch kind {
-		case KindNews:
+		case KindReport:
 			if n, err := decodeNews(append([]byte{kind}, message...)); err == nil {
 				g.heard(n)
 			}
-		case KindWant:
+		case KindDesired:
 			if w, err := decodeWant(append([]byte{kind}, message...)); err == nil {
 				g.wanted(w)
 			}
 		case KindMembers:
-			var list []Alive
+			var list []Member
 			if err := json.Unmarshal(message, &list); err != nil {
 				return err
 			}
 			g.mu.Lock()
 			g.members = list
 			g.mu.Unlock()
-		case KindTrouble:
+		case KindError:
 			slog.Warn("this forwarder hears of no other", "err", string(message))
 		}
 	}
 }
 
 // tell has a frame written, unless too many wait already: news are told again.
-func (g *Gossip) tell(kind byte, message []byte) {
+func (g *Sidecar) tell(kind byte, message []byte) {
 	select {
 	case g.out <- append([]byte{kind}, message...):
 	default:
 	}
 }
 
-// Tell tells news of this member; what it told before is not sent any more.
-func (g *Gossip) Tell(n straggler.Report) { g.tell(KindNews, encodeNews(&n)[1:]) }
+// SendReport tells news of this member; what it told before is not sent any more.
+func (g *Sidecar) SendReport(n straggler.Report) { g.tell(KindReport, encodeNews(&n)[1:]) }
 
-// Want tells a want.
-func (g *Gossip) Want(w straggler.Desired) error {
-	text, err := EncodeWant(&w)
+// SendDesired tells a want.
+func (g *Sidecar) SendDesired(w straggler.Desired) error {
+	text, err := EncodeDesired(&w)
 	if err == nil {
-		g.tell(KindWant, text[1:])
+		g.tell(KindDesired, text[1:])
 	}
 	return err
 }
 
-// Beat says that the daemon runs.
-func (g *Gossip) Beat() { g.tell(KindBeat, nil) }
+// SendHeartbeat says that the daemon runs.
+func (g *Sidecar) SendHeartbeat() { g.tell(KindHeartbeat, nil) }
 
 // Members lists who was there a second ago, this member too.
-func (g *Gossip) Members() []Alive {
+func (g *Sidecar) Members() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.members
 }
 
-// Ended tells whether the process has.
-func (g *Gossip) Ended() bool {
+// Exited tells whether the process has.
+func (g *Sidecar) Exited() bool {
 	select {
 	case <-g.ended:
 		return true
@@ -156,7 +156,7 @@
 }
 
 // Close has it leave the others, and waits until its address is free.
-func (g *Gossip) Close() {
+func (g *Sidecar) Close() {
 	g.tell(KindLeave, nil)
 	select {
 	case <-g.ended:
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -187,8 +187,8 @@
 	return n, nil
 }
 
-// EncodeWant writes a want; the error says that it is too long.
-func EncodeWant(w *straggler.Desired) ([]byte, error) {
+// EncodeDesired writes a want; the error says that it is too long.
+func EncodeDesired(w *straggler.Desired) ([]byte, error) {
 	text, err := json.Marshal(w)
 	if err != nil {
 		return nil, err
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -87,11 +87,11 @@
 func TestAddresses(t *testing.T) {
 	for _, bad := range []string{"", "127.0.0.1", "localhost:1", "127.0.0.1:0", "127.0.0.1:x", "127.0.0.1:70000"} {
 		c := Config{Listen: bad}
-		if c.Check() == nil {
+		if c.Validate() == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
-	if c := (Config{Listen: "127.0.0.1:1", Key: []byte("short")}); c.Check() == nil {
+	if c := (Config{Listen: "127.0.0.1:1", Key: []byte("short")}); c.Validate() == nil {
 		t.Error("a short key is taken")
 	}
 }
--- a/internal/membership/hand.go
+++ b/internal/membership/hand.go
@@ -16,8 +16,8 @@
 
 // The answers to a name that can't be left out or put back.
 var (
-	ErrNeverListed = errors.New("no target of that name was ever listed: see the list for its name")
-	ErrTooManyDisabled     = errors.New("too many targets are left out by hand: put some back first")
+	ErrNeverListed     = errors.New("no target of that name was ever listed: see the list for its name")
+	ErrTooManyDisabled = errors.New("too many targets are left out by hand: put some back first")
 )
 
 // hand is what operators have said by hand.
--- a/internal/straggler/straggler.go
+++ b/internal/straggler/straggler.go
@@ -28,13 +28,13 @@
 
 // Config is what a member is told.
 type Config struct {
-	Name, Zone string
-	MaxOutFraction      float64       // of the fleet, and of each zone, that may be out; 0: nobody
+	Name, Zone     string
+	MaxOutFraction float64       // of the fleet, and of each zone, that may be out; 0: nobody
 	ReportTTL      time.Duration // news that is older says nothing of what is
 	SettleTime     time.Duration // how long all must agree; longer than Fresh
-	DetectionTime     time.Duration // how long a process may be said to be there that is gone
-	NewerListGrace      time.Duration // how long another's newer list may be known before this member asks
-	Seed       uint64
+	DetectionTime  time.Duration // how long a process may be said to be there that is gone
+	NewerListGrace time.Duration // how long another's newer list may be known before this member asks
+	Seed           uint64
 }
 
 // Bounds of what is kept and done.
@@ -48,12 +48,12 @@
 
 // Desired is what the fleet is to act under from some time on.
 type Desired struct {
-	Gen      uint64        `json:"gen"` // a higher one takes the place of a lower
-	By       string        `json:"by"`
-	Deadline time.Duration `json:"deadline_ns"` // from when a member hears of it
-	Version     version.Desired  `json:"what"`
-	ForceOut      []string      `json:"out,omitempty"` // names of members that are to be out whatever they lack
-	ForceIn       []string      `json:"in,omitempty"`  // and in
+	Gen      uint64          `json:"gen"` // a higher one takes the place of a lower
+	By       string          `json:"by"`
+	Deadline time.Duration   `json:"deadline_ns"` // from when a member hears of it
+	Version  version.Desired `json:"what"`
+	ForceOut []string        `json:"out,omitempty"` // names of members that are to be out whatever they lack
+	ForceIn  []string        `json:"in,omitempty"`  // and in
 }
 
 // digest tells two wants of one generation apart.
@@ -76,28 +76,28 @@
 
 // The stands.
 const (
-	InRotation     MemberState = iota
-	RemovalRequested       // it would go out, if the others agree
-	OutOfRotation          // it is
-	OutByOperator       // it is, since an operator said so
+	InRotation       MemberState = iota
+	RemovalRequested             // it would go out, if the others agree
+	OutOfRotation                // it is
+	OutByOperator                // it is, since an operator said so
 )
 
 // Report is what a member tells of itself.
 type Report struct {
-	Format  int            `json:"format"`
-	Name    string         `json:"name"`
-	Zone    string         `json:"zone,omitempty"`
-	Seq     uint64         `json:"seq"` // within a process
-	Vector  version.Vector `json:"vector"`
-	State   MemberState          `json:"stand,omitempty"`
-	Reason     string         `json:"why,omitempty"`
+	Format       int            `json:"format"`
+	Name         string         `json:"name"`
+	Zone         string         `json:"zone,omitempty"`
+	Seq          uint64         `json:"seq"` // within a process
+	Vector       version.Vector `json:"vector"`
+	State        MemberState    `json:"stand,omitempty"`
+	Reason       string         `json:"why,omitempty"`
 	StateDigest  uint64         `json:"agrees"` // with what it knows of everybody's stand
-	Stale bool           `json:"lacking,omitempty"`
-	Desired    *Desired          `json:"want,omitempty"`
-	Drains  []Drain        `json:"drains,omitempty"`
-	RetryAfters   []RetryAfter         `json:"waits,omitempty"`
-	AdminAddress    string         `json:"door,omitempty"` // for operators
-	Clock   time.Time      `json:"clock"`          // its own, when it told this
+	Stale        bool           `json:"lacking,omitempty"`
+	Desired      *Desired       `json:"want,omitempty"`
+	Drains       []Drain        `json:"drains,omitempty"`
+	RetryAfters  []RetryAfter   `json:"waits,omitempty"`
+	AdminAddress string         `json:"door,omitempty"` // for operators
+	Clock        time.Time      `json:"clock"`          // its own, when it told this
 }
 
 // Drain is a target that drains or is gone, by a list.
@@ -124,11 +124,11 @@
 
 // Decision is what this member is to do now.
 type Decision struct {
-	RefreshList    bool   // ask discovery again
-	ReloadOperators    bool   // read the operators' file again
-	FenceOffReason string // why it is out from now on
-	Readmitted   bool   // it is in again
-	ReportChanged    bool   // its news has changed and is to be told at once
+	RefreshList     bool   // ask discovery again
+	ReloadOperators bool   // read the operators' file again
+	FenceOffReason  string // why it is out from now on
+	Readmitted      bool   // it is in again
+	ReportChanged   bool   // its news has changed and is to be told at once
 }
 
 // Evaluator is one member's.
@@ -139,7 +139,7 @@
 	members   map[string]*member // the process that stands for each other one
 	want      *Desired
 	wanted    time.Duration // since then
-	lost      *Desired         // one of the same generation that had to give way
+	lost      *Desired      // one of the same generation that had to give way
 	lacks     []version.Mismatch
 	since     time.Duration // it lacks something of the want
 	agreed    time.Duration // since then all that must hold to go out does; 0: it does not
--- a/internal/straggler/view.go
+++ b/internal/straggler/view.go
@@ -13,12 +13,12 @@
 
 // The verdicts.
 const (
-	Current Verdict = "current"
-	Stale  Verdict = "behind"
-	Diverged   Verdict = "diverged" // one index and two contents
+	Current   Verdict = "current"
+	Stale     Verdict = "behind"
+	Diverged  Verdict = "diverged" // one index and two contents
 	Duplicate Verdict = "doubled"  // two processes say that they are it
-	Silent  Verdict = "silent"
-	FencedOff  Verdict = "shut out"
+	Silent    Verdict = "silent"
+	FencedOff Verdict = "shut out"
 )
 
 var badness = map[Verdict]int{Current: 0, Stale: 2, FencedOff: 3, Silent: 4, Diverged: 5, Duplicate: 6}
@@ -28,17 +28,17 @@
 
 // View is what is known of one member.
 type View struct {
-	Name    string         `json:"name"`
-	Zone    string         `json:"zone,omitempty"`
-	Verdict Verdict        `json:"verdict"`
+	Name         string             `json:"name"`
+	Zone         string             `json:"zone,omitempty"`
+	Verdict      Verdict            `json:"verdict"`
 	Mismatches   []version.Mismatch `json:"lacks,omitempty"`
-	StaleFor   time.Duration  `json:"since_ns,omitempty"` // how long it has lacked that, as this member saw it
-	ReportAge     time.Duration  `json:"age_ns"`             // of its news
-	ClockSkew    time.Duration  `json:"skew_ns"`            // its clock less this member's, when its news came
-	Reason     string         `json:"why,omitempty"`      // it is out
-	Remedy  string         `json:"remedy,omitempty"`
-	AdminAddress    string         `json:"door,omitempty"`
-	Vector  version.Vector `json:"vector"`
+	StaleFor     time.Duration      `json:"since_ns,omitempty"` // how long it has lacked that, as this member saw it
+	ReportAge    time.Duration      `json:"age_ns"`             // of its news
+	ClockSkew    time.Duration      `json:"skew_ns"`            // its clock less this member's, when its news came
+	Reason       string             `json:"why,omitempty"`      // it is out
+	Remedy       string             `json:"remedy,omitempty"`
+	AdminAddress string             `json:"door,omitempty"`
+	Vector       version.Vector     `json:"vector"`
 }
 
 // note keeps since when others lack something.
--- a/internal/straggler/waits.go
+++ b/internal/straggler/waits.go
@@ -9,17 +9,17 @@
 // RetryAfter is one that a target told a member, and what was left of it when the member told others. Clocks play no part: what is on its way for a second makes it end a second later for who hears
 // it, and never sooner.
 type RetryAfter struct {
-	Target string        `json:"target"`
-	Remaining   time.Duration `json:"left_ns"`
+	Target    string        `json:"target"`
+	Remaining time.Duration `json:"left_ns"`
 }
 
 // Bounds of waits. One that is shorter is over before most others hear of it.
 const (
-	leastWait = time.Second
-	mostWait  = 30 * time.Second
+	leastWait              = time.Second
+	mostWait               = 30 * time.Second
 	MaxReportedRetryAfters = 4 // that a member tells at once, the longest
-	mostHeld  = 4096
-	mostTold  = 4 * mostHeld
+	mostHeld               = 4096
+	mostTold               = 4 * mostHeld
 )
 
 // teller is a member that tells of a target.
@@ -63,7 +63,9 @@
 			list = append(list, RetryAfter{target, left})
 		}
 	}
-	slices.SortFunc(list, func(a, b RetryAfter) int { return cmp.Or(cmp.Compare(b.Remaining, a.Remaining), cmp.Compare(a.Target, b.Target)) })
+	slices.SortFunc(list, func(a, b RetryAfter) int {
+		return cmp.Or(cmp.Compare(b.Remaining, a.Remaining), cmp.Compare(a.Target, b.Target))
+	})
 	return list[:min(len(list), MaxReportedRetryAfters)]
 }
 
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -42,8 +42,8 @@
 	Settings  Contents  `json:"settings"`  // the platform's configuration
 	Operators Contents  `json:"operators"` // what operators have set, resolved
 	List      List      `json:"list"`      // of targets, as discovery tells it
-	Disabled   Contents  `json:"left_out"`  // targets left out by hand
-	Handovers  int       `json:"take_over"` // 0 for a process that took over from none, and one more than the process that it took over from
+	Disabled  Contents  `json:"left_out"`  // targets left out by hand
+	Handovers int       `json:"take_over"` // 0 for a process that took over from none, and one more than the process that it took over from
 	Started   time.Time `json:"started"`   // this process
 }
 
@@ -66,14 +66,14 @@
 
 // Contents is a file as it was read last.
 type Contents struct {
-	Digest Digest `json:"digest"`
-	LoadCount  int    `json:"times"` // it was taken into force since the process started; 0: nothing is set
+	Digest    Digest `json:"digest"`
+	LoadCount int    `json:"times"` // it was taken into force since the process started; 0: nothing is set
 }
 
 // List is a list of targets that is in force.
 type List struct {
-	Index     int64  `json:"index"` // as the agent says; two agents may give one index to different lists
-	Digest    Digest `json:"digest"`
+	Index         int64  `json:"index"` // as the agent says; two agents may give one index to different lists
+	Digest        Digest `json:"digest"`
 	AddressDigest Digest `json:"addresses"` // where the targets are, which may differ from one forwarder to the next
 	TargetCount   int    `json:"targets"`
 }
@@ -82,7 +82,7 @@
 type Change struct {
 	Cause string
 	By    string // who wanted it, if somebody did
-	Apply  func(*Vector)
+	Apply func(*Vector)
 }
 
 // Entry is what a list says of one target.
@@ -165,7 +165,7 @@
 	SettingsMismatch  Mismatch = "settings"  // the platform writes them; they are read at a start
 	OperatorsMismatch Mismatch = "operators" // the file is read again
 	ListOutdated      Mismatch = "list"      // discovery is asked again
-	ListDiverged       Mismatch = "diverged"  // the list has the wanted index and other contents
+	ListDiverged      Mismatch = "diverged"  // the list has the wanted index and other contents
 )
 
 // Mismatches lists what of a vector is not as wanted, in the order in which it is to be mended.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -27,11 +27,11 @@
 		MaxAttempts: f.integer("Limits.MaxAttempts", false), Hedging: f.boolean("Limits.SecondCopies"),
 		MayProbe: f.boolean("Limits.MayProbe"), MayCancel: f.boolean("Limits.Cancel"),
 		ResubscribeInterval: f.duration("Invariants.AskEvery", false),
-		ConnIdle: f.duration("Limits.ConnIdle", false), ConnectTimeout: f.duration("Limits.ConnectTimeout", false),
+		ConnIdle:            f.duration("Limits.ConnIdle", false), ConnectTimeout: f.duration("Limits.ConnectTimeout", false),
 		AnswerSlack: f.duration("Invariants.AnswerSlack", false), DrainGrace: f.duration("Invariants.DrainGrace", false),
 		KeyPause: f.duration("Invariants.KeyRest", false), SlowStart: f.duration("Invariants.Cold", false),
-		StartCapacity: f.number("Invariants.StartCapacity", false),
-		OverloadFactor:   f.number("Invariants.TipMultiple", false), OverloadOutage: f.duration("Invariants.Fall", false),
+		StartCapacity:  f.number("Invariants.StartCapacity", false),
+		OverloadFactor: f.number("Invariants.TipMultiple", false), OverloadOutage: f.duration("Invariants.Fall", false),
 	}
 	if seed, err := strconv.ParseUint(f.text("InitSeed", true), 10, 64); err == nil {
 		s.Seed = seed
