--- a/cmd/scaleroute/fleet.go
+++ b/cmd/scaleroute/fleet.go
@@ -100,7 +100,7 @@
 	}
 	if set.Fleet.Ledger > 0 {
 		var err error
-		if p.ledger, err = ledger.Open(journal.Folder(p.f.c.State), set.Fleet.Ledger, p.f.c.Name); err != nil {
+		if p.ledger, err = ledger.Open(journal.DirFS(p.f.c.State), set.Fleet.Ledger, p.f.c.Name); err != nil {
 			return nil, err
 		}
 		a.Ledger = p.ledger
@@ -186,7 +186,7 @@
 }
 
 func (p *auditing) record(w http.ResponseWriter, r *http.Request) {
-	record, err := ledger.Read(journal.Folder(p.f.c.State), p.f.c.Name)
+	record, err := ledger.Read(journal.DirFS(p.f.c.State), p.f.c.Name)
 	if err != nil {
 		door.Say(w, err)
 		return
--- a/cmd/scaleroute/fleet_test.go
+++ b/cmd/scaleroute/fleet_test.go
@@ -364,7 +364,7 @@
 		t.Error("n7 does not say that its folder was another's")
 	}
 	// n4 was killed: it goes on counting where it was.
-	if got, err := ledger.Read(journal.Folder(n[3].Folder()), "n4"); err != nil || len(got.Caveats()) > 0 || lastStart(got.Entries) == 0 {
+	if got, err := ledger.Read(journal.DirFS(n[3].Folder()), "n4"); err != nil || len(got.Caveats()) > 0 || lastStart(got.Entries) == 0 {
 		t.Errorf("n4: %+v (%v)", got, err)
 	}
 }
--- a/cmd/scaleroute/main.go
+++ b/cmd/scaleroute/main.go
@@ -51,7 +51,7 @@
 	}
 	if err != nil {
 		slog.Error("scaleroute", "err", err)
-		if errors.Is(err, errDisk) || journal.Failing(err) {
+		if errors.Is(err, errDisk) || journal.IsDiskError(err) {
 			os.Exit(exitDisk)
 		}
 		os.Exit(1)
--- a/cmd/scaleroute/main_test.go
+++ b/cmd/scaleroute/main_test.go
@@ -88,7 +88,7 @@
 			steadyclock.Wall = func() time.Time { return time.Now().Add(plan.ClockStep()) }
 			listenClients = func(address string) (net.Listener, error) { return faults.Listen(address, plan) }
 			dialControl = plan.DialControl
-			folderFS = func(dir string) journal.FS { return faults.NewDisk(journal.Folder(dir), plan) }
+			folderFS = func(dir string) journal.FS { return faults.NewDisk(journal.DirFS(dir), plan) }
 		}
 		if text := os.Getenv("SCALEROUTE_TEST_CLOCK"); text != "" { // the machine's clock is wrong by that
 			wrong, _ := time.ParseDuration(text)
--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -88,8 +88,8 @@
 func recoveredDestinations(j *journal.Journal) []int {
 	var list []int
 	seen := map[int]bool{}
-	for _, s := range j.Held() {
-		if s.End == 0 && s.Dest >= 0 && s.Dest <= math.MaxUint32 && !seen[s.Dest] {
+	for _, s := range j.Queued() {
+		if s.Completion == 0 && s.Dest >= 0 && s.Dest <= math.MaxUint32 && !seen[s.Dest] {
 			seen[s.Dest] = true
 			list = append(list, s.Dest)
 		}
--- a/cmd/scaleroute/ready_test.go
+++ b/cmd/scaleroute/ready_test.go
@@ -26,13 +26,13 @@
 		diskMB  float64
 		body    int
 		damaged bool
-		mark    func(j *journal.Journal, s *journal.Saved)
+		mark    func(j *journal.Journal, s *journal.MessageState)
 	}{
-		"untried, small":       {12, 10, false, func(*journal.Journal, *journal.Saved) {}},
-		"untried, large":       {12, 60 << 10, false, func(*journal.Journal, *journal.Saved) {}},
-		"calls that were out":  {12, 200, false, func(j *journal.Journal, s *journal.Saved) { j.Sending(s.ID) }},
-		"notices that are due": {12, 200, false, func(j *journal.Journal, s *journal.Saved) { j.Ended(s.ID, 'd', 0) }},
-		"damaged":              {12, 200, true, func(*journal.Journal, *journal.Saved) {}},
+		"untried, small":       {12, 10, false, func(*journal.Journal, *journal.MessageState) {}},
+		"untried, large":       {12, 60 << 10, false, func(*journal.Journal, *journal.MessageState) {}},
+		"calls that were out":  {12, 200, false, func(j *journal.Journal, s *journal.MessageState) { j.RecordSending(s.ID) }},
+		"notices that are due": {12, 200, false, func(j *journal.Journal, s *journal.MessageState) { j.RecordCompletion(s.ID, 'd', 0) }},
+		"damaged":              {12, 200, true, func(*journal.Journal, *journal.MessageState) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, func(rw http.ResponseWriter, _ string) {
@@ -64,19 +64,19 @@
 }
 
 // fillJournal accepts messages until there is no room for one more, marks each, and tells how many they are.
-func fillJournal(t *testing.T, folder string, diskMB float64, body int, mark func(*journal.Journal, *journal.Saved)) (held int) {
+func fillJournal(t *testing.T, folder string, diskMB float64, body int, mark func(*journal.Journal, *journal.MessageState)) (held int) {
 	t.Helper()
-	j, err := journal.Open(folder, journal.Options{Limit: int64(diskMB * 1e6)})
+	j, err := journal.Open(folder, journal.Options{DiskLimit: int64(diskMB * 1e6)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.Close()
 	text := message.Bytes(strings.Repeat("x", body))
 	for ; ; held++ {
-		s := &journal.Saved{ID: fmt.Sprint("m", held), Class: []string{"harmless", "unsafe"}[held%2], Dest: 7, Body: text, Deadline: time.Now().Add(5 * time.Minute)}
+		s := &journal.MessageState{ID: fmt.Sprint("m", held), Class: []string{"harmless", "unsafe"}[held%2], Dest: 7, Body: text, Deadline: time.Now().Add(5 * time.Minute)}
 		room, err := j.Reserve(s.Size())
 		if err == nil && room {
-			err = j.Accepted(s)
+			err = j.RecordAccepted(s)
 		}
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -149,7 +149,7 @@
 
 // The edges to the system at which faults are injected: tests and builds with the tag faults replace them.
 var (
-	folderFS      = journal.Folder // the folder that lasts
+	folderFS      = journal.DirFS // the folder that lasts
 	listenClients = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 	dialControl   func(network, address string, c syscall.RawConn) error // before each connect; nil: nothing is done
 )
@@ -161,7 +161,7 @@
 func (f *forwarder) openJournal() (*journal.Journal, error) {
 	for refusals := 0; ; refusals++ {
 		j, err := f.tryJournal()
-		if err == nil || !journal.Failing(err) {
+		if err == nil || !journal.IsDiskError(err) {
 			return j, err
 		}
 		if refusals == 0 {
@@ -176,8 +176,8 @@
 }
 
 func (f *forwarder) tryJournal() (*journal.Journal, error) {
-	return journal.Open(f.c.State, journal.Options{FS: folderFS(f.c.State), Limit: int64(f.c.Limits.DiskMB*1e6) - f.fleet.disk(), Memory: int64(f.c.Limits.MemoryMB) << 20 * heldShare / 100,
-		Durability: operator.Durabilities[f.operators.now.Journal.Durability], Extras: f.operators.file != ""})
+	return journal.Open(f.c.State, journal.Options{FS: folderFS(f.c.State), DiskLimit: int64(f.c.Limits.DiskMB*1e6) - f.fleet.disk(), MemoryLimit: int64(f.c.Limits.MemoryMB) << 20 * heldShare / 100,
+		Durability: operator.Durabilities[f.operators.now.Journal.Durability], AllowExtras: f.operators.file != ""})
 }
 
 // back makes the calls; http is the part of it for HTTP.
--- a/cmd/scaleroutectl/fleet_test.go
+++ b/cmd/scaleroutectl/fleet_test.go
@@ -103,7 +103,7 @@
 // TestFleetAuditCommand reads a door and a folder, writes table and chart, and answers who called a target.
 func TestFleetAuditCommand(t *testing.T) {
 	dir := t.TempDir()
-	l, err := ledger.Open(journal.Folder(dir), 1<<20, "n2")
+	l, err := ledger.Open(journal.DirFS(dir), 1<<20, "n2")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	for range 3 {
 		l.Begin("t1", time.Now()).Over(true, false)
 	}
-	record, err := ledger.Read(journal.Folder(dir), "n2")
+	record, err := ledger.Read(journal.DirFS(dir), "n2")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/scaleroutectl/journal.go
+++ b/cmd/scaleroutectl/journal.go
@@ -82,18 +82,18 @@
 		if damage == nil {
 			damage = []journal.Damage{}
 		}
-		return len(damage) > 0, json.NewEncoder(out).Encode(map[string]any{"held": len(j.Held()), "damage": damage})
+		return len(damage) > 0, json.NewEncoder(out).Encode(map[string]any{"held": len(j.Queued()), "damage": damage})
 	}
 	for _, d := range damage {
-		fmt.Fprintf(out, "%s: at %d, %d bytes: %s\n", d.File, d.Offset, d.Bytes, d.What)
+		fmt.Fprintf(out, "%s: at %d, %d bytes: %s\n", d.File, d.Offset, d.Bytes, d.Description)
 		for _, id := range d.IDs {
 			fmt.Fprintf(out, "\t%s counts as one that may have run\n", id)
 		}
 	}
 	if len(damage) > 0 {
-		fmt.Fprintf(out, "%d places are damaged; %d messages are held. The forwarder starts with what is left, and says the same in its log.\n", len(damage), len(j.Held()))
+		fmt.Fprintf(out, "%d places are damaged; %d messages are held. The forwarder starts with what is left, and says the same in its log.\n", len(damage), len(j.Queued()))
 	} else {
-		fmt.Fprintf(out, "all records check; %d messages are held\n", len(j.Held()))
+		fmt.Fprintf(out, "all records check; %d messages are held\n", len(j.Queued()))
 	}
 	return len(damage) > 0, nil
 }
@@ -109,7 +109,7 @@
 	OldestMS   int64 `json:"least_left_ms"` // until the first of them must have its end
 }
 
-func (c *counts) add(s *journal.Saved, now time.Time) {
+func (c *counts) add(s *journal.MessageState, now time.Time) {
 	left := s.Deadline.Sub(now).Milliseconds()
 	if c.Held == 0 || left < c.OldestMS {
 		c.OldestMS = left
@@ -117,10 +117,10 @@
 	c.Held++
 	c.Bytes += int64(s.Body.Len())
 	c.Attempts += s.Attempts
-	if s.Ran() {
+	if s.PossiblyRan() {
 		c.MayHaveRun++
 	}
-	if s.End != 0 {
+	if s.Completion != 0 {
 		c.Ended++
 	}
 	if left < 0 {
@@ -131,13 +131,13 @@
 func stat(j *journal.Journal, asJSON bool, out io.Writer, now time.Time) error {
 	var all counts
 	byClass, byDest, byTries := map[string]*counts{}, map[string]*counts{}, map[string]*counts{}
-	group := func(m map[string]*counts, key string, s *journal.Saved) {
+	group := func(m map[string]*counts, key string, s *journal.MessageState) {
 		if m[key] == nil {
 			m[key] = &counts{}
 		}
 		m[key].add(s, now)
 	}
-	for _, s := range j.Held() {
+	for _, s := range j.Queued() {
 		all.add(s, now)
 		group(byClass, s.Class, s)
 		group(byDest, fmt.Sprint(s.Dest), s)
@@ -173,9 +173,9 @@
 
 func dump(j *journal.Journal, out io.Writer) error {
 	enc := json.NewEncoder(out)
-	for _, s := range j.Held() {
+	for _, s := range j.Queued() {
 		line := map[string]any{"id": s.ID, "class": s.Class, "destination": s.Dest, "deadline": s.Deadline.UTC().Format(time.RFC3339Nano),
-			"attempts": s.Attempts, "open": s.Open, "may_have_run": s.Ran()}
+			"attempts": s.Attempts, "open": s.InFlight, "may_have_run": s.PossiblyRan()}
 		// In a folder that is in use a body may have moved or ended since it was read; damage may have cost it.
 		if body, err := s.Body.Load(); err != nil {
 			line["body_error"] = err.Error()
@@ -185,9 +185,9 @@
 		if s.Origin != "" {
 			line["front"] = s.Origin
 		}
-		if s.End != 0 {
-			line["end"] = map[byte]string{'b': "bounced", 'd': "dead"}[s.End]
-			line["wait_ms"] = s.Wait.Milliseconds()
+		if s.Completion != 0 {
+			line["end"] = map[byte]string{'b': "bounced", 'd': "dead"}[s.Completion]
+			line["wait_ms"] = s.RetryAfter.Milliseconds()
 		}
 		if err := enc.Encode(line); err != nil {
 			return err
--- a/cmd/scaleroutectl/journal_test.go
+++ b/cmd/scaleroutectl/journal_test.go
@@ -18,25 +18,25 @@
 func folder(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	j, err := journal.Open(dir, journal.Options{Limit: 3e6})
+	j, err := journal.Open(dir, journal.Options{DiskLimit: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { j.Close() })
 	for i := range 40 {
-		s := &journal.Saved{ID: fmt.Sprintf("id%02d", i), Class: []string{"status-update", "signature-handover"}[i%2], Dest: i % 3,
+		s := &journal.MessageState{ID: fmt.Sprintf("id%02d", i), Class: []string{"status-update", "signature-handover"}[i%2], Dest: i % 3,
 			Deadline: time.Now().Add(time.Minute), Body: message.Bytes(strings.Repeat("x", 100))}
 		if room, err := j.Reserve(s.Size()); !room || err != nil {
 			t.Fatal(room, err)
 		}
-		if err := j.Accepted(s); err != nil {
+		if err := j.RecordAccepted(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	j.Sending("id01")
-	j.Sending("id03")
-	j.Outcome("id03", true)
-	j.Ended("id05", 'b', time.Second)
+	j.RecordSending("id01")
+	j.RecordSending("id03")
+	j.RecordOutcome("id03", true)
+	j.RecordCompletion("id05", 'b', time.Second)
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -39,7 +39,7 @@
 		name := fmt.Sprint("n", i)
 		dir := t.TempDir()
 		offset := time.Duration(rng.Int64N(int64(20*time.Minute))) - 10*time.Minute
-		l, err := ledger.Open(journal.Folder(dir), 1<<20, name)
+		l, err := ledger.Open(journal.DirFS(dir), 1<<20, name)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/audit/gather.go
+++ b/internal/audit/gather.go
@@ -105,7 +105,7 @@
 // Folder reads a forwarder's folder, whether or not its process runs.
 func Folder(dir, name string) (g Gathered) {
 	g = Gathered{Source: dir, Name: name}
-	record, err := ledger.Read(journal.Folder(dir), name)
+	record, err := ledger.Read(journal.DirFS(dir), name)
 	switch {
 	case err != nil:
 		g.Err = err.Error()
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -23,8 +23,8 @@
 func (l *Engine) unsent(e *entry, target string) {
 	l.events = append(l.events, decide.Outcome{Message: e.saved.ID, Attempt: e.saved.Attempts, Target: target,
 		Result: decide.NotSent})
-	l.journal.Sending(e.saved.ID)
-	l.journal.Outcome(e.saved.ID, false)
+	l.journal.RecordSending(e.saved.ID)
+	l.journal.RecordOutcome(e.saved.ID, false)
 }
 
 // callEnded notes an outcome in the journal.
@@ -48,7 +48,7 @@
 		l.endedAs(e, func(t *Tally) { t.Withdrawn++ })
 		l.forget(e)
 	} else {
-		l.journal.Outcome(o.Message, !neverRan(o.Result))
+		l.journal.RecordOutcome(o.Message, !neverRan(o.Result))
 	}
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	n := e.saved.Attempts
-	l.journal.Sending(s.Message)
+	l.journal.RecordSending(s.Message)
 	call, cancel := context.WithCancelCause(ctx)
 	_, portable := to.(Portable)
 	slot := l.acting.begin(s.Target)
--- a/internal/engine/completion.go
+++ b/internal/engine/completion.go
@@ -32,7 +32,7 @@
 		l.add(effectFree, nil, func() { answer <- reply{Answer: text} })
 		return
 	}
-	e.saved.End, e.saved.Wait = how, wait
+	e.saved.Completion, e.saved.RetryAfter = how, wait
 	if how == 'd' {
 		l.tellEnd(e, "failed")
 		l.endedAs(e, func(t *Tally) { t.Faulted++ })
@@ -40,7 +40,7 @@
 		l.tellEnd(e, "refused")
 		l.endedAs(e, func(t *Tally) { t.HandedBack++ })
 	}
-	l.journal.Ended(id, how, wait)
+	l.journal.RecordCompletion(id, how, wait)
 	if e.acked {
 		l.notify(e)
 	}
@@ -59,6 +59,6 @@
 	if to == nil { // its front is not set up any more
 		to = l.finals[""]
 	}
-	f := Final{ID: e.saved.ID, Failed: e.saved.End == 'd', Wait: e.saved.Wait}
+	f := Final{ID: e.saved.ID, Failed: e.saved.Completion == 'd', Wait: e.saved.RetryAfter}
 	l.add(effectNotice, e, func() { to.Final(f) })
 }
--- a/internal/engine/durable_test.go
+++ b/internal/engine/durable_test.go
@@ -44,7 +44,7 @@
 		t.Run(fmt.Sprintf("fails=%v", fails), func(t *testing.T) {
 			fs := &gatedFS{}
 			n := startLoop(t, func(w *world) {
-				fs.FS = journal.Folder(t.TempDir())
+				fs.FS = journal.DirFS(t.TempDir())
 				w.journal = journal.Options{FS: fs, Durability: journal.Group}
 				w.fails = fails
 			})
@@ -97,7 +97,7 @@
 func BenchmarkDurability(b *testing.B) {
 	for _, d := range []journal.Durability{journal.Process, journal.Interval, journal.Group} {
 		b.Run([]string{"process", "interval", "group"}[d], func(b *testing.B) {
-			fs := &gatedFS{FS: journal.Folder(b.TempDir())}
+			fs := &gatedFS{FS: journal.DirFS(b.TempDir())}
 			n := startLoop(b, func(w *world) {
 				w.diskMB, w.settings.MaxOpen, w.settings.Slots = 200, 0, 256
 				w.journal = journal.Options{FS: fs, Durability: d}
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -75,7 +75,7 @@
 // might find it.
 func (l *Engine) revokeAcceptance(e *entry) {
 	answer := refused(diskWait)
-	if l.journal.MayHold(e.saved) {
+	if l.journal.MayBeOnDisk(e.saved) {
 		answer = rejected("it could not be recorded for certain")
 	}
 	l.countAway(e.saved.Class, answer.Kind)
--- a/internal/engine/entry.go
+++ b/internal/engine/entry.go
@@ -13,7 +13,7 @@
 
 // entry is a message that the loop holds.
 type entry struct {
-	saved   *journal.Saved
+	saved   *journal.MessageState
 	answer  chan<- reply  // its client waits for an answer; nil after that
 	revoked chan<- reply  // the same while it is accepted and not on disk
 	acked   bool          // the client has its +OK
@@ -69,6 +69,6 @@
 
 // forget closes a message for which nothing is owed any more.
 func (l *Engine) forget(e *entry) {
-	l.journal.Closed(e.saved.ID)
+	l.journal.RecordClosed(e.saved.ID)
 	l.leave(e)
 }
--- a/internal/engine/extras_test.go
+++ b/internal/engine/extras_test.go
@@ -18,11 +18,11 @@
 	dir := t.TempDir()
 	j := mustJournal(t, dir, 3e6)
 	for i := range 8 { // as a process leaves them that was killed
-		s := &journal.Saved{ID: fmt.Sprint("kept", i), Class: "note", Dest: 7, Body: message.Bytes("x"), Deadline: time.Now().Add(time.Minute), Extras: extras}
+		s := &journal.MessageState{ID: fmt.Sprint("kept", i), Class: "note", Dest: 7, Body: message.Bytes("x"), Deadline: time.Now().Add(time.Minute), Extras: extras}
 		if room, err := j.Reserve(s.Size()); err != nil || !room {
 			t.Fatal(room, err)
 		}
-		if err := j.Accepted(s); err != nil {
+		if err := j.RecordAccepted(s); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/engine/intake.go
+++ b/internal/engine/intake.go
@@ -77,13 +77,13 @@
 	if limits.Whole > 0 {
 		left = min(left, limits.Whole)
 	}
-	s := &journal.Saved{ID: m.ID, Origin: m.Origin, Class: m.Class, Dest: m.Destination, Body: m.Body, Extras: m.Extras,
+	s := &journal.MessageState{ID: m.ID, Origin: m.Origin, Class: m.Class, Dest: m.Destination, Body: m.Body, Extras: m.Extras,
 		Deadline: m.Read.Add(left - intakeSlack)}
 	if limits.Held > 0 && !l.caps.Admits(intake.Cap{Rule: limits.Rule, Destination: m.Destination}, limits.Held) {
 		turnAway(refused(diskWait))
 		return
 	}
-	if !l.shares.Admits(m.Destination, s.Cost(), l.journal.Full(), len(l.dests)) {
+	if !l.shares.Admits(m.Destination, s.Cost(), l.journal.Usage(), len(l.dests)) {
 		turnAway(refused(diskWait))
 		return
 	}
@@ -122,7 +122,7 @@
 	switch {
 	case !a.ok: // the client will hand it in again: nothing is owed
 		l.withdraw(e)
-	case e.saved.End != 0:
+	case e.saved.Completion != 0:
 		l.notify(e)
 	default:
 		pending := e.pending
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -196,16 +196,16 @@
 // held takes up what the journal holds, and returns what the module is to know of it.
 func (l *Engine) held() (list []decide.Message) {
 	now := time.Now()
-	for _, s := range l.journal.Held() {
+	for _, s := range l.journal.Queued() {
 		e := &entry{saved: s, acked: true}
 		l.keep(e)
-		if s.End != 0 {
+		if s.Completion != 0 {
 			l.notify(e)
 			continue
 		}
 		l.taken(e)
 		list = append(list, decide.Message{ID: s.ID, Class: s.Class, Destination: s.Dest,
-			TimeLeft: s.Deadline.Sub(now), Filter: among(s.Extras), Route: s.Extras.Took(), Recovered: true, Attempts: s.Attempts, HasOpenAttempt: s.Open, MayHaveRun: s.Ran()})
+			TimeLeft: s.Deadline.Sub(now), Filter: among(s.Extras), Route: s.Extras.Took(), Recovered: true, Attempts: s.Attempts, HasOpenAttempt: s.InFlight, MayHaveRun: s.PossiblyRan()})
 	}
 	return list
 }
@@ -371,7 +371,7 @@
 		if e.answer == nil {
 			continue // turned away in this Step
 		}
-		l.journal.Accepted(e.saved) // an error is Flush's, too
+		l.journal.RecordAccepted(e.saved) // an error is Flush's, too
 		answer := e.answer
 		e.answer, e.revoked = nil, answer
 		l.taken(e)
@@ -387,7 +387,7 @@
 		return
 	}
 	if l.journal.Durability() == journal.Group && len(l.effects) > 0 {
-		l.waiting = append(l.waiting, batch{l.journal.Written(), l.effects})
+		l.waiting = append(l.waiting, batch{l.journal.SyncTarget(), l.effects})
 		l.effects = nil
 		l.synced(ctx, 0, nil)
 		return
--- a/internal/engine/loop_test.go
+++ b/internal/engine/loop_test.go
@@ -101,7 +101,7 @@
 		j = mustJournal(t, n.dir, int64(w.diskMB*1e6))
 	} else {
 		var err error
-		w.journal.Limit = int64(w.diskMB * 1e6)
+		w.journal.DiskLimit = int64(w.diskMB * 1e6)
 		if j, err = journal.OpenWith(w.journal); err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 
 func mustJournal(t testing.TB, dir string, limit int64) *journal.Journal {
 	t.Helper()
-	j, err := journal.Open(dir, journal.Options{Limit: limit, Extras: true})
+	j, err := journal.Open(dir, journal.Options{DiskLimit: limit, AllowExtras: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,14 +141,14 @@
 }
 
 // onDisk reads the journal as a restart would; the loop may go on.
-func (n *testNode) onDisk(t *testing.T) map[string]*journal.Saved {
+func (n *testNode) onDisk(t *testing.T) map[string]*journal.MessageState {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(n.dir)); err != nil {
 		t.Fatal(err)
 	}
-	held := map[string]*journal.Saved{}
-	for _, s := range mustJournal(t, dir, 3e6).Held() {
+	held := map[string]*journal.MessageState{}
+	for _, s := range mustJournal(t, dir, 3e6).Queued() {
 		held[s.ID] = s
 	}
 	return held
@@ -228,11 +228,11 @@
 // its outcome, and the next one has the next number, as in the module.
 func TestUnsentCountsAsAttempt(t *testing.T) {
 	j := mustJournal(t, t.TempDir(), 3e6)
-	s := &journal.Saved{ID: "m", Class: "note", Body: message.Bytes(nil)}
+	s := &journal.MessageState{ID: "m", Class: "note", Body: message.Bytes(nil)}
 	if _, err := j.Reserve(0); err != nil {
 		t.Fatal(err)
 	}
-	if err := j.Accepted(s); err != nil {
+	if err := j.RecordAccepted(s); err != nil {
 		t.Fatal(err)
 	}
 	e := &entry{saved: s}
@@ -248,7 +248,7 @@
 	if !slices.Equal(l.events, want) {
 		t.Errorf("told %+v", l.events)
 	}
-	if s.Attempts != 2 || s.Ran() {
+	if s.Attempts != 2 || s.PossiblyRan() {
 		t.Errorf("in the journal: %+v", s)
 	}
 }
--- a/internal/engine/sync.go
+++ b/internal/engine/sync.go
@@ -21,7 +21,7 @@
 		l.journalFailed(ctx, err)
 		return err
 	}
-	written, sync := l.journal.Unsynced()
+	written, sync := l.journal.PrepareSync()
 	var err error
 	if sync != nil {
 		err = sync()
@@ -35,7 +35,7 @@
 	if l.syncing {
 		return
 	}
-	if written, sync := l.journal.Unsynced(); sync != nil {
+	if written, sync := l.journal.PrepareSync(); sync != nil {
 		l.syncing = true
 		go func() { l.tell(syncEnded{written, sync()}) }()
 	}
@@ -43,12 +43,12 @@
 
 // synced lets what waited for a sync show outside.
 func (l *Engine) synced(ctx context.Context, written int64, err error) {
-	if err := l.journal.Synced(written, err); err != nil {
+	if err := l.journal.FinishSync(written, err); err != nil {
 		l.journalFailed(ctx, err)
 		return
 	}
 	n := 0
-	for ; n < len(l.waiting) && l.journal.Covered(l.waiting[n].written); n++ {
+	for ; n < len(l.waiting) && l.journal.IsSynced(l.waiting[n].written); n++ {
 		for _, effect := range l.waiting[n].effects {
 			effect.show()
 		}
--- a/internal/journal/append.go
+++ b/internal/journal/append.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Accepted records a message, in the room reserved for it.
-func (j *Journal) Accepted(s *Saved) error {
+// RecordAccepted records a message, in the room reserved for it.
+func (j *Journal) RecordAccepted(s *MessageState) error {
 	if old := j.live[s.ID]; old != nil {
-		j.Closed(old.ID)
+		j.RecordClosed(old.ID)
 	}
 	s.number, s.recordCount, s.journal = j.nextNumber, 0, j
 	j.nextNumber++
@@ -18,7 +18,7 @@
 }
 
 // appendState appends a message as it is now.
-func (j *Journal) appendState(s *Saved) error {
+func (j *Journal) appendState(s *MessageState) error {
 	body, err := s.Body.Load()
 	if err != nil {
 		j.markBodyLost(s, err)
@@ -33,33 +33,33 @@
 	return j.err
 }
 
-// Sending records that an attempt is about to be made.
-func (j *Journal) Sending(id string) {
+// RecordSending records that an attempt is about to be made.
+func (j *Journal) RecordSending(id string) {
 	if s := j.live[id]; s != nil {
-		s.MayHaveRun = s.Ran()
-		s.Attempts, s.Open = s.Attempts+1, true
+		s.MayHaveRun = s.PossiblyRan()
+		s.Attempts, s.InFlight = s.Attempts+1, true
 		j.appendMessageRecord(kindSending, s, nil)
 	}
 }
 
-// Outcome records how the attempt in flight ended.
-func (j *Journal) Outcome(id string, mayHaveRun bool) {
+// RecordOutcome records how the attempt in flight ended.
+func (j *Journal) RecordOutcome(id string, mayHaveRun bool) {
 	if s := j.live[id]; s != nil {
-		s.Open, s.MayHaveRun = false, s.MayHaveRun || mayHaveRun
+		s.InFlight, s.MayHaveRun = false, s.MayHaveRun || mayHaveRun
 		j.appendMessageRecord(kindOutcome, s, []byte{flagByte(mayHaveRun)})
 	}
 }
 
-// Ended records the final answer; its completion notice is owed from then on.
-func (j *Journal) Ended(id string, end byte, wait time.Duration) {
+// RecordCompletion records the final answer; its completion notice is owed from then on.
+func (j *Journal) RecordCompletion(id string, end byte, wait time.Duration) {
 	if s := j.live[id]; s != nil {
-		s.End, s.Wait = end, wait
+		s.Completion, s.RetryAfter = end, wait
 		j.appendMessageRecord(kindEnd, s, binary.AppendUvarint([]byte{end}, uint64(wait.Milliseconds())))
 	}
 }
 
-// Closed removes a message for which nothing is owed any more.
-func (j *Journal) Closed(id string) {
+// RecordClosed removes a message for which nothing is owed any more.
+func (j *Journal) RecordClosed(id string) {
 	if s := j.live[id]; s != nil {
 		j.appendMessageRecord(kindClosed, s, nil)
 		j.removeMessage(s)
@@ -67,7 +67,7 @@
 }
 
 // removeMessage removes a message from memory and returns its room.
-func (j *Journal) removeMessage(s *Saved) {
+func (j *Journal) removeMessage(s *MessageState) {
 	s.unlink()
 	j.memory.release(s)
 	delete(j.live, s.ID)
@@ -75,7 +75,7 @@
 }
 
 // appendMessageRecord buffers a record of a message, and returns its offset and size.
-func (j *Journal) appendMessageRecord(k kind, s *Saved, rest []byte) (at int64, size int) {
+func (j *Journal) appendMessageRecord(k kind, s *MessageState, rest []byte) (at int64, size int) {
 	if j.err != nil {
 		return 0, 0
 	}
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -13,17 +13,17 @@
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("held=%d", n), func(b *testing.B) {
 			dir, limit := b.TempDir(), int64(n)*1500+64<<20
-			j, err := Open(dir, Options{Limit: limit})
+			j, err := Open(dir, Options{DiskLimit: limit})
 			if err != nil {
 				b.Fatal(err)
 			}
 			body := message.Bytes(make([]byte, 100))
 			for i := range n {
-				s := &Saved{ID: fmt.Sprintf("%016x", i), Class: "status-update", Body: body}
+				s := &MessageState{ID: fmt.Sprintf("%016x", i), Class: "status-update", Body: body}
 				if room, err := j.Reserve(s.Size()); err != nil || !room {
 					b.Fatal(room, err)
 				}
-				if err := j.Accepted(s); err != nil {
+				if err := j.RecordAccepted(s); err != nil {
 					b.Fatal(err)
 				}
 				if i%100 == 0 {
@@ -44,7 +44,7 @@
 				if j != nil {
 					j.Close()
 				}
-				if j, err = Open(dir, Options{Limit: limit}); err != nil || len(j.live) != n {
+				if j, err = Open(dir, Options{DiskLimit: limit}); err != nil || len(j.live) != n {
 					b.Fatal(err)
 				}
 			}
@@ -61,17 +61,17 @@
 func BenchmarkWrite(b *testing.B) {
 	for _, share := range []float64{0.1, 0.5, 0.9} {
 		b.Run(fmt.Sprintf("used=%.0f%%", 100*share), func(b *testing.B) {
-			j, err := Open(b.TempDir(), Options{Limit: 64 << 20})
+			j, err := Open(b.TempDir(), Options{DiskLimit: 64 << 20})
 			if err != nil {
 				b.Fatal(err)
 			}
 			defer j.Close()
 			body, held := message.Bytes(make([]byte, 1000)), 0
 			accept := func(id string) bool {
-				s := &Saved{ID: id, Class: "status-update", Body: body}
+				s := &MessageState{ID: id, Class: "status-update", Body: body}
 				room, err := j.Reserve(s.Size())
 				if err == nil && room {
-					err = j.Accepted(s)
+					err = j.RecordAccepted(s)
 				}
 				if err != nil {
 					b.Fatal(err)
@@ -82,7 +82,7 @@
 				held++
 			}
 			for i := int(share * float64(held)); i < held; i++ {
-				j.Closed(fmt.Sprint("h", i))
+				j.RecordClosed(fmt.Sprint("h", i))
 			}
 			if err := j.Flush(); err != nil {
 				b.Fatal(err)
@@ -94,8 +94,8 @@
 				if !accept(id) {
 					b.Fatal("no room")
 				}
-				j.Sending(id)
-				j.Closed(id)
+				j.RecordSending(id)
+				j.RecordClosed(id)
 				if err := j.Flush(); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/journal/body.go
+++ b/internal/journal/body.go
@@ -32,7 +32,7 @@
 
 // keepOrRelease decides whether the body of a message that is on disk stays in memory too, given its bytes,
 // which may be the message's own.
-func (m *bodyMemory) keepOrRelease(s *Saved, body []byte, own bool) {
+func (m *bodyMemory) keepOrRelease(s *MessageState, body []byte, own bool) {
 	if s.isBodyLost() || s.residentBytes > 0 {
 		return
 	}
@@ -47,7 +47,7 @@
 	m.bodyBytes += int64(len(body))
 }
 
-func (m *bodyMemory) release(s *Saved) {
+func (m *bodyMemory) release(s *MessageState) {
 	m.bodyBytes -= int64(s.residentBytes)
 	s.residentBytes = 0
 }
@@ -61,7 +61,7 @@
 
 // pendingPosition is where a state will be found once it is as durable as the journal promises.
 type pendingPosition struct {
-	saved    *Saved
+	saved    *MessageState
 	position position
 	written  int64 // how much had been written in all with it; 0 while it is in the buffer
 }
@@ -131,13 +131,13 @@
 }
 
 // stored is the body of a message that is read back from its segment. It may be loaded by any goroutine.
-type stored Saved
+type stored MessageState
 
 func (b *stored) Len() int { return b.storedLength }
 
 // Load reads it, from wherever compaction has moved it meanwhile.
 func (b *stored) Load() ([]byte, error) {
-	s := (*Saved)(b)
+	s := (*MessageState)(b)
 	for {
 		s.journal.positionsMu.RLock()
 		at := s.position
@@ -187,10 +187,10 @@
 func (lostBody) Len() int              { return 0 }
 func (lostBody) Load() ([]byte, error) { return nil, errBodyLost }
 
-func (s *Saved) isBodyLost() bool { _, yes := s.Body.(lostBody); return yes }
+func (s *MessageState) isBodyLost() bool { _, yes := s.Body.(lostBody); return yes }
 
 // markBodyLost goes on without the body of a message: the others must not fail for it.
-func (j *Journal) markBodyLost(s *Saved, err error) {
+func (j *Journal) markBodyLost(s *MessageState, err error) {
 	if !s.isBodyLost() {
 		slog.Error("a message has lost its body, and will end unsent", "id", s.ID, "err", err)
 		j.Release(s.Size())
--- a/internal/journal/extras_test.go
+++ b/internal/journal/extras_test.go
@@ -20,21 +20,21 @@
 	}
 	fs := newMemFS()
 	for n := range 2 {
-		j, err := OpenWith(Options{FS: fs, Limit: 50_000_000, Extras: true})
+		j, err := OpenWith(Options{FS: fs, DiskLimit: 50_000_000, AllowExtras: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if n == 1 {
-			held := j.Held()
+			held := j.Queued()
 			if len(held) != 1 || !reflect.DeepEqual(held[0].Extras, x) || held[0].Body.Len() != MaxBody {
 				t.Fatalf("%d read back", len(held))
 			}
 		} else {
-			s := &Saved{ID: strings.Repeat("i", 255), Class: strings.Repeat("c", 255), Origin: strings.Repeat("o", 255), Body: message.Bytes(make([]byte, MaxBody)), Extras: x}
+			s := &MessageState{ID: strings.Repeat("i", 255), Class: strings.Repeat("c", 255), Origin: strings.Repeat("o", 255), Body: message.Bytes(make([]byte, MaxBody)), Extras: x}
 			if room, err := j.Reserve(s.Size()); err != nil || !room {
 				t.Fatal(room, err)
 			}
-			if err := errors.Join(j.Accepted(s), j.Flush()); err != nil {
+			if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -48,7 +48,7 @@
 	fs := newMemFS()
 	open := func(among bool, want uint16) *Journal {
 		t.Helper()
-		j, err := OpenWith(Options{FS: fs, Limit: smallLimit, Extras: among})
+		j, err := OpenWith(Options{FS: fs, DiskLimit: smallLimit, AllowExtras: among})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,11 +59,11 @@
 	}
 	open(false, plainVersion).Close()
 	j := open(true, version)
-	s := &Saved{ID: "a", Class: "note", Body: message.Bytes("b"), Extras: &message.Extras{Only: []string{"s-1"}}}
+	s := &MessageState{ID: "a", Class: "note", Body: message.Bytes("b"), Extras: &message.Extras{Only: []string{"s-1"}}}
 	if room, err := j.Reserve(s.Size()); err != nil || !room {
 		t.Fatal(room, err)
 	}
-	if err := j.Accepted(s); err != nil {
+	if err := j.RecordAccepted(s); err != nil {
 		t.Fatal(err)
 	}
 	if err := j.Flush(); err != nil {
@@ -71,10 +71,10 @@
 	}
 	j.Close()
 	j = open(false, version) // it is still held
-	if got := named(j.Held()[0].Extras); got != named(s.Extras) {
+	if got := named(j.Queued()[0].Extras); got != named(s.Extras) {
 		t.Fatalf("read back: %s", got)
 	}
-	j.Closed("a")
+	j.RecordClosed("a")
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/journal/failure.go
+++ b/internal/journal/failure.go
@@ -24,8 +24,8 @@
 // Failure returns why no records are kept now; nil if they are.
 func (j *Journal) Failure() error { return j.err }
 
-// MayHold reports, after a failure, whether a message that was to be accepted may be on disk all the same: a restart would find it.
-func (j *Journal) MayHold(s *Saved) bool {
+// MayBeOnDisk reports, after a failure, whether a message that was to be accepted may be on disk all the same: a restart would find it.
+func (j *Journal) MayBeOnDisk(s *MessageState) bool {
 	return s.isWritten || s.segment != nil && j.survived
 }
 
--- a/internal/journal/failure_test.go
+++ b/internal/journal/failure_test.go
@@ -37,11 +37,11 @@
 func (h *host) accept() {
 	h.number++
 	k := known{class: "note", dest: h.rng.IntN(9), body: strings.Repeat("b", h.rng.IntN(1500))}
-	s := &Saved{ID: fmt.Sprint("m", h.number), Class: k.class, Dest: k.dest, Body: message.Bytes(k.body)}
+	s := &MessageState{ID: fmt.Sprint("m", h.number), Class: k.class, Dest: k.dest, Body: message.Bytes(k.body)}
 	if room, err := h.journal.Reserve(s.Size()); err != nil || !room {
 		return
 	}
-	h.journal.Accepted(s)
+	h.journal.RecordAccepted(s)
 	h.now[s.ID] = k
 	h.accepted = append(h.accepted, s.ID)
 }
@@ -54,20 +54,20 @@
 	case k.open && begun.attempts < k.attempts: // it is made once it is recorded
 		return
 	case k.open && h.rng.IntN(2) == 0: // delivered
-		h.journal.Closed(id)
+		h.journal.RecordClosed(id)
 		delete(h.now, id)
 		return
 	case k.open:
 		ran := h.rng.IntN(2) == 0
-		h.journal.Outcome(id, ran)
+		h.journal.RecordOutcome(id, ran)
 		k.open, k.ran = false, k.ran || ran
 	case fails || k.end != 0:
 		return
 	case k.attempts > 2:
-		h.journal.Ended(id, 'd', 0)
+		h.journal.RecordCompletion(id, 'd', 0)
 		k.end = 'd'
 	default:
-		h.journal.Sending(id)
+		h.journal.RecordSending(id)
 		k.ran = k.ran || k.open
 		k.attempts, k.open = k.attempts+1, true
 	}
@@ -86,16 +86,16 @@
 	}
 	h.failures++
 	for _, id := range h.accepted {
-		if s := h.journal.live[id]; h.journal.MayHold(s) {
+		if s := h.journal.live[id]; h.journal.MayBeOnDisk(s) {
 			h.mayHold[id] = true
 		}
-		h.journal.Closed(id)
+		h.journal.RecordClosed(id)
 		delete(h.now, id)
 	}
 	h.accepted = h.accepted[:0]
 	for id, k := range h.now { // attempts that are not recorded are not made
 		if k.open && h.flushed[id].attempts < k.attempts {
-			h.journal.Outcome(id, false)
+			h.journal.RecordOutcome(id, false)
 			k.open = false
 			h.now[id] = k
 		}
@@ -253,18 +253,18 @@
 func TestFolderReplaced(t *testing.T) {
 	dir := t.TempDir() + "/state"
 	replaceFolder(t, dir)
-	j, err := Open(dir, Options{Limit: 1 << 20})
+	j, err := Open(dir, Options{DiskLimit: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.Close()
 	body := message.Bytes(strings.Repeat("x", 10_000))
 	for i := range 40 {
-		s := &Saved{ID: fmt.Sprint("m", i), Class: "note", Body: body}
+		s := &MessageState{ID: fmt.Sprint("m", i), Class: "note", Body: body}
 		if room, err := j.Reserve(s.Size()); err != nil || !room {
 			t.Fatal(i, room, err)
 		}
-		if err := errors.Join(j.Accepted(s), j.Flush()); err != nil {
+		if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
 			t.Fatal(err)
 		}
 		if i%20 != 10 {
@@ -285,7 +285,7 @@
 	}
 	want := heldIn(j)
 	j.Close()
-	again, err := Open(dir, Options{Limit: 1 << 20})
+	again, err := Open(dir, Options{DiskLimit: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/journal/fs.go
+++ b/internal/journal/fs.go
@@ -30,8 +30,8 @@
 	Sync() error               // what was written outlasts the machine
 }
 
-// Folder is a folder of the operating system.
-func Folder(dir string) FS { return osFS{dir: dir} }
+// DirFS is a folder of the operating system.
+func DirFS(dir string) FS { return osFS{dir: dir} }
 
 // osFS is a folder of the operating system.
 type osFS struct {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -42,19 +42,19 @@
 
 // Options are for OpenWith.
 type Options struct {
-	FS       FS
-	Limit    int64 // bytes that the folder may hold
-	Memory   int64 // bytes that open messages may take in memory; 0 for no limit
-	ReadOnly bool  // only replay: nothing is written, and nothing can be
+	FS          FS
+	DiskLimit   int64 // bytes that the folder may hold
+	MemoryLimit int64 // bytes that open messages may take in memory; 0 for no limit
+	ReadOnly    bool  // only replay: nothing is written, and nothing can be
 
 	Clock steadyclock.Clock // of deadlines; the zero Clock for one that starts from the wall clock
 
-	Durability Durability
-	Extras     bool // messages may have extras; older programs can't read such a folder
+	Durability  Durability
+	AllowExtras bool // messages may have extras; older programs can't read such a folder
 }
 
-// Failing reports whether an error is the disk's: one that no setting fixes.
-func Failing(err error) bool {
+// IsDiskError reports whether an error is the disk's: one that no setting fixes.
+func IsDiskError(err error) bool {
 	var e syscall.Errno
 	return errors.As(err, &e) && e != syscall.EWOULDBLOCK && e != syscall.ENOENT && e != syscall.EACCES
 }
@@ -72,7 +72,7 @@
 	unindexed             []recordID
 	unindexedBytes        int   // of records since the last index
 	err                   error // why no records are kept now
-	live                  map[string]*Saved
+	live                  map[string]*MessageState
 	nextNumber            uint64 // message number
 	reservedBytes         int64  // for open messages and those in acceptance
 	largestState          int64  // of the states open at once
@@ -116,13 +116,13 @@
 // activeSegment is the segment that is written to.
 func (j *Journal) activeSegment() *segment { return j.segments[len(j.segments)-1] }
 
-// Held lists the open messages in the order accepted.
-func (j *Journal) Held() []*Saved {
-	list := make([]*Saved, 0, len(j.live))
+// Queued lists the open messages in the order accepted.
+func (j *Journal) Queued() []*MessageState {
+	list := make([]*MessageState, 0, len(j.live))
 	for _, s := range j.live {
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b *Saved) int {
+	slices.SortFunc(list, func(a, b *MessageState) int {
 		if a.number < b.number {
 			return -1
 		}
--- a/internal/journal/legacy.go
+++ b/internal/journal/legacy.go
@@ -77,7 +77,7 @@
 	for _, s := range readLegacy(text, j.clock) {
 		j.reservedBytes += cost(s.Size())
 		j.largestState = max(j.largestState, stateBytes(s.Size()))
-		if err := j.Accepted(s); err != nil {
+		if err := j.RecordAccepted(s); err != nil {
 			return err
 		}
 	}
@@ -150,8 +150,8 @@
 }
 
 // readLegacy replays the legacy file, up to the first invalid record: a kill cut that off.
-func readLegacy(text []byte, clock steadyclock.Clock) []*Saved {
-	r := legacyReader{clock: clock, live: map[string]*Saved{}}
+func readLegacy(text []byte, clock steadyclock.Clock) []*MessageState {
+	r := legacyReader{clock: clock, live: map[string]*MessageState{}}
 	for {
 		payload, ok := nextLegacyRecord(text)
 		if !ok || !r.applyRecord(payload) {
@@ -159,16 +159,16 @@
 		}
 		text = text[legacyHeader+len(payload):]
 	}
-	var open []*Saved
+	var open []*MessageState
 	for _, s := range r.live {
 		open = append(open, s)
 	}
-	slices.SortFunc(open, func(a, b *Saved) int { return int(int64(a.number) - int64(b.number)) })
+	slices.SortFunc(open, func(a, b *MessageState) int { return int(int64(a.number) - int64(b.number)) })
 	return open
 }
 
 type legacyReader struct {
-	live       map[string]*Saved
+	live       map[string]*MessageState
 	nextNumber uint64
 	clock      steadyclock.Clock
 }
@@ -199,7 +199,7 @@
 		}
 		c := 13 + int(rest[12])
 		r.nextNumber++
-		r.live[id] = &Saved{number: r.nextNumber, ID: id, Deadline: r.clock.Time(int64(binary.LittleEndian.Uint64(rest))),
+		r.live[id] = &MessageState{number: r.nextNumber, ID: id, Deadline: r.clock.Time(int64(binary.LittleEndian.Uint64(rest))),
 			Dest:  int(int32(binary.LittleEndian.Uint32(rest[8:]))),
 			Class: string(rest[13:c]), Body: message.Bytes(slices.Clone(rest[c:]))}
 		return true
@@ -210,14 +210,14 @@
 	}
 	switch {
 	case kind == 'S':
-		s.MayHaveRun = s.Ran() // an earlier one without an outcome may have run
-		s.Attempts, s.Open = s.Attempts+1, true
+		s.MayHaveRun = s.PossiblyRan() // an earlier one without an outcome may have run
+		s.Attempts, s.InFlight = s.Attempts+1, true
 	case kind == 'O' && len(rest) == 1:
-		s.Open, s.MayHaveRun = false, s.MayHaveRun || rest[0] == 1
+		s.InFlight, s.MayHaveRun = false, s.MayHaveRun || rest[0] == 1
 	case kind == 'E' && len(rest) == 5:
-		s.End, s.Wait = rest[0], time.Duration(binary.LittleEndian.Uint32(rest[1:]))*time.Millisecond
+		s.Completion, s.RetryAfter = rest[0], time.Duration(binary.LittleEndian.Uint32(rest[1:]))*time.Millisecond
 	case kind == 'M' && len(rest) == 3:
-		s.Attempts, s.Open, s.MayHaveRun = int(rest[0]), rest[1] == 1, rest[2] == 1
+		s.Attempts, s.InFlight, s.MayHaveRun = int(rest[0]), rest[1] == 1, rest[2] == 1
 	case kind == 'F':
 		s.Origin = string(rest)
 	case kind == 'C':
--- a/internal/journal/lifecycle.go
+++ b/internal/journal/lifecycle.go
@@ -22,7 +22,7 @@
 	if o.FS == nil {
 		o.FS = osFS{dir: dir}
 	}
-	o.Limit -= diskMargin
+	o.DiskLimit -= diskMargin
 	if o.Clock, err = steadyclock.Open(filepath.Join(dir, clockName)); err != nil {
 		slog.Warn("a wall clock that is set while no forwarder runs moves deadlines", "err", err)
 	}
@@ -55,13 +55,13 @@
 
 // OpenWith replays the journal of a file system, or begins one.
 func OpenWith(o Options) (*Journal, error) {
-	j := &Journal{fs: o.FS, live: map[string]*Saved{}, nextNumber: 1, durability: o.Durability, version: plainVersion, memory: bodyMemory{limit: o.Memory}}
+	j := &Journal{fs: o.FS, live: map[string]*MessageState{}, nextNumber: 1, durability: o.Durability, version: plainVersion, memory: bodyMemory{limit: o.MemoryLimit}}
 	if j.clock = o.Clock; j.clock == (steadyclock.Clock{}) {
 		j.clock = steadyclock.New()
 	}
-	if o.Limit >= minLimit {
-		j.limit = o.Limit
-		j.segmentSize = min(max(o.Limit/minSegments, minSegmentSize), maxSegmentSize, o.Limit/5) / 512 * 512
+	if o.DiskLimit >= minLimit {
+		j.limit = o.DiskLimit
+		j.segmentSize = min(max(o.DiskLimit/minSegments, minSegmentSize), maxSegmentSize, o.DiskLimit/5) / 512 * 512
 	}
 	if err := j.replay(o.ReadOnly); err != nil {
 		j.Close()
@@ -73,8 +73,8 @@
 	if j.limit == 0 {
 		return j, nil
 	}
-	if err := j.startAppending(o.Extras); err != nil {
-		if j.flags&upgrading != 0 || !Failing(err) {
+	if err := j.startAppending(o.AllowExtras); err != nil {
+		if j.flags&upgrading != 0 || !IsDiskError(err) {
 			j.Close()
 			return nil, err
 		}
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -52,9 +52,9 @@
 // heldIn is what a journal holds, in the model's terms.
 func heldIn(j *Journal) map[string]known {
 	held := map[string]known{}
-	for _, s := range j.Held() {
+	for _, s := range j.Queued() {
 		body, _ := s.Body.Load()
-		held[s.ID] = known{s.Class, s.Origin, string(body), s.Dest, s.Attempts, s.Open, s.MayHaveRun, s.End, s.Wait, named(s.Extras)}
+		held[s.ID] = known{s.Class, s.Origin, string(body), s.Dest, s.Attempts, s.InFlight, s.MayHaveRun, s.Completion, s.RetryAfter, named(s.Extras)}
 	}
 	return held
 }
@@ -70,7 +70,9 @@
 const smallLimit = 70_000
 
 // small is a folder in which some bodies stay in memory and some do not.
-func small(fs FS) Options { return Options{FS: fs, Limit: smallLimit, Memory: 40_000, Extras: true} }
+func small(fs FS) Options {
+	return Options{FS: fs, DiskLimit: smallLimit, MemoryLimit: 40_000, AllowExtras: true}
+}
 
 func durable(fs FS, d Durability) Options {
 	o := small(fs)
@@ -104,12 +106,12 @@
 		if !sync {
 			return nil
 		}
-		written, f := j.Unsynced()
+		written, f := j.PrepareSync()
 		var err error
 		if f != nil {
 			err = f()
 		}
-		if err := j.Synced(written, err); err != nil {
+		if err := j.FinishSync(written, err); err != nil {
 			return err
 		}
 	}
@@ -143,7 +145,7 @@
 			if rng.IntN(4) == 0 {
 				k.origin = "smtp"
 			}
-			s := &Saved{ID: fmt.Sprint("m", rng.IntN(40)), Class: k.class, Origin: k.origin, Dest: k.dest, Body: message.Bytes(k.body), Deadline: time.UnixMilli(1)}
+			s := &MessageState{ID: fmt.Sprint("m", rng.IntN(40)), Class: k.class, Origin: k.origin, Dest: k.dest, Body: message.Bytes(k.body), Deadline: time.UnixMilli(1)}
 			if rng.IntN(4) == 0 {
 				s.Extras = &message.Extras{Only: []string{"s-1", strings.Repeat("e", rng.IntN(256))}[:rng.IntN(3)], Prefer: []string{"s-2", ""}[:rng.IntN(3)],
 					Header: []message.Field{{Name: "X-Council", Value: strings.Repeat("v", rng.IntN(300))}}[:rng.IntN(2)]}
@@ -161,7 +163,7 @@
 			}
 			m.change(s.ID, func(n *known) { *n = k })
 			ids = append(ids, s.ID)
-			if err := j.Accepted(s); err != nil {
+			if err := j.RecordAccepted(s); err != nil {
 				return j, err
 			}
 		case len(ids) > 0 && x < 9:
@@ -174,17 +176,17 @@
 			case k.end != 0:
 				m.drop(id)
 				ids = append(ids[:i], ids[i+1:]...)
-				j.Closed(id)
+				j.RecordClosed(id)
 			case k.open:
 				ran := rng.IntN(2) == 0
 				m.change(id, func(n *known) { n.open, n.ran = false, n.ran || ran })
-				j.Outcome(id, ran)
+				j.RecordOutcome(id, ran)
 			case k.attempts > 3:
 				m.change(id, func(n *known) { n.end, n.wait = 'b', 5*time.Second })
-				j.Ended(id, 'b', 5*time.Second)
+				j.RecordCompletion(id, 'b', 5*time.Second)
 			default:
 				m.change(id, func(n *known) { n.ran = n.ran || n.open; n.attempts++; n.open = true })
-				j.Sending(id)
+				j.RecordSending(id)
 			}
 		default:
 			if err := m.flush(j, rng.IntN(2) == 0); err != nil {
@@ -250,7 +252,7 @@
 
 // realDamage leaves out a record that was cut off where only one bit of it was not nought.
 func realDamage(j *Journal) []Damage {
-	return slices.DeleteFunc(slices.Clone(j.Damage()), func(d Damage) bool { return strings.HasPrefix(d.What, "one bit") })
+	return slices.DeleteFunc(slices.Clone(j.Damage()), func(d Damage) bool { return strings.HasPrefix(d.Description, "one bit") })
 }
 
 // killed runs f and tells whether it was killed.
@@ -292,11 +294,11 @@
 				t.Fatalf("the machine fails in op %d: %d held, damage %+v; differs from what was synced in %v", at, len(got), j.Damage(), differ(got, m.history[m.flushed]))
 			}
 			// What is written behind the end is not mixed with what stood there before.
-			s := &Saved{ID: "new", Class: "note", Body: message.Bytes("b")}
+			s := &MessageState{ID: "new", Class: "note", Body: message.Bytes("b")}
 			if room, err := j.Reserve(s.Size()); err != nil {
 				t.Fatal(err)
 			} else if room {
-				if err := errors.Join(j.Accepted(s), newModel().flush(j, true)); err != nil {
+				if err := errors.Join(j.RecordAccepted(s), newModel().flush(j, true)); err != nil {
 					t.Fatal(err)
 				}
 				got["new"] = known{class: "note", body: "b"}
@@ -339,7 +341,7 @@
 				}
 			}
 		}
-		if !Failing(err) {
+		if !IsDiskError(err) {
 			t.Fatalf("not known as the disk's: %v", err)
 		}
 		again, err := OpenWith(on(fs.after()))
@@ -361,13 +363,13 @@
 		t.Fatal(err)
 	}
 	accept := func(id string) bool {
-		s := &Saved{ID: id, Class: "note", Body: message.Bytes(strings.Repeat("b", 900)), Deadline: time.UnixMilli(1)}
+		s := &MessageState{ID: id, Class: "note", Body: message.Bytes(strings.Repeat("b", 900)), Deadline: time.UnixMilli(1)}
 		room, err := j.Reserve(s.Size())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if room {
-			if err := j.Accepted(s); err != nil {
+			if err := j.RecordAccepted(s); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -389,14 +391,14 @@
 		for i := 1; i < n; i++ {
 			id := fmt.Sprint("m", i)
 			for range 6 {
-				j.Sending(id)
-				j.Outcome(id, false)
+				j.RecordSending(id)
+				j.RecordOutcome(id, false)
 				if err := j.Flush(); err != nil {
 					t.Fatalf("the disk is full, and %s can't go on: %v", id, err)
 				}
 			}
-			j.Ended(id, 'b', time.Second)
-			j.Closed(id)
+			j.RecordCompletion(id, 'b', time.Second)
+			j.RecordClosed(id)
 			if err := j.Flush(); err != nil {
 				t.Fatal(err)
 			}
@@ -556,13 +558,13 @@
 	if len(names) < 3 {
 		t.Fatalf("only %v", names)
 	}
-	j0, err := OpenWith(Options{FS: fs.after(), Limit: smallLimit, ReadOnly: true})
+	j0, err := OpenWith(Options{FS: fs.after(), DiskLimit: smallLimit, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	gone := j0.segments[1].name
 	delete(fs.files, gone)
-	as, err := OpenWith(Options{FS: fs.after(), Limit: smallLimit, ReadOnly: true})
+	as, err := OpenWith(Options{FS: fs.after(), DiskLimit: smallLimit, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -613,17 +615,17 @@
 // TestLocked: two forwarders can't use one folder, and the second is told so.
 func TestLocked(t *testing.T) {
 	dir := t.TempDir()
-	j, err := Open(dir, Options{Limit: 3e6})
+	j, err := Open(dir, Options{DiskLimit: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, Options{Limit: 3e6}); err == nil || !strings.Contains(err.Error(), "in use by another forwarder") {
+	if _, err := Open(dir, Options{DiskLimit: 3e6}); err == nil || !strings.Contains(err.Error(), "in use by another forwarder") {
 		t.Errorf("the second one: %v", err)
 	}
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	j, err = Open(dir, Options{Limit: 3e6})
+	j, err = Open(dir, Options{DiskLimit: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -635,13 +637,13 @@
 func TestHoldsMoreThanHalf(t *testing.T) {
 	for _, c := range []struct{ body, least int }{{MaxBody, 22}, {2000, 700}, {100, 2500}} {
 		fs := newMemFS()
-		j, err := OpenWith(Options{FS: fs, Limit: 3e6 - diskMargin})
+		j, err := OpenWith(Options{FS: fs, DiskLimit: 3e6 - diskMargin})
 		if err != nil {
 			t.Fatal(err)
 		}
 		body, n := message.Bytes(make([]byte, c.body)), 0
 		for {
-			s := &Saved{ID: fmt.Sprintf("%016x", n), Class: "signature-handover", Body: body}
+			s := &MessageState{ID: fmt.Sprintf("%016x", n), Class: "signature-handover", Body: body}
 			room, err := j.Reserve(s.Size())
 			if err != nil {
 				t.Fatal(err)
@@ -649,7 +651,7 @@
 			if !room {
 				break
 			}
-			if err := errors.Join(j.Accepted(s), j.Flush()); err != nil {
+			if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
 				t.Fatal(err)
 			}
 			n++
@@ -662,8 +664,8 @@
 		for round := range 6 {
 			for i := range n {
 				id := fmt.Sprintf("%016x", i)
-				j.Sending(id)
-				j.Outcome(id, round == 5)
+				j.RecordSending(id)
+				j.RecordOutcome(id, round == 5)
 				if err := j.Flush(); err != nil {
 					t.Fatalf("with %d held, attempt %d of %s: %v", n, round, id, err)
 				}
@@ -671,8 +673,8 @@
 		}
 		for i := range n {
 			id := fmt.Sprintf("%016x", i)
-			j.Ended(id, 'd', 0)
-			j.Closed(id)
+			j.RecordCompletion(id, 'd', 0)
+			j.RecordClosed(id)
 			if err := j.Flush(); err != nil {
 				t.Fatal(err)
 			}
@@ -680,7 +682,7 @@
 		if fs.most > 3e6-diskMargin {
 			t.Errorf("%d bytes in the folder", fs.most)
 		}
-		if again, err := OpenWith(Options{FS: fs.after(), Limit: 3e6 - diskMargin}); err != nil || len(again.live) > 0 || len(again.Damage()) > 0 {
+		if again, err := OpenWith(Options{FS: fs.after(), DiskLimit: 3e6 - diskMargin}); err != nil || len(again.live) > 0 || len(again.Damage()) > 0 {
 			t.Errorf("opened again: %v, %d held, damage %v", err, len(again.live), again.Damage())
 		}
 	}
@@ -693,13 +695,13 @@
 	for i := range 5 {
 		fs.files[fmt.Sprintf("%016x-00000001.seg.damaged", i)] = &memFile{fs: fs, text: make([]byte, limit/minSegments/512*512)}
 	}
-	j, err := OpenWith(Options{FS: fs, Limit: limit})
+	j, err := OpenWith(Options{FS: fs, DiskLimit: limit})
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := 0
 	for {
-		s := &Saved{ID: fmt.Sprint("m", n), Class: "note", Body: message.Bytes(make([]byte, 5000))}
+		s := &MessageState{ID: fmt.Sprint("m", n), Class: "note", Body: message.Bytes(make([]byte, 5000))}
 		room, err := j.Reserve(s.Size())
 		if err != nil {
 			t.Fatal(err)
@@ -707,7 +709,7 @@
 		if !room {
 			break
 		}
-		if err := errors.Join(j.Accepted(s), j.Flush()); err != nil {
+		if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
 			t.Fatal(err)
 		}
 		n++
@@ -731,19 +733,19 @@
 	}
 	accept := func(j *Journal, id string) {
 		t.Helper()
-		s := &Saved{ID: id, Class: "note", Body: message.Bytes(make([]byte, 900))}
+		s := &MessageState{ID: id, Class: "note", Body: message.Bytes(make([]byte, 900))}
 		room, err := j.Reserve(s.Size())
 		if err != nil || !room {
 			t.Fatal(room, err)
 		}
-		if err := errors.Join(j.Accepted(s), j.Flush()); err != nil {
+		if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	j := open()
 	accept(j, "hit")
 	from := j.writeOffset
-	j.Sending("hit")
+	j.RecordSending("hit")
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -761,7 +763,7 @@
 	for i := range 20 { // past the next index
 		id := fmt.Sprint("later", i)
 		accept(j, id)
-		j.Closed(id)
+		j.RecordClosed(id)
 	}
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -11,11 +11,11 @@
 
 // Damage is a place in the journal that could not be read as it was written.
 type Damage struct {
-	File   string   `json:"file"`
-	Offset int64    `json:"offset"`
-	Bytes  int64    `json:"bytes"`
-	What   string   `json:"what"`
-	IDs    []string `json:"ids,omitempty"` // open messages that it hit: they may have run
+	File        string   `json:"file"`
+	Offset      int64    `json:"offset"`
+	Bytes       int64    `json:"bytes"`
+	Description string   `json:"what"`
+	IDs         []string `json:"ids,omitempty"` // open messages that it hit: they may have run
 }
 
 // Damage lists what replay found.
@@ -24,7 +24,7 @@
 // replayer reads segments in their order.
 type replayer struct {
 	journal    *Journal
-	byNumber   map[uint64]*Saved
+	byNumber   map[uint64]*MessageState
 	seen       map[recordID]bool // records since the last index, if something was passed over there
 	openDamage int               // the damage that the next index will tell of, as an index into the list plus one
 	nextIndex  uint64            // number of the next index
@@ -63,11 +63,11 @@
 			return err
 		}
 	}
-	r := &replayer{journal: j, byNumber: map[uint64]*Saved{}, seen: map[recordID]bool{}}
+	r := &replayer{journal: j, byNumber: map[uint64]*MessageState{}, seen: map[recordID]bool{}}
 	for i, s := range j.segments {
 		if i > 0 && s.seq != j.segments[i-1].seq+1 {
 			missing := s.seq - j.segments[i-1].seq - 1
-			j.addDamage(Damage{File: j.segments[i-1].name, What: fmt.Sprintf("%d segments behind it are missing", missing)})
+			j.addDamage(Damage{File: j.segments[i-1].name, Description: fmt.Sprintf("%d segments behind it are missing", missing)})
 			r.openDamage = len(j.damage)
 			r.markAllHit()
 		}
@@ -82,7 +82,7 @@
 		j.largestState = max(j.largestState, stateBytes(s.Size()))
 	}
 	for _, d := range j.damage {
-		slog.Error("the journal is damaged", "file", d.File, "offset", d.Offset, "bytes", d.Bytes, "what", d.What, "hit", d.IDs)
+		slog.Error("the journal is damaged", "file", d.File, "offset", d.Offset, "bytes", d.Bytes, "what", d.Description, "hit", d.IDs)
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 		return err
 	}
 	if damaged {
-		j.addDamage(Damage{File: s.name, Bytes: segmentHeaderBytes, What: "the header does not check; nothing is lost by that"})
+		j.addDamage(Damage{File: s.name, Bytes: segmentHeaderBytes, Description: "the header does not check; nothing is lost by that"})
 	}
 	j.nextNumber = max(j.nextNumber, s.firstNumber)
 	clear(r.seen)
@@ -223,7 +223,7 @@
 			return offset, true
 		}
 		if err := r.applyRecord(at, k, payload); err != nil {
-			r.journal.addDamage(Damage{File: s.name, Offset: offset, What: err.Error()})
+			r.journal.addDamage(Damage{File: s.name, Offset: offset, Description: err.Error()})
 			r.openDamage = len(r.journal.damage)
 		}
 	}
@@ -239,7 +239,7 @@
 	k, payload, repaired, ok := readRecord(text[offset:], s.nonce, offset, true)
 	if ok && repaired {
 		bytes := int64(recordHeaderBytes + len(payload))
-		r.journal.addDamage(Damage{File: s.name, Offset: offset, Bytes: bytes, What: "one bit was flipped, and is put right"})
+		r.journal.addDamage(Damage{File: s.name, Offset: offset, Bytes: bytes, Description: "one bit was flipped, and is put right"})
 	}
 	return k, payload, ok
 }
@@ -262,7 +262,7 @@
 	if next < 0 {
 		next = s.size
 	}
-	r.journal.addDamage(Damage{File: s.name, Offset: offset, Bytes: next - offset, What: "what stood here can't be read"})
+	r.journal.addDamage(Damage{File: s.name, Offset: offset, Bytes: next - offset, Description: "what stood here can't be read"})
 	r.openDamage = len(r.journal.damage)
 	return next
 }
@@ -357,22 +357,22 @@
 }
 
 // applyChange applies a record of a change of a message.
-func (r *replayer) applyChange(s *Saved, k kind, rest []byte) error {
+func (r *replayer) applyChange(s *MessageState, k kind, rest []byte) error {
 	switch k {
 	case kindSending:
-		s.MayHaveRun = s.Ran()
-		s.Attempts, s.Open = s.Attempts+1, true
+		s.MayHaveRun = s.PossiblyRan()
+		s.Attempts, s.InFlight = s.Attempts+1, true
 	case kindOutcome:
 		if len(rest) != 1 {
 			return errShort
 		}
-		s.Open, s.MayHaveRun = false, s.MayHaveRun || rest[0] == 1
+		s.InFlight, s.MayHaveRun = false, s.MayHaveRun || rest[0] == 1
 	case kindEnd:
 		ms, w := binary.Uvarint(rest[min(1, len(rest)):])
 		if w <= 0 {
 			return errShort
 		}
-		s.End, s.Wait = rest[0], millis(ms)
+		s.Completion, s.RetryAfter = rest[0], millis(ms)
 	case kindClosed:
 		r.remove(s)
 	}
@@ -390,7 +390,7 @@
 }
 
 // remove removes a message.
-func (r *replayer) remove(s *Saved) {
+func (r *replayer) remove(s *MessageState) {
 	s.unlink()
 	r.journal.memory.release(s)
 	delete(r.byNumber, s.number)
@@ -446,13 +446,13 @@
 		}
 	}
 	if lost > 0 {
-		d.What += fmt.Sprintf("; %d records of messages that are not held, or whose state stood here", lost)
+		d.Description += fmt.Sprintf("; %d records of messages that are not held, or whose state stood here", lost)
 	}
 	return nil
 }
 
 // markHit counts a message as one that may have run: the lost record may have said that it was sent.
-func (r *replayer) markHit(s *Saved, d *Damage) {
+func (r *replayer) markHit(s *MessageState, d *Damage) {
 	if !slices.Contains(d.IDs, s.ID) {
 		d.IDs = append(d.IDs, s.ID)
 		s.MayHaveRun = true
@@ -464,7 +464,7 @@
 func (r *replayer) markAllHit() {
 	d := &r.journal.damage[r.openDamage-1]
 	r.openDamage = 0
-	for _, s := range r.journal.Held() {
+	for _, s := range r.journal.Queued() {
 		r.markHit(s, d)
 	}
 }
--- a/internal/journal/room_test.go
+++ b/internal/journal/room_test.go
@@ -15,10 +15,10 @@
 // take takes a message on, and tells whether there was room.
 func take(t *testing.T, j *Journal, id string, body string) bool {
 	t.Helper()
-	s := &Saved{ID: id, Class: "note", Body: message.Bytes(body), Deadline: time.UnixMilli(1)}
+	s := &MessageState{ID: id, Class: "note", Body: message.Bytes(body), Deadline: time.UnixMilli(1)}
 	room, err := j.Reserve(s.Size())
 	if err == nil && room {
-		err = errors.Join(j.Accepted(s), j.Flush())
+		err = errors.Join(j.RecordAccepted(s), j.Flush())
 	}
 	if err != nil {
 		t.Fatalf("%s: %v", id, err)
@@ -38,7 +38,7 @@
 // TestBodiesAreReadBackWhileTheyMove has goroutines read bodies from disk while compaction moves them and their old
 // segments serve again.
 func TestBodiesAreReadBackWhileTheyMove(t *testing.T) {
-	j, err := Open(t.TempDir(), Options{Limit: smallLimit + diskMargin, Memory: 1 << 20})
+	j, err := Open(t.TempDir(), Options{DiskLimit: smallLimit + diskMargin, MemoryLimit: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	for i := 0; j.activeSegment().seq < first+60; i++ {
 		id := fmt.Sprint("m", i)
 		if take(t, j, id, body(i)) {
-			j.Closed(id)
+			j.RecordClosed(id)
 		}
 	}
 	close(stop)
@@ -98,7 +98,7 @@
 	for i := 0; len(j.segments) < 2 || j.segments[0].seq == 1; i++ { // until they have been moved
 		id := fmt.Sprint("m", i)
 		take(t, j, id, strings.Repeat("x", 1000))
-		j.Closed(id)
+		j.RecordClosed(id)
 	}
 	for range 2 {
 		if _, err := j.live["hit"].Body.Load(); !errors.Is(err, errBodyLost) {
@@ -116,16 +116,16 @@
 // TestMemoryBoundsIntake: messages are taken on up to the memory told, also at the next start, and again when some end.
 func TestMemoryBoundsIntake(t *testing.T) {
 	fs := newMemFS()
-	o := Options{FS: fs, Limit: 3e6, Memory: 300_000}
+	o := Options{FS: fs, DiskLimit: 3e6, MemoryLimit: 300_000}
 	j := mustOpen(t, o)
 	n := 0
 	for take(t, j, fmt.Sprint("m", n), strings.Repeat("b", 2000)) {
 		n++
 	}
-	if want := int(o.Memory * 2 / 3 / messageMemoryBytes); n != want {
+	if want := int(o.MemoryLimit * 2 / 3 / messageMemoryBytes); n != want {
 		t.Errorf("%d taken on, want %d", n, want)
 	}
-	if j.memory.bodyBytes > o.Memory/3 {
+	if j.memory.bodyBytes > o.MemoryLimit/3 {
 		t.Errorf("%d bytes of bodies in memory", j.memory.bodyBytes)
 	}
 	for id, k := range heldIn(j) {
@@ -138,12 +138,12 @@
 	if len(j.live) != n || take(t, j, "more", "b") {
 		t.Errorf("%d held, and one more was taken on", len(j.live))
 	}
-	j.Closed("m7")
+	j.RecordClosed("m7")
 	if !take(t, j, "more", "b") {
 		t.Error("turned away though one has ended")
 	}
 	for id := range maps.Clone(j.live) {
-		j.Closed(id)
+		j.RecordClosed(id)
 	}
 	if j.memory.bodyBytes != 0 || j.reservedBytes != 0 {
 		t.Errorf("left over: %d bytes in memory, %d of room", j.memory.bodyBytes, j.reservedBytes)
@@ -169,7 +169,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			fs := newMemFS()
 			fs.limit = c.disk
-			j := mustOpen(t, Options{FS: fs, Limit: c.limit})
+			j := mustOpen(t, Options{FS: fs, DiskLimit: c.limit})
 			body, n := strings.Repeat("b", 4000), 0
 			for n < 3000 && take(t, j, fmt.Sprint("m", n), body) {
 				n++
@@ -179,17 +179,17 @@
 			}
 			fs = fs.after()
 			fs.limit = c.disk2
-			j = mustOpen(t, Options{FS: fs, Limit: c.limit2})
+			j = mustOpen(t, Options{FS: fs, DiskLimit: c.limit2})
 			if len(j.live) != n || len(j.damage) > 0 {
 				t.Fatalf("%d held of %d, %v", len(j.live), n, j.damage)
 			}
 			for i := range n {
 				id := fmt.Sprint("m", i)
 				for range 4 {
-					j.Sending(id)
-					j.Outcome(id, false)
+					j.RecordSending(id)
+					j.RecordOutcome(id, false)
 				}
-				j.Closed(id)
+				j.RecordClosed(id)
 				if err := j.Flush(); err != nil {
 					t.Fatalf("%s of %d: %v", id, n, err)
 				}
@@ -199,7 +199,7 @@
 				if j.allocationFailedUntil = (time.Time{}); !take(t, j, id, body) {
 					t.Fatalf("no room for %s with nothing held", id)
 				}
-				j.Closed(id)
+				j.RecordClosed(id)
 			}
 			if used := fs.used(); used > c.limit2 {
 				t.Errorf("%d bytes in the folder", used)
--- a/internal/journal/saved.go
+++ b/internal/journal/saved.go
@@ -6,8 +6,8 @@
 	"scaleroute/internal/message"
 )
 
-// Saved is what the journal knows of one message.
-type Saved struct {
+// MessageState is what the journal knows of one message.
+type MessageState struct {
 	ID       string
 	Class    string
 	Dest     int
@@ -17,17 +17,17 @@
 	Extras   *message.Extras
 
 	Attempts   int
-	Open       bool // the last attempt has no outcome
+	InFlight   bool // the last attempt has no outcome
 	MayHaveRun bool // an attempt may have run; an open one may
-	End        byte // d or b once its end is decided
-	Wait       time.Duration
+	Completion byte // d or b once its end is decided
+	RetryAfter time.Duration
 
 	number      uint64 // unique, unlike its id
 	recordCount byte   // of its records, modulo 256
 	segment     *segment
 	stateSize   int64 // of its state in the segment
-	previous    *Saved
-	next        *Saved
+	previous    *MessageState
+	next        *MessageState
 
 	journal       *Journal // for its body alone, once that is on disk
 	position      position // of its newest state that is as durable as was promised; under positionsMu
@@ -36,11 +36,11 @@
 	storedLength  int      // of its body if that is on disk alone
 }
 
-// Ran reports whether any attempt may have run, an open one included.
-func (s *Saved) Ran() bool { return s.MayHaveRun || s.Open }
+// PossiblyRan reports whether any attempt may have run, an open one included.
+func (s *MessageState) PossiblyRan() bool { return s.MayHaveRun || s.InFlight }
 
 // Size is what must be reserved for a message: all that is written of it but what each message needs.
-func (s *Saved) Size() int {
+func (s *MessageState) Size() int {
 	return s.Body.Len() + len(s.Origin) + len(s.Class) + len(s.ID) + extrasBytes(s.Extras)
 }
 
@@ -51,4 +51,4 @@
 func cost(size int) int64 { return stateBytes(size) + controlBytes }
 
 // Cost is the room that is reserved for a message.
-func (s *Saved) Cost() int64 { return cost(s.Size()) }
+func (s *MessageState) Cost() int64 { return cost(s.Size()) }
--- a/internal/journal/segment.go
+++ b/internal/journal/segment.go
@@ -43,8 +43,8 @@
 
 	liveCount int // messages whose state is here
 	liveBytes int64
-	head      *Saved // those, in the order written
-	tail      *Saved
+	head      *MessageState // those, in the order written
+	tail      *MessageState
 }
 
 func segmentName(seq uint64, nonce uint32) string {
@@ -91,7 +91,7 @@
 }
 
 // link appends a message to those whose state is in this segment.
-func (s *segment) link(m *Saved, size int64) {
+func (s *segment) link(m *MessageState, size int64) {
 	m.segment, m.stateSize = s, size
 	m.previous, m.next = s.tail, nil
 	if s.tail != nil {
@@ -105,7 +105,7 @@
 }
 
 // unlink removes a message from those of its segment.
-func (m *Saved) unlink() {
+func (m *MessageState) unlink() {
 	s := m.segment
 	if s == nil {
 		return
--- a/internal/journal/space.go
+++ b/internal/journal/space.go
@@ -157,8 +157,8 @@
 	return true, nil
 }
 
-// Full is the share of the room that is in use, on disk or in memory, whichever is scarcer.
-func (j *Journal) Full() float64 {
+// Usage is the share of the room that is in use, on disk or in memory, whichever is scarcer.
+func (j *Journal) Usage() float64 {
 	if j.limit == 0 {
 		return 1
 	}
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -22,12 +22,12 @@
 	flagRoute  // behind those the length of a route's name (1), the name, and the destination asked for (4)
 )
 
-func encodeState(s *Saved, body []byte, clock steadyclock.Clock) []byte {
+func encodeState(s *MessageState, body []byte, clock steadyclock.Clock) []byte {
 	p := make([]byte, 0, 24+s.Size())
 	p = binary.LittleEndian.AppendUint64(p, uint64(clock.Millis(s.Deadline)))
 	p = binary.LittleEndian.AppendUint32(p, uint32(int32(s.Dest)))
-	p = append(p, byte(min(s.Attempts, 255)), flagByte(s.Open)*flagOpen|flagByte(s.MayHaveRun)*flagMayHaveRun|flagByte(s.isBodyLost())*flagLost|flagByte(s.Extras != nil)*flagExtras|flagByte(s.Extras.Took() != "")*flagRoute, s.End)
-	p = binary.LittleEndian.AppendUint32(p, uint32(min(s.Wait.Milliseconds(), 1<<32-1)))
+	p = append(p, byte(min(s.Attempts, 255)), flagByte(s.InFlight)*flagOpen|flagByte(s.MayHaveRun)*flagMayHaveRun|flagByte(s.isBodyLost())*flagLost|flagByte(s.Extras != nil)*flagExtras|flagByte(s.Extras.Took() != "")*flagRoute, s.Completion)
+	p = binary.LittleEndian.AppendUint32(p, uint32(min(s.RetryAfter.Milliseconds(), 1<<32-1)))
 	p = append(p, byte(len(s.ID)), byte(len(s.Class)), byte(len(s.Origin)))
 	p = append(append(append(p, s.ID...), s.Class...), s.Origin...)
 	if s.Extras != nil {
@@ -108,14 +108,14 @@
 var errShort = errors.New("a record that is too short")
 
 // decodeState returns a message, and its body, which is a part of p.
-func decodeState(p []byte, clock steadyclock.Clock) (*Saved, []byte, error) {
+func decodeState(p []byte, clock steadyclock.Clock) (*MessageState, []byte, error) {
 	if len(p) < 22 {
 		return nil, nil, errShort
 	}
-	s := &Saved{Deadline: clock.Time(int64(binary.LittleEndian.Uint64(p))),
+	s := &MessageState{Deadline: clock.Time(int64(binary.LittleEndian.Uint64(p))),
 		Dest: int(int32(binary.LittleEndian.Uint32(p[8:]))), Attempts: int(p[12]),
-		Open: p[13]&flagOpen != 0, MayHaveRun: p[13]&flagMayHaveRun != 0, End: p[14],
-		Wait: time.Duration(binary.LittleEndian.Uint32(p[15:])) * time.Millisecond}
+		InFlight: p[13]&flagOpen != 0, MayHaveRun: p[13]&flagMayHaveRun != 0, Completion: p[14],
+		RetryAfter: time.Duration(binary.LittleEndian.Uint32(p[15:])) * time.Millisecond}
 	id, class, origin, rest := int(p[19]), int(p[20]), int(p[21]), p[22:]
 	if len(rest) < id+class+origin {
 		return nil, nil, errShort
--- a/internal/journal/sync.go
+++ b/internal/journal/sync.go
@@ -26,9 +26,9 @@
 // damage, the offset before which all is synced is recorded whenever it grows, before anyone relies on it, in segments
 // marked for it: where a gap is behind the last such offset in the last of them, the log ends there.
 
-// Unsynced returns how much has been written in all, and a function, for any goroutine to call, that syncs it;
+// PrepareSync returns how much has been written in all, and a function, for any goroutine to call, that syncs it;
 // nil and what is synced if there is nothing to do.
-func (j *Journal) Unsynced() (written int64, sync func() error) {
+func (j *Journal) PrepareSync() (written int64, sync func() error) {
 	if j.durability == Process || len(j.segments) == 0 || j.syncedBytes >= j.syncNeeded {
 		return j.syncedBytes, nil
 	}
@@ -44,16 +44,16 @@
 // Durability is what the records survive.
 func (j *Journal) Durability() Durability { return j.durability }
 
-// Written is how much has been written that somebody may wait for.
-func (j *Journal) Written() int64 { return j.syncNeeded }
+// SyncTarget is how much has been written that somebody may wait for.
+func (j *Journal) SyncTarget() int64 { return j.syncNeeded }
 
-// Covered reports whether all that had been written by then is synced.
-func (j *Journal) Covered(written int64) bool { return j.syncedBytes >= written }
+// IsSynced reports whether all that had been written by then is synced.
+func (j *Journal) IsSynced(written int64) bool { return j.syncedBytes >= written }
 
-// Synced notes that all that had been written by then is synced, and with [Group] records that. An error says
+// FinishSync notes that all that had been written by then is synced, and with [Group] records that. An error says
 // that it could not be synced: it may be lost, and a second sync would not report that, so nothing more is
 // written.
-func (j *Journal) Synced(written int64, err error) error {
+func (j *Journal) FinishSync(written int64, err error) error {
 	if err != nil && j.err == nil {
 		j.err = fmt.Errorf("journal: syncing: %w", err)
 	}
@@ -98,7 +98,7 @@
 
 // syncNow syncs what was written to the active segment.
 func (j *Journal) syncNow() error {
-	written, sync := j.Unsynced()
+	written, sync := j.PrepareSync()
 	if sync == nil {
 		return nil
 	}
--- a/internal/journal/tool.go
+++ b/internal/journal/tool.go
@@ -10,7 +10,7 @@
 // Read replays the journal in a folder and changes nothing there; the folder may be in use.
 func Read(dir string) (*Journal, error) {
 	for try := 0; ; try++ {
-		j, err := OpenWith(Options{FS: osFS{dir: dir, readOnly: true}, ReadOnly: true, Memory: readMemory})
+		j, err := OpenWith(Options{FS: osFS{dir: dir, readOnly: true}, ReadOnly: true, MemoryLimit: readMemory})
 		if !errors.Is(err, fs.ErrNotExist) || try == readAttempts {
 			return j, err
 		}
@@ -25,13 +25,13 @@
 
 // Copy writes the open messages of a journal into an empty folder, and returns how many there are.
 func Copy(from *Journal, dir string) (n int, err error) {
-	held := from.Held()
+	held := from.Queued()
 	o := Options{}
 	for _, s := range held {
-		o.Limit += 4 * cost(s.Size())
-		o.Extras = o.Extras || s.Extras != nil
+		o.DiskLimit += 4 * cost(s.Size())
+		o.AllowExtras = o.AllowExtras || s.Extras != nil
 	}
-	o.Limit = min(math.MaxInt64/4, max(o.Limit, 64<<20))
+	o.DiskLimit = min(math.MaxInt64/4, max(o.DiskLimit, 64<<20))
 	j, err := Open(dir, o)
 	if err != nil {
 		return 0, err
@@ -46,7 +46,7 @@
 		}
 		copied := *s
 		copied.segment, copied.previous, copied.next, copied.position, copied.residentBytes = nil, nil, nil, position{}, 0
-		if err := j.Accepted(&copied); err != nil {
+		if err := j.RecordAccepted(&copied); err != nil {
 			return n, err
 		}
 		if err := j.Flush(); err != nil {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -33,7 +33,7 @@
 	longest    = 1 << 10     // a target's name; what is longer is cut
 )
 
-// FS is the folder. Its files must have descriptors; the journal's [journal.Folder] does.
+// FS is the folder. Its files must have descriptors; the journal's [journal.DirFS] does.
 type FS = journal.FS
 
 // Change is one step from one vector to the next.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		disk := &full{FS: journal.Folder(dir)}
+		disk := &full{FS: journal.DirFS(dir)}
 		now := begin
 		l := open(t, disk, LeastBytes)
 		type key struct {
@@ -230,7 +230,7 @@
 
 // TestOut: a change names the calls that are out when it comes.
 func TestOut(t *testing.T) {
-	files := journal.Folder(t.TempDir())
+	files := journal.DirFS(t.TempDir())
 	l := open(t, files, LeastBytes)
 	l.Change(Start, "", begin, vector(1))
 	a, b := l.Begin("a", begin), l.Begin("b", begin)
@@ -259,7 +259,7 @@
 // it has, or that may be missing, that it is so.
 func TestDamage(t *testing.T) {
 	dir := t.TempDir()
-	files := journal.Folder(dir)
+	files := journal.DirFS(dir)
 	l := open(t, files, LeastBytes)
 	for i := range 4 {
 		l.Change(ListTold, "", begin, vector(i))
@@ -333,7 +333,7 @@
 
 // TestAnothers: a folder that another forwarder wrote to says nothing of this one, and is not written over at once.
 func TestAnothers(t *testing.T) {
-	files := journal.Folder(t.TempDir())
+	files := journal.DirFS(t.TempDir())
 	l, err := Open(files, LeastBytes, "n2")
 	if err != nil {
 		t.Fatal(err)
@@ -372,18 +372,18 @@
 		t.Errorf("%v allocations", n)
 	}
 	for _, n := range []int64{0, LeastBytes - 1, MostBytes + 1} {
-		if _, err := Open(journal.Folder(t.TempDir()), n, "n1"); err == nil {
+		if _, err := Open(journal.DirFS(t.TempDir()), n, "n1"); err == nil {
 			t.Errorf("a ledger of %d bytes", n)
 		}
 	}
-	if _, err := Open(journal.Folder(filepath.Join(t.TempDir(), "none")), LeastBytes, "n1"); !errors.Is(err, os.ErrNotExist) {
+	if _, err := Open(journal.DirFS(filepath.Join(t.TempDir(), "none")), LeastBytes, "n1"); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no folder: %v", err)
 	}
 }
 
 // writeUntilKilled tells each call on its standard output before and after it is counted.
 func writeUntilKilled(dir string) {
-	l, err := Open(journal.Folder(dir), LeastBytes, "n1")
+	l, err := Open(journal.DirFS(dir), LeastBytes, "n1")
 	if err != nil {
 		panic(err)
 	}
@@ -443,7 +443,7 @@
 		}
 		told[target] = c
 	}
-	rec := load(t, journal.Folder(dir))
+	rec := load(t, journal.DirFS(dir))
 	if len(rec.Damage) > 0 {
 		t.Fatal(rec.Damage)
 	}
@@ -470,7 +470,7 @@
 }
 
 func BenchmarkCall(b *testing.B) {
-	l := open(b, journal.Folder(b.TempDir()), 1<<20)
+	l := open(b, journal.DirFS(b.TempDir()), 1<<20)
 	l.Change(Start, "", begin, vector(1))
 	targets := make([]string, 30)
 	for i := range targets {
