--- a/cmd/scaleroute/bundle.go
+++ b/cmd/scaleroute/bundle.go
@@ -73,37 +73,37 @@
 )
 
 // parcels is a bundle as it is sent.
-func (b *bundle) parcels() (list []takeover.Parcel, err error) {
-	add := func(kind string, v any, p takeover.Parcel) {
+func (b *bundle) parcels() (list []takeover.Record, err error) {
+	add := func(kind string, v any, p takeover.Record) {
 		var text []byte
 		if text, err = json.Marshal(v); err == nil {
 			p.Kind, p.Data = kind, text
 			list = append(list, p)
 		}
 	}
-	add(kindEngine, engineParcel{b.engine.Module, b.engine.Clock, b.engine.At, b.engine.Destinations, b.takeOver, uptimeAt(b.engine.At)}, takeover.Parcel{})
+	add(kindEngine, engineParcel{b.engine.Module, b.engine.Clock, b.engine.At, b.engine.Destinations, b.takeOver, uptimeAt(b.engine.At)}, takeover.Record{})
 	if b.list != nil && err == nil {
-		add(kindList, b.list, takeover.Parcel{})
+		add(kindList, b.list, takeover.Record{})
 	}
 	if b.part != nil && err == nil {
-		add(kindPart, b.part, takeover.Parcel{})
+		add(kindPart, b.part, takeover.Record{})
 	}
 	if err == nil {
-		add(kindFront, frontParcel{b.drained, b.stopped}, takeover.Parcel{})
+		add(kindFront, frontParcel{b.drained, b.stopped}, takeover.Record{})
 	}
 	for _, c := range b.engine.Calls {
 		if err == nil {
-			add(kindCall, callParcel{c.Message, c.Attempt, c.Endpoint, c.Address, c.Read, c.Began, c.End, c.Under}, takeover.Parcel{Conn: c.Conn})
+			add(kindCall, callParcel{c.Message, c.Attempt, c.Endpoint, c.Address, c.Read, c.Began, c.End, c.Under}, takeover.Record{Conn: c.Conn})
 		}
 	}
 	for _, c := range b.clients {
 		if err == nil {
-			add(kindClient, clientParcel{c.Unread, c.Used}, takeover.Parcel{Conn: c.Conn})
+			add(kindClient, clientParcel{c.Unread, c.Used}, takeover.Record{Conn: c.Conn})
 		}
 	}
 	for _, c := range b.idle {
 		if err == nil {
-			add(kindIdle, idleParcel{c.Address, c.Since}, takeover.Parcel{Conn: c.Conn})
+			add(kindIdle, idleParcel{c.Address, c.Since}, takeover.Record{Conn: c.Conn})
 		}
 	}
 	return list, err
@@ -119,7 +119,7 @@
 }
 
 // unpack reads what was sent. What has a connection must have one.
-func unpack(list []takeover.Parcel) (*bundle, error) {
+func unpack(list []takeover.Record) (*bundle, error) {
 	b := &bundle{}
 	whole := false
 	var step time.Duration // of the wall clock since that process wrote its times
--- a/cmd/scaleroute/main_test.go
+++ b/cmd/scaleroute/main_test.go
@@ -45,7 +45,7 @@
 	}
 	if os.Getenv("SCALEROUTE_TEST_MAIN") != "" {
 		if stop := os.Getenv("SCALEROUTE_TEST_STEP"); stop != "" {
-			takeover.Reached = func(step string) {
+			takeover.StepReached = func(step string) {
 				if step == stop {
 					fmt.Fprintln(os.Stderr, "reached", step)
 					select {} // until it is killed
@@ -53,7 +53,7 @@
 			}
 		}
 		if step := os.Getenv("SCALEROUTE_TEST_PAUSE"); step != "" {
-			takeover.Reached = func(now string) {
+			takeover.StepReached = func(now string) {
 				if now != step {
 					return
 				}
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -264,20 +264,20 @@
 
 // serve owns the forwarder from here on: until the planned stop is over, or another process asks to take over. Then it returns what it
 // leaves to that one, with the journal closed.
-func (f *forwarder) serve(j *journal.Journal, from *bundle, taker *takeover.Taker) (left *bundle, giver *takeover.Giver, err error) {
+func (f *forwarder) serve(j *journal.Journal, from *bundle, taker *takeover.Receiver) (left *bundle, giver *takeover.Sender, err error) {
 	defer j.Close()
-	takeover.Reached("new: locked")
+	takeover.StepReached("new: locked")
 	l, http, known, err := f.start(j, from)
 	if err != nil {
 		return nil, nil, err
 	}
-	takeover.Reached("new: recovered")
+	takeover.StepReached("new: recovered")
 	if taker != nil {
-		if err := taker.Own(f.door); err != nil { // it has ended: nobody else owns what it had
+		if err := taker.ConfirmOwnership(f.door); err != nil { // it has ended: nobody else owns what it had
 			slog.Warn("the process before has not heard that this one has taken over", "err", err)
 		}
 		taker.Close()
-		takeover.Reached("new: owned")
+		takeover.StepReached("new: owned")
 	}
 	ln := f.inherited
 	if ln == nil {
@@ -333,7 +333,7 @@
 	asks := f.listenForNext(ctx, &all)
 	f.control.Serve(operations.Part{Clients: clients, Members: f.operators.sources, Figures: l.Figures, JournalFailing: l.JournalFailing})
 	slog.Info("serving", "name", f.c.Name, "address", ln.Addr(), "discovery", f.c.Discovery)
-	takeover.Reached("new: serving")
+	takeover.StepReached("new: serving")
 
 	for {
 		select {
@@ -347,21 +347,21 @@
 				next.Close()
 				continue
 			}
-			if err := next.Coming(); err != nil {
+			if err := next.Accept(); err != nil {
 				slog.Warn("a process that asked to take over is gone", "err", err)
 				next.Close()
 				continue
 			}
 			slog.Info("handing over")
 			f.control.HandOver(errHandedOver)
-			takeover.Reached("old: asked")
+			takeover.StepReached("old: asked")
 			// In the order in which things come: lists, then requests, then calls.
 			unwatch()
 			lists.Wait()
 			left = &bundle{list: f.platform.Last(), part: f.partial.leave(), drained: f.control.SentAway(), stopped: time.Now()}
 			left.clients = clients.Detach(detachLimit)
 			accepting.Wait()
-			takeover.Reached("old: clients detached")
+			takeover.StepReached("old: clients detached")
 			left.takeOver = f.fleet.generation()
 			left.idle = http.Release()
 			h := l.Detach()
@@ -369,7 +369,7 @@
 				return nil, nil, <-failed
 			}
 			left.engine = *h
-			takeover.Reached("old: engine detached")
+			takeover.StepReached("old: engine detached")
 			f.before = l.Figures()
 			return left, next, nil
 		}
--- a/cmd/scaleroute/takeover.go
+++ b/cmd/scaleroute/takeover.go
@@ -35,7 +35,7 @@
 	if f.inherited, err = newShared(ln); err != nil {
 		return fmt.Errorf("NODE_SOCKET_FD: descriptor %d: %w", f.c.SocketFD, err)
 	}
-	f.id, err = takeover.Identify(f.c.Name, f.c.State)
+	f.id, err = takeover.NewIdentity(f.c.Name, f.c.State)
 	return err
 }
 
@@ -78,7 +78,7 @@
 }
 
 // begin takes the folder that lasts: from the process that serves, if there is one, or as it is.
-func (f *forwarder) begin() (j *journal.Journal, from *bundle, taker *takeover.Taker, err error) {
+func (f *forwarder) begin() (j *journal.Journal, from *bundle, taker *takeover.Receiver, err error) {
 	if f.inherited == nil {
 		j, err = f.openJournal()
 		return j, nil, nil, err
@@ -107,11 +107,11 @@
 }
 
 // take asks the process that serves, if there is one, to hand over. Without all that it has to leave, the journal alone is started from.
-func (f *forwarder) take() (*bundle, *takeover.Taker, error) {
-	taker, err := takeover.Ask(f.c.Scratch, f.id)
-	var refused takeover.Refusal
+func (f *forwarder) take() (*bundle, *takeover.Receiver, error) {
+	taker, err := takeover.RequestHandover(f.c.Scratch, f.id)
+	var refused takeover.RefusedError
 	switch {
-	case errors.Is(err, takeover.ErrNobody), errors.Is(err, takeover.ErrLater):
+	case errors.Is(err, takeover.ErrNoProcess), errors.Is(err, takeover.ErrRetryLater):
 		return nil, nil, nil
 	case errors.As(err, &refused):
 		return nil, nil, err
@@ -119,7 +119,7 @@
 		slog.Warn("asking to take over", "err", err)
 		return nil, nil, nil
 	}
-	takeover.Reached("new: asked")
+	takeover.StepReached("new: asked")
 	began := time.Now()
 	parcels, err := taker.Receive()
 	if err != nil {
@@ -127,11 +127,11 @@
 		taker.Close()
 		return nil, nil, nil
 	}
-	takeover.Reached("new: received")
+	takeover.StepReached("new: received")
 	from, err := unpack(parcels)
 	if err != nil {
 		slog.Error("what the process before left can't be read: its journal alone is started from", "err", err)
-		takeover.Drop(parcels)
+		takeover.CloseConns(parcels)
 		return nil, taker, nil
 	}
 	slog.Info("taking over", "clients", len(from.clients), "calls", len(from.engine.Calls), "idle", len(from.idle), "after", time.Since(began))
@@ -139,7 +139,7 @@
 }
 
 // listenForNext has the next process ask here. Where that can't be it is logged: then the next one waits until this one has ended.
-func (f *forwarder) listenForNext(ctx context.Context, all *sync.WaitGroup) <-chan *takeover.Giver {
+func (f *forwarder) listenForNext(ctx context.Context, all *sync.WaitGroup) <-chan *takeover.Sender {
 	if f.inherited == nil {
 		return nil
 	}
@@ -150,24 +150,24 @@
 	}
 	context.AfterFunc(ctx, s.Close)
 	all.Go(func() { s.Serve(ctx) })
-	return s.Asks()
+	return s.Requests()
 }
 
 // give hands over to the next process, and stays until SIGTERM for the operators' sake once that one owns what was handed over. If it does
 // not, the journal is returned: this process goes on with what it had.
-func (f *forwarder) give(to *takeover.Giver, left *bundle) (*journal.Journal, error) {
+func (f *forwarder) give(to *takeover.Sender, left *bundle) (*journal.Journal, error) {
 	defer to.Close()
-	takeover.Reached("old: journal closed")
+	takeover.StepReached("old: journal closed")
 	parcels, err := left.parcels()
 	if err == nil {
-		err = to.Give(parcels)
+		err = to.Send(parcels)
 	}
-	takeover.Reached("old: sent")
+	takeover.StepReached("old: sent")
 	at, why := "", err
 	for limit := time.Now().Add(folderWait); ; time.Sleep(folderPause) {
 		gone := err != nil
 		if !gone {
-			if at, err = to.Owned(ownedLook); err == nil {
+			if at, err = to.AwaitOwnership(ownedLook); err == nil {
 				break
 			}
 			why = err
@@ -188,7 +188,7 @@
 			break
 		}
 	}
-	takeover.Reached("old: owned")
+	takeover.StepReached("old: owned")
 	if at != "" {
 		f.control.Forward(door.To(at))
 	}
--- a/cmd/scaleroute/upgrade_test.go
+++ b/cmd/scaleroute/upgrade_test.go
@@ -536,20 +536,20 @@
 	p.client().hand("drain-1", "unsafe", drains)
 	p.kill()
 	dir := strings.TrimPrefix(u.env[0], "TMPDIR=")
-	id, err := takeover.Identify("n0", u.state)
+	id, err := takeover.NewIdentity("n0", u.state)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
 		name string
-		list []takeover.Parcel
+		list []takeover.Record
 		log  string
 	}{
-		{"memory", []takeover.Parcel{{Kind: kindEngine, Data: []byte(`{"module":"AQID","clock_ns":5}`)}}, "bytes before its end"},
-		{"no JSON", []takeover.Parcel{{Kind: kindFront, Data: []byte("{}")}, {Kind: kindEngine, Data: []byte("{")}}, "parcel 2"},
-		{"no engine", []takeover.Parcel{{Kind: kindFront, Data: []byte("{}")}}, "none of"},
-		{"a call without a connection", []takeover.Parcel{{Kind: kindCall, Data: []byte("{}")}}, "without a connection"},
-		{"an unknown kind", []takeover.Parcel{{Kind: "what"}}, "does not know"},
+		{"memory", []takeover.Record{{Kind: kindEngine, Data: []byte(`{"module":"AQID","clock_ns":5}`)}}, "bytes before its end"},
+		{"no JSON", []takeover.Record{{Kind: kindFront, Data: []byte("{}")}, {Kind: kindEngine, Data: []byte("{")}}, "parcel 2"},
+		{"no engine", []takeover.Record{{Kind: kindFront, Data: []byte("{}")}}, "none of"},
+		{"a call without a connection", []takeover.Record{{Kind: kindCall, Data: []byte("{}")}}, "without a connection"},
+		{"an unknown kind", []takeover.Record{{Kind: "what"}}, "does not know"},
 		{"cut short", nil, "did not hand over whole"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -563,12 +563,12 @@
 				close(ended)
 			}()
 			next := u.launch()
-			g := <-s.Asks()
-			if err := g.Coming(); err != nil {
+			g := <-s.Requests()
+			if err := g.Accept(); err != nil {
 				t.Fatal(err)
 			}
 			if c.list != nil {
-				if err := g.Give(c.list); err != nil {
+				if err := g.Send(c.list); err != nil {
 					t.Fatal(err)
 				}
 			} else {
--- a/internal/takeover/frame.go
+++ b/internal/takeover/frame.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Version is that of what the two processes say to each other, and of what the parcels hold.
-const Version = 1
+// ProtocolVersion is that of what the two processes say to each other, and of what the parcels hold.
+const ProtocolVersion = 1
 
 const (
 	mostData  = 64 << 20 // bytes of one parcel
@@ -26,8 +26,8 @@
 	stepTime  = time.Second // for one step of the other side
 )
 
-// Parcel is one thing that is handed over.
-type Parcel struct {
+// Record is one thing that is handed over.
+type Record struct {
 	Kind string
 	Data []byte
 	Conn net.Conn // goes along if it is not nil: it is open in both processes then
@@ -39,7 +39,7 @@
 // send writes one frame: a head that the connection goes along with, the kind, the data.
 //
 //	connections (1 byte: 0 or 1), length of the kind (2), length of the data (4), checksum of both (4), checksum of all that (4)
-func send(to *net.UnixConn, p Parcel) error {
+func send(to *net.UnixConn, p Record) error {
 	if len(p.Data) > mostData || len(p.Kind) > mostKind {
 		return fmt.Errorf("%d bytes of %q: more than %d can't be handed over", len(p.Data), p.Kind, mostData)
 	}
@@ -94,7 +94,7 @@
 }
 
 // receive reads one frame, and waits for it to begin for so long.
-func receive(from *net.UnixConn, limit time.Duration) (p Parcel, err error) {
+func receive(from *net.UnixConn, limit time.Duration) (p Record, err error) {
 	if err := from.SetReadDeadline(time.Now().Add(limit)); err != nil {
 		return p, err
 	}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -25,8 +25,8 @@
 	kindOwned   = "owned"
 )
 
-// Reached is called at each named step of a hand-over. Tests end a process there.
-var Reached = func(step string) {}
+// StepReached is called at each named step of a hand-over. Tests end a process there.
+var StepReached = func(step string) {}
 
 // Identity says whose a process is. Two with the same are of one forwarder.
 type Identity struct {
@@ -35,13 +35,13 @@
 	Folder  string `json:"folder"` // device and inode of the folder that lasts
 }
 
-// Identify makes the Identity of a process.
-func Identify(name, folder string) (Identity, error) {
+// NewIdentity makes the Identity of a process.
+func NewIdentity(name, folder string) (Identity, error) {
 	var s syscall.Stat_t
 	if err := syscall.Stat(folder, &s); err != nil {
 		return Identity{}, fmt.Errorf("%s: %w", folder, err)
 	}
-	return Identity{Version, name, fmt.Sprintf("%x:%x", s.Dev, s.Ino)}, nil
+	return Identity{ProtocolVersion, name, fmt.Sprintf("%x:%x", s.Dev, s.Ino)}, nil
 }
 
 // refuses is why one process does not hand over to another; empty if it does.
@@ -74,12 +74,12 @@
 type Socket struct {
 	ln   *net.UnixListener
 	id   Identity
-	asks chan *Giver
+	asks chan *Sender
 }
 
 // Listen opens the socket in a folder. Whoever calls it owns the forwarder's lasting folder, so one that is there is nobody's any more.
 func Listen(dir string, id Identity) (*Socket, error) {
-	s := &Socket{id: id, asks: make(chan *Giver)}
+	s := &Socket{id: id, asks: make(chan *Sender)}
 	if err := os.Remove(filepath.Join(dir, id.name())); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
@@ -139,20 +139,20 @@
 	why := s.id.refuses(other)
 	if why == "" {
 		select {
-		case s.asks <- &Giver{conn}:
+		case s.asks <- &Sender{conn}:
 			return nil
 		case <-ctx.Done(): // it hands over, or ends
 		}
-		send(conn, Parcel{Kind: kindLater})
+		send(conn, Record{Kind: kindLater})
 		conn.Close()
 		return nil
 	}
-	send(conn, Parcel{Kind: kindRefused, Data: []byte(why)})
+	send(conn, Record{Kind: kindRefused, Data: []byte(why)})
 	return errors.New(why)
 }
 
-// Asks is where those that may take over come.
-func (s *Socket) Asks() <-chan *Giver { return s.asks }
+// Requests is where those that may take over come.
+func (s *Socket) Requests() <-chan *Sender { return s.asks }
 
 // Close ends the socket, and leaves its name.
 func (s *Socket) Close() { s.ln.Close() }
@@ -179,28 +179,28 @@
 	return nil
 }
 
-// Giver is the old process's end of a hand-over.
-type Giver struct{ conn *net.UnixConn }
+// Sender is the old process's end of a hand-over.
+type Sender struct{ conn *net.UnixConn }
 
-// Coming tells the new process that it may wait for the parcels.
-func (g *Giver) Coming() error { return send(g.conn, Parcel{Kind: kindComing}) }
+// Accept tells the new process that it may wait for the parcels.
+func (g *Sender) Accept() error { return send(g.conn, Record{Kind: kindComing}) }
 
-// Give sends all parcels.
-func (g *Giver) Give(list []Parcel) error {
+// Send sends all parcels.
+func (g *Sender) Send(list []Record) error {
 	for i, p := range list {
 		if i == len(list)/2 {
-			Reached("old: sent half")
+			StepReached("old: sent half")
 		}
 		if err := send(g.conn, p); err != nil {
 			return err
 		}
 	}
-	return send(g.conn, Parcel{Kind: kindEnd})
+	return send(g.conn, Record{Kind: kindEnd})
 }
 
-// Owned waits until the new process says that it owns what was sent, and returns where its operators' door is. An error means that it has
+// AwaitOwnership waits until the new process says that it owns what was sent, and returns where its operators' door is. An error means that it has
 // ended, or said nothing for so long.
-func (g *Giver) Owned(limit time.Duration) (door string, err error) {
+func (g *Sender) AwaitOwnership(limit time.Duration) (door string, err error) {
 	p, err := receive(g.conn, limit)
 	if err == nil && p.Kind != kindOwned {
 		err = fmt.Errorf("%w: %q where %q should come", errDamaged, p.Kind, kindOwned)
@@ -209,36 +209,38 @@
 }
 
 // Close ends the old process's end.
-func (g *Giver) Close() { g.conn.Close() }
+func (g *Sender) Close() { g.conn.Close() }
 
-// ErrNobody says that there is no process to take over from.
-var ErrNobody = errors.New("no process to take over from")
+// ErrNoProcess says that there is no process to take over from.
+var ErrNoProcess = errors.New("no process to take over from")
 
-// ErrLater says that the process that serves is just ending, or handing over to another: ask again.
-var ErrLater = errors.New("the process that serves is handing over or ending")
+// ErrRetryLater says that the process that serves is just ending, or handing over to another: ask again.
+var ErrRetryLater = errors.New("the process that serves is handing over or ending")
 
-// Refusal is why the old process does not hand over, and what to do.
-type Refusal string
+// RefusedError is why the old process does not hand over, and what to do.
+type RefusedError string
 
-func (r Refusal) Error() string { return "the process that serves does not hand over: " + string(r) }
+func (r RefusedError) Error() string {
+	return "the process that serves does not hand over: " + string(r)
+}
 
-// Taker is the new process's end of a hand-over.
-type Taker struct{ conn *net.UnixConn }
+// Receiver is the new process's end of a hand-over.
+type Receiver struct{ conn *net.UnixConn }
 
-// Ask asks the process that serves to hand over.
-func Ask(dir string, id Identity) (*Taker, error) {
+// RequestHandover asks the process that serves to hand over.
+func RequestHandover(dir string, id Identity) (*Receiver, error) {
 	var conn *net.UnixConn
 	err := id.at(dir, func(a *net.UnixAddr) (err error) {
 		conn, err = net.DialUnix("unix", nil, a)
 		return err
 	})
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, ErrNobody
+		return nil, ErrNoProcess
 	}
 	if err != nil {
 		return nil, err
 	}
-	t := &Taker{conn}
+	t := &Receiver{conn}
 	if err := t.ask(id); err != nil {
 		conn.Close()
 		return nil, err
@@ -246,7 +248,7 @@
 	return t, nil
 }
 
-func (t *Taker) ask(id Identity) error {
+func (t *Receiver) ask(id Identity) error {
 	if err := sameUser(t.conn); err != nil {
 		return err
 	}
@@ -254,19 +256,19 @@
 	if err != nil {
 		return err
 	}
-	var p Parcel
-	if err = send(t.conn, Parcel{Kind: kindAsk, Data: text}); err == nil {
+	var p Record
+	if err = send(t.conn, Record{Kind: kindAsk, Data: text}); err == nil {
 		p, err = receive(t.conn, 2*stepTime)
 	}
 	switch {
 	case errors.Is(err, syscall.EPIPE), errors.Is(err, syscall.ECONNRESET), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return ErrLater // it ended, or its socket did, before it had heard this
+		return ErrRetryLater // it ended, or its socket did, before it had heard this
 	case err != nil:
 		return fmt.Errorf("asking to take over: %w", err)
 	case p.Kind == kindLater:
-		return ErrLater
+		return ErrRetryLater
 	case p.Kind == kindRefused:
-		return Refusal(p.Data)
+		return RefusedError(p.Data)
 	case p.Kind != kindComing:
 		return fmt.Errorf("%w: %q where %q should come", errDamaged, p.Kind, kindComing)
 	}
@@ -274,7 +276,7 @@
 }
 
 // Receive takes all parcels. With an error it has closed those that had come: the old process goes on with its own.
-func (t *Taker) Receive() (list []Parcel, err error) {
+func (t *Receiver) Receive() (list []Record, err error) {
 	total := 0
 	for {
 		p, err := receive(t.conn, 3*stepTime)
@@ -282,7 +284,7 @@
 			err = fmt.Errorf("more than %d bytes or %d parcels", mostTotal, mostCount)
 		}
 		if err != nil {
-			Drop(append(list, p))
+			CloseConns(append(list, p))
 			return nil, fmt.Errorf("taking over: parcel %d: %w", len(list)+1, err)
 		}
 		if p.Kind == kindEnd {
@@ -292,16 +294,16 @@
 	}
 }
 
-// Own says that this process owns what came, and where its operators' door is; empty if it has none.
-func (t *Taker) Own(door string) error {
-	return send(t.conn, Parcel{Kind: kindOwned, Data: []byte(door)})
+// ConfirmOwnership says that this process owns what came, and where its operators' door is; empty if it has none.
+func (t *Receiver) ConfirmOwnership(door string) error {
+	return send(t.conn, Record{Kind: kindOwned, Data: []byte(door)})
 }
 
 // Close ends the new process's end.
-func (t *Taker) Close() { t.conn.Close() }
+func (t *Receiver) Close() { t.conn.Close() }
 
-// Drop closes the connections of parcels.
-func Drop(list []Parcel) {
+// CloseConns closes the connections of parcels.
+func CloseConns(list []Record) {
 	for _, p := range list {
 		if p.Conn != nil {
 			p.Conn.Close()
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -64,12 +64,12 @@
 
 // TestHandOver: parcels come in their order, small ones and large ones, with and without connections, which work in both processes.
 func TestHandOver(t *testing.T) {
-	dir, id := t.TempDir(), Identity{Version, "n0", "1:2"}
+	dir, id := t.TempDir(), Identity{ProtocolVersion, "n0", "1:2"}
 	s := start(t, dir, id)
-	var sent []Parcel
+	var sent []Record
 	var ends []net.Conn
 	for i, size := range []int{0, 1, 100, 1 << 20, 7} {
-		p := Parcel{Kind: fmt.Sprint("kind ", i), Data: bytes.Repeat([]byte{byte(i)}, size)}
+		p := Record{Kind: fmt.Sprint("kind ", i), Data: bytes.Repeat([]byte{byte(i)}, size)}
 		if i%2 == 0 {
 			near, far := pair(t, "tcp", "127.0.0.1:0")
 			p.Conn = near
@@ -79,16 +79,16 @@
 	}
 	given := make(chan error, 1)
 	go func() {
-		g := <-s.Asks()
+		g := <-s.Requests()
 		defer g.Close()
-		err := errors.Join(g.Coming(), g.Give(sent))
-		door, owned := g.Owned(time.Minute)
+		err := errors.Join(g.Accept(), g.Send(sent))
+		door, owned := g.AwaitOwnership(time.Minute)
 		if door != "127.0.0.1:1" {
 			t.Errorf("its door is at %q", door)
 		}
 		given <- errors.Join(err, owned)
 	}()
-	taker, err := Ask(dir, id)
+	taker, err := RequestHandover(dir, id)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	if err != nil || len(got) != len(sent) {
 		t.Fatalf("%d parcels, %v", len(got), err)
 	}
-	defer Drop(got)
+	defer CloseConns(got)
 	n := 0
 	for i, p := range got {
 		if p.Kind != sent[i].Kind || !bytes.Equal(p.Data, sent[i].Data) || (p.Conn != nil) != (sent[i].Conn != nil) {
@@ -114,7 +114,7 @@
 		}
 		n++
 	}
-	if err := taker.Own("127.0.0.1:1"); err != nil {
+	if err := taker.ConfirmOwnership("127.0.0.1:1"); err != nil {
 		t.Error(err)
 	}
 	if err := <-given; err != nil {
@@ -124,16 +124,16 @@
 
 // TestRefused: whoever is of another version, folder or name is told why and what to do, and the next one is heard.
 func TestRefused(t *testing.T) {
-	dir, id := t.TempDir(), Identity{Version, "n0", "1:2"}
+	dir, id := t.TempDir(), Identity{ProtocolVersion, "n0", "1:2"}
 	s := start(t, dir, id)
 	for _, c := range []struct {
 		name string
 		as   Identity
 		want string
 	}{
-		{"another version", Identity{Version + 1, "n0", "1:2"}, "SIGTERM"},
-		{"another folder", Identity{Version, "n0", "1:3"}, "folders TMPDIR of their own"},
-		{"another name", Identity{Version, "n1", "1:2"}, "name another folder"},
+		{"another version", Identity{ProtocolVersion + 1, "n0", "1:2"}, "SIGTERM"},
+		{"another folder", Identity{ProtocolVersion, "n0", "1:3"}, "folders TMPDIR of their own"},
+		{"another name", Identity{ProtocolVersion, "n1", "1:2"}, "name another folder"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			// The name of the socket keeps other folders away; whoever comes all the same is told.
@@ -141,13 +141,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var refused Refusal
-			if err := askAs(t, dir, id, Parcel{Kind: kindAsk, Data: text}); !errors.As(err, &refused) || !strings.Contains(err.Error(), c.want) {
+			var refused RefusedError
+			if err := askAs(t, dir, id, Record{Kind: kindAsk, Data: text}); !errors.As(err, &refused) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v", err)
 			}
 		})
 	}
-	for _, garbage := range []Parcel{{Kind: "what"}, {Kind: kindAsk, Data: []byte("{")}} {
+	for _, garbage := range []Record{{Kind: "what"}, {Kind: kindAsk, Data: []byte("{")}} {
 		if err := askAs(t, dir, id, garbage); err == nil {
 			t.Errorf("%q is answered", garbage.Kind)
 		}
@@ -159,16 +159,16 @@
 		conn.Close()
 	}
 	go func() {
-		g := <-s.Asks()
-		g.Coming()
+		g := <-s.Requests()
+		g.Accept()
 		g.Close()
 	}()
-	taker, err := Ask(dir, id)
+	taker, err := RequestHandover(dir, id)
 	if err != nil {
 		t.Fatalf("after all that: %v", err)
 	}
 	taker.Close()
-	if _, err := Ask(dir, Identity{Version, "n0", "1:3"}); !errors.Is(err, ErrNobody) {
+	if _, err := RequestHandover(dir, Identity{ProtocolVersion, "n0", "1:3"}); !errors.Is(err, ErrNoProcess) {
 		t.Errorf("a folder that nobody serves: %v", err)
 	}
 }
@@ -182,7 +182,7 @@
 }
 
 // askAs sends a parcel in place of the one that asks, and returns what Ask would.
-func askAs(t *testing.T, dir string, id Identity, p Parcel) error {
+func askAs(t *testing.T, dir string, id Identity, p Record) error {
 	t.Helper()
 	conn, err := dial(dir, id)
 	if err != nil {
@@ -194,14 +194,14 @@
 	}
 	got, err := receive(conn, time.Minute)
 	if err == nil && got.Kind == kindRefused {
-		return Refusal(got.Data)
+		return RefusedError(got.Data)
 	}
 	return err
 }
 
 // TestLater: a process that is handing over tells the next one to ask again, and one that has ended is nobody.
 func TestLater(t *testing.T) {
-	dir, id := t.TempDir(), Identity{Version, "n0", "1:2"}
+	dir, id := t.TempDir(), Identity{ProtocolVersion, "n0", "1:2"}
 	s, err := Listen(dir, id)
 	if err != nil {
 		t.Fatal(err)
@@ -214,16 +214,16 @@
 	}()
 	answered := make(chan error)
 	go func() {
-		_, err := Ask(dir, id) // nobody takes it from Asks
+		_, err := RequestHandover(dir, id) // nobody takes it from Asks
 		answered <- err
 	}()
 	cancel()
-	if err := <-answered; !errors.Is(err, ErrLater) {
+	if err := <-answered; !errors.Is(err, ErrRetryLater) {
 		t.Errorf("got %v", err)
 	}
 	s.Close()
 	<-ended
-	if _, err := Ask(dir, id); !errors.Is(err, ErrNobody) {
+	if _, err := RequestHandover(dir, id); !errors.Is(err, ErrNoProcess) {
 		t.Errorf("got %v", err)
 	}
 	again, err := Listen(dir, id) // the name is there still
@@ -231,7 +231,7 @@
 		t.Fatal(err)
 	}
 	again.Close()
-	if _, err := Ask(filepath.Join(dir, "none"), id); !errors.Is(err, ErrNobody) {
+	if _, err := RequestHandover(filepath.Join(dir, "none"), id); !errors.Is(err, ErrNoProcess) {
 		t.Errorf("no folder: %v", err)
 	}
 	if _, err := Listen(filepath.Join(dir, "none"), id); !errors.Is(err, os.ErrNotExist) {
@@ -244,21 +244,21 @@
 	var text []byte // of a whole hand-over, without connections
 	a, b := unixPair(t)
 	go func() {
-		g := &Giver{a}
-		g.Give([]Parcel{{Kind: "engine", Data: []byte(`{"clock":1}`)}, {Kind: "list", Data: []byte("[]")}})
+		g := &Sender{a}
+		g.Send([]Record{{Kind: "engine", Data: []byte(`{"clock":1}`)}, {Kind: "list", Data: []byte("[]")}})
 		a.CloseWrite()
 	}()
 	text, err := io.ReadAll(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	receiveText := func(text []byte) ([]Parcel, error) {
+	receiveText := func(text []byte) ([]Record, error) {
 		a, b := unixPair(t)
 		defer a.Close()
 		defer b.Close()
 		a.Write(text)
 		a.Close()
-		return (&Taker{b}).Receive()
+		return (&Receiver{b}).Receive()
 	}
 	if list, err := receiveText(text); err != nil || len(list) != 2 {
 		t.Fatalf("whole: %v, %v", list, err)
