--- a/cmd/scaleroute/bundle.go
+++ b/cmd/scaleroute/bundle.go
@@ -138,7 +138,7 @@
 			var v engineParcel
 			if whole = read(&v); whole {
 				b.takeOver = v.Over
-				step = steadyclock.Step(v.At, v.Uptime)
+				step = steadyclock.WallStep(v.At, v.Uptime)
 				v.At = v.At.Add(step)
 				b.engine.Module, b.engine.Clock, b.engine.At, b.engine.Destinations = v.Module, v.Clock, v.At, v.Dests
 			}
--- a/cmd/scaleroute/clock_test.go
+++ b/cmd/scaleroute/clock_test.go
@@ -70,9 +70,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		steadyclock.Wall = func() time.Time { return time.Now().Add(step) }
+		steadyclock.WallNow = func() time.Time { return time.Now().Add(step) }
 		got, err := unpack(parcels)
-		steadyclock.Wall = time.Now
+		steadyclock.WallNow = time.Now
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/scaleroute/main_test.go
+++ b/cmd/scaleroute/main_test.go
@@ -85,7 +85,7 @@
 		}
 		if path := os.Getenv(soak.FaultsVariable); path != "" {
 			plan := faults.NewPlan(path, 1)
-			steadyclock.Wall = func() time.Time { return time.Now().Add(plan.ClockStep()) }
+			steadyclock.WallNow = func() time.Time { return time.Now().Add(plan.ClockStep()) }
 			listenClients = func(address string) (net.Listener, error) { return faults.Listen(address, plan) }
 			dialControl = plan.DialControl
 			folderFS = func(dir string) journal.FS { return faults.NewDisk(journal.DirFS(dir), plan) }
--- a/internal/steadyclock/steadyclock.go
+++ b/internal/steadyclock/steadyclock.go
@@ -12,8 +12,8 @@
 	"unsafe"
 )
 
-// Wall reads the wall clock where it alone is to be had. Fault tests replace it.
-var Wall = time.Now
+// WallNow reads the wall clock where it alone is to be had. Fault tests replace it.
+var WallNow = time.Now
 
 const (
 	clockBoottime = 7 // CLOCK_BOOTTIME of Linux: it goes on while the machine sleeps
@@ -34,7 +34,7 @@
 }
 
 // New makes a clock that starts from the wall clock.
-func New() Clock { return Clock{anchor: time.Now(), millis: Wall().UnixMilli()} }
+func New() Clock { return Clock{anchor: time.Now(), millis: WallNow().UnixMilli()} }
 
 // Millis returns the number of an instant, in milliseconds.
 func (c Clock) Millis(t time.Time) int64 { return c.millis + t.Sub(c.anchor).Milliseconds() }
@@ -99,11 +99,11 @@
 	return millis, id == bootID
 }
 
-// Step returns by how much the wall clock was set between an instant of another process on this machine, told by both its clocks, and now.
-func Step(wallThen time.Time, uptimeThen time.Duration) time.Duration {
+// WallStep returns by how much the wall clock was set between an instant of another process on this machine, told by both its clocks, and now.
+func WallStep(wallThen time.Time, uptimeThen time.Duration) time.Duration {
 	uptime, ok := Uptime()
 	if !ok || uptimeThen <= 0 {
 		return 0
 	}
-	return Wall().Sub(wallThen.Round(0)) - (uptime - uptimeThen)
+	return WallNow().Sub(wallThen.Round(0)) - (uptime - uptimeThen)
 }
--- a/internal/steadyclock/steadyclock_test.go
+++ b/internal/steadyclock/steadyclock_test.go
@@ -12,8 +12,8 @@
 // setWall has the wall clock be wrong by a step until the test ends.
 func setWall(t *testing.T, step time.Duration) {
 	t.Helper()
-	Wall = func() time.Time { return time.Now().Add(step) }
-	t.Cleanup(func() { Wall = time.Now })
+	WallNow = func() time.Time { return time.Now().Add(step) }
+	t.Cleanup(func() { WallNow = time.Now })
 }
 
 func near(got, want time.Duration) bool { return (got - want).Abs() < tolerance }
@@ -70,10 +70,10 @@
 		t.Fatal("no uptime")
 	}
 	setWall(t, time.Hour)
-	if got := Step(wall, uptime); !near(got, time.Hour) {
+	if got := WallStep(wall, uptime); !near(got, time.Hour) {
 		t.Error(got)
 	}
-	if got := Step(wall, 0); got != 0 {
+	if got := WallStep(wall, 0); got != 0 {
 		t.Errorf("%v from a process that does not tell its uptime", got)
 	}
 }
