--- a/cmd/scaleroute-lab/operators.go
+++ b/cmd/scaleroute-lab/operators.go
@@ -42,7 +42,7 @@
 		class = standin.Unsafe
 	}
 	calls, intake := o.limits.For(class, destination, ""), o.limits.Intake(class, destination, "")
-	return standin.Set{Attempts: calls.MaxAttempts, Answer: calls.AttemptTimeout, Whole: intake.Whole, Out: calls.MaxInFlight, Rate: calls.MaxRate}
+	return standin.Set{Attempts: calls.MaxAttempts, Answer: calls.AttemptTimeout, Whole: intake.Total, Out: calls.MaxInFlight, Rate: calls.MaxRate}
 }
 
 // reload has the program read its file again: cut short, which it must not take, or whole.
--- a/cmd/scaleroute/backs.go
+++ b/cmd/scaleroute/backs.go
@@ -11,8 +11,8 @@
 // backs has each endpoint called by the back for its address.
 type backs struct{ http, mail engine.Back }
 
-func (b backs) List(l engine.List) {
-	b.mail.List(l)
+func (b backs) UpdateEndpoints(l engine.List) {
+	b.mail.UpdateEndpoints(l)
 	web := engine.List{Scope: l.Scope}
 	for _, e := range l.Endpoints {
 		if engine.IsMail(e.Address) { // it may have been the other's
@@ -22,7 +22,7 @@
 			web.Endpoints = append(web.Endpoints, e)
 		}
 	}
-	b.http.List(web)
+	b.http.UpdateEndpoints(web)
 }
 
 func (b backs) Endpoint(name string) engine.Caller {
--- a/cmd/scaleroute/bundle.go
+++ b/cmd/scaleroute/bundle.go
@@ -81,7 +81,7 @@
 			list = append(list, p)
 		}
 	}
-	add(kindEngine, engineParcel{b.engine.Module, b.engine.Clock, b.engine.At, b.engine.Destinations, b.takeOver, uptimeAt(b.engine.At)}, takeover.Record{})
+	add(kindEngine, engineParcel{b.engine.ForwarderState, b.engine.Clock, b.engine.SavedAt, b.engine.Destinations, b.takeOver, uptimeAt(b.engine.SavedAt)}, takeover.Record{})
 	if b.list != nil && err == nil {
 		add(kindList, b.list, takeover.Record{})
 	}
@@ -93,7 +93,7 @@
 	}
 	for _, c := range b.engine.Calls {
 		if err == nil {
-			add(kindCall, callParcel{c.Message, c.Attempt, c.Endpoint, c.Address, c.Read, c.Began, c.End, c.Under}, takeover.Record{Conn: c.Conn})
+			add(kindCall, callParcel{c.Message, c.Attempt, c.Endpoint, c.Address, c.Read, c.Began, c.Deadline, c.LedgerSeq}, takeover.Record{Conn: c.Conn})
 		}
 	}
 	for _, c := range b.clients {
@@ -140,7 +140,7 @@
 				b.takeOver = v.Over
 				step = steadyclock.WallStep(v.At, v.Uptime)
 				v.At = v.At.Add(step)
-				b.engine.Module, b.engine.Clock, b.engine.At, b.engine.Destinations = v.Module, v.Clock, v.At, v.Dests
+				b.engine.ForwarderState, b.engine.Clock, b.engine.SavedAt, b.engine.Destinations = v.Module, v.Clock, v.At, v.Dests
 			}
 		case kindList:
 			b.list = &agent.List{}
@@ -155,8 +155,8 @@
 		case kindCall:
 			var v callParcel
 			read(&v)
-			b.engine.Calls = append(b.engine.Calls, engine.Call{Message: v.Message, Attempt: v.Attempt, Endpoint: v.Endpoint, Under: v.Under,
-				Pending: &engine.Pending{Address: v.Address, Conn: p.Conn, Read: v.Read, Began: v.Began.Add(step), End: v.End.Add(step)}})
+			b.engine.Calls = append(b.engine.Calls, engine.HandoverCall{Message: v.Message, Attempt: v.Attempt, Endpoint: v.Endpoint, LedgerSeq: v.Under,
+				InFlightCall: &engine.InFlightCall{Address: v.Address, Conn: p.Conn, Read: v.Read, Began: v.Began.Add(step), Deadline: v.End.Add(step)}})
 		case kindClient:
 			var v clientParcel
 			read(&v)
--- a/cmd/scaleroute/clock_test.go
+++ b/cmd/scaleroute/clock_test.go
@@ -64,8 +64,8 @@
 		defer ours.Close()
 		defer theirs.Close()
 		now := time.Now()
-		left := &bundle{stopped: now, engine: engine.Handover{At: now,
-			Calls: []engine.Call{{Message: "m", Pending: &engine.Pending{Conn: ours, Began: now.Add(-time.Second), End: now.Add(4 * time.Second)}}}}}
+		left := &bundle{stopped: now, engine: engine.Handover{SavedAt: now,
+			Calls: []engine.HandoverCall{{Message: "m", InFlightCall: &engine.InFlightCall{Conn: ours, Began: now.Add(-time.Second), Deadline: now.Add(4 * time.Second)}}}}}
 		parcels, err := left.parcels()
 		if err != nil {
 			t.Fatal(err)
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := got.engine.Calls[0].End.Add(-step) // as the wall clock now says it
+		end := got.engine.Calls[0].Deadline.Add(-step) // as the wall clock now says it
 		if wait := end.Sub(now); (wait - 4*time.Second).Abs() > time.Second {
 			t.Errorf("set by %v: the call is waited for %v", step, wait)
 		}
--- a/cmd/scaleroute/faults.go
+++ b/cmd/scaleroute/faults.go
@@ -22,8 +22,8 @@
 		return
 	}
 	plan := faults.NewPlan(path, uint64(os.Getpid()))
-	folderFS = func(dir string) journal.FS { return faults.NewDisk(journal.Folder(dir), plan) }
-	steadyclock.Wall = func() time.Time { return time.Now().Add(plan.ClockStep()) }
+	folderFS = func(dir string) journal.FS { return faults.NewDisk(journal.DirFS(dir), plan) }
+	steadyclock.WallNow = func() time.Time { return time.Now().Add(plan.ClockStep()) }
 	listenClients = func(address string) (net.Listener, error) { return faults.Listen(address, plan) }
 	dialControl = plan.DialControl
 }
--- a/cmd/scaleroute/fleet.go
+++ b/cmd/scaleroute/fleet.go
@@ -43,7 +43,7 @@
 type Versions struct {
 	Name  string    `json:"name"`
 	Clock time.Time `json:"clock"` // this machine's, for who compares it
-	engine.Standing
+	engine.VersionStatus
 }
 
 func newFleet(f *forwarder) (*auditing, error) {
@@ -73,7 +73,7 @@
 }
 
 // acting is what the loop begins with: the list that is known, and what the process before has left.
-func (p *auditing) acting(known *agent.List, from *bundle) (*engine.Acting, error) {
+func (p *auditing) acting(known *agent.List, from *bundle) (*engine.Accounting, error) {
 	if p == nil {
 		return nil, nil
 	}
@@ -87,7 +87,7 @@
 		v.Disabled = version.Contents{Digest: version.DigestOfNames(names), LoadCount: 1}
 	}
 	v.List = new(version.ListTracker).Update(known.Index, true, known.Entries())
-	a := &engine.Acting{Vector: v, Asleep: func(epoch uint64, slept time.Duration) {
+	a := &engine.Accounting{Vector: v, OnSuspended: func(epoch uint64, slept time.Duration) {
 		select {
 		case <-p.asleep: // an earlier one that nobody has seen to: what is asked for now is newer than both
 		default:
@@ -96,7 +96,7 @@
 	}}
 	a.Load = &p.load
 	if why := p.member.out.Load(); why != nil { // another process did not take over: this one was out, and is
-		a.ShutOut = *why
+		a.FencedOff = *why
 	}
 	if set.Fleet.Ledger > 0 {
 		var err error
@@ -143,7 +143,7 @@
 		cause = ledger.Unheard
 		slog.Warn("discovery has not answered since this process slept: calls begin by what was known", "slept", s.slept)
 	}
-	l.Confirm(s.epoch, cause)
+	l.ReopenFence(s.epoch, cause)
 }
 
 // close ends the ledger, after the loop.
@@ -182,7 +182,7 @@
 		http.Error(w, "it does not serve: starting, or another process has taken over", http.StatusServiceUnavailable)
 		return
 	}
-	door.Tell(w, Versions{p.f.c.Name, ledger.Clock(), *l.Standing()})
+	door.Tell(w, Versions{p.f.c.Name, ledger.Clock(), *l.VersionStatus()})
 }
 
 func (p *auditing) record(w http.ResponseWriter, r *http.Request) {
--- a/cmd/scaleroute/member.go
+++ b/cmd/scaleroute/member.go
@@ -202,11 +202,11 @@
 			m.mu.Unlock()
 		}
 		m.mu.Lock()
-		if s := l.Standing(); s.Seq != seq || seq == 0 {
+		if s := l.VersionStatus(); s.Seq != seq || seq == 0 {
 			seq = max(1, s.Seq)
 			m.judge.SetLocal(s.Vector, m.p.f.operators.sources.drains(), m.p.f.door)
 		}
-		m.judge.SetRetryAfters(m.now(), waitsLeft(l.ToldWaits(), now))
+		m.judge.SetRetryAfters(m.now(), waitsLeft(l.RetryAfters(), now))
 		d := m.judge.Step(m.now())
 		withdrawn, held := m.judge.Withdrawn(), m.judge.TakePeerRetryAfters(m.now())
 		var news *straggler.Report
@@ -226,16 +226,16 @@
 		}
 		m.p.f.operators.sources.withdraw(withdrawn)
 		if len(held) > 0 {
-			l.PeerWaits(heldWaits(held))
+			l.NotifyPeerWaits(heldWaits(held))
 		}
 		m.carryOut(ctx, l, d)
 	}
 }
 
 // waitsLeft says what is left of the waits that targets have told.
-func waitsLeft(list []engine.ToldWait, now time.Time) (left []straggler.RetryAfter) {
+func waitsLeft(list []engine.RetryAfter, now time.Time) (left []straggler.RetryAfter) {
 	for _, w := range list {
-		left = append(left, straggler.RetryAfter{Target: w.Target, Remaining: w.Until.Sub(now)})
+		left = append(left, straggler.RetryAfter{Target: w.Endpoint, Remaining: w.Until.Sub(now)})
 	}
 	return left
 }
@@ -270,7 +270,7 @@
 	switch {
 	case d.FenceOffReason != "":
 		m.out.Store(&d.FenceOffReason)
-		l.ShutOut(d.FenceOffReason, "the fleet")
+		l.SetFencedOff(d.FenceOffReason, "the fleet")
 		if err := m.p.f.control.ShutOut(fmt.Errorf("shut out of the fleet: %s", d.FenceOffReason)); err != nil {
 			slog.Warn("clients are not sent away", "err", err)
 		}
@@ -278,7 +278,7 @@
 		slog.Error("shut out: no message is taken and no call begun", "why", d.FenceOffReason)
 	case d.Readmitted:
 		m.out.Store(nil)
-		l.ShutOut("", "the fleet")
+		l.SetFencedOff("", "the fleet")
 		if err := m.p.f.control.ShutOut(nil); err != nil {
 			slog.Warn("clients are not taken again", "err", err)
 		}
--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -145,16 +145,16 @@
 	next     runner.Taker
 }
 
-func (t lookupFront) Take(m *message.Message) engine.Answer {
+func (t lookupFront) Accept(m *message.Message) engine.Answer {
 	d := t.follower.Arrive(m.Destination, m.Read.Add(lookupWait))
 	if d.Verdict == partial.Reject {
 		if t.set.sources.inFile(m.Destination) { // its endpoints in the operators' file are known
-			return t.next.Take(m)
+			return t.next.Accept(m)
 		}
-		return engine.Answer{Kind: engine.Refused, Wait: d.RetryAfter}
+		return engine.Answer{Kind: engine.Refused, RetryAfter: d.RetryAfter}
 	}
 	defer t.follower.Release(m.Destination)
-	return t.next.Take(m)
+	return t.next.Accept(m)
 }
 
 // calls are those that the operators' door answers for it.
@@ -195,7 +195,7 @@
 		f.partial.follower.Load().Run(ctx)
 		return
 	}
-	heard := func(list *agent.List) { l.List(list.Told()) }
+	heard := func(list *agent.List) { l.UpdateEndpoints(list.Told()) }
 	if sources := f.operators.sources; sources != nil {
 		heard = sources.hear
 	}
--- a/cmd/scaleroute/routes.go
+++ b/cmd/scaleroute/routes.go
@@ -13,22 +13,22 @@
 	next runner.Taker
 }
 
-func (r router) Take(m *message.Message) engine.Answer {
+func (r router) Accept(m *message.Message) engine.Answer {
 	routes := r.set.routes.Load()
 	if routes.Empty() {
-		return r.next.Take(m)
+		return r.next.Accept(m)
 	}
 	way := routes.Find(&route.Message{Front: front(m), Class: m.Class, Destination: m.Destination, Field: m.Field})
 	switch {
 	case way == nil && routes.Rejects():
-		return engine.Answer{Kind: engine.Rejected, Why: "no route"}
+		return engine.Answer{Kind: engine.Rejected, Reason: "no route"}
 	case way == nil:
-		return r.next.Take(m)
+		return r.next.Accept(m)
 	}
 	led := *m // the client's goroutine holds the other
 	led.Extras = &message.Extras{Route: way.Name, For: m.Destination}
 	led.Destination = way.To
-	return r.next.Take(&led)
+	return r.next.Accept(&led)
 }
 
 // front is the name of the one that a message came by, for routes: that of RESP2 stands in no journal.
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -61,10 +61,10 @@
 
 	inherited net.Listener // the clients' socket that the platform holds; nil if it does not
 	id        takeover.Identity
-	door      string          // the operators' address
-	before    *engine.Figures // of what served before in this process
-	fleet     *auditing       // nil: it is none that can be audited
-	partial   *partialList    // nil: it knows the whole list
+	door      string        // the operators' address
+	before    *engine.Stats // of what served before in this process
+	fleet     *auditing     // nil: it is none that can be audited
+	partial   *partialList  // nil: it knows the whole list
 }
 
 // run runs the forwarder until stop is closed and the planned stop is over, or another process has taken over. On
@@ -202,15 +202,15 @@
 func (f *forwarder) start(j *journal.Journal, from *bundle) (l *engine.Engine, http *httpcall.Back, known *agent.List, err error) {
 	back, http := f.back()
 	configuration := engine.Config{Settings: f.settings, Journal: j, Back: back, Resumer: http, Limits: f.operators.intake(), SyncEvery: time.Duration(f.operators.now.Journal.SyncEvery),
-		Finals: map[string]engine.Finals{"": f.platform}, Figures: f.c.Ops != "", Before: f.before}
+		CompletionNotifiers: map[string]engine.CompletionNotifier{"": f.platform}, PublishStats: f.c.Ops != "", PreviousStats: f.before}
 	if f.operators.plugins != nil {
-		configuration.Ended = f.operators.plugins.Ended
+		configuration.OnOutcome = f.operators.plugins.Ended
 	}
 	if f.partial != nil {
-		configuration.Holding = f.partial.holding
+		configuration.OnQueueChange = f.partial.holding
 	}
 	if f.operators.logSteps {
-		configuration.Steps = steplog.NewWriter(os.Stderr).Step
+		configuration.OnStep = steplog.NewWriter(os.Stderr).Step
 	}
 	f.withdrawn = agent.OpenWithdrawn(f.c.State, &f.c.Known)
 	list := f.withdrawn.Known()
@@ -226,7 +226,7 @@
 	} else if f.settings.MustSubscribe && len(list.Endpoints) > 0 {
 		known = list // what has changed since is less work than the whole list
 	}
-	if configuration.Acting, err = f.fleet.acting(list, from); err != nil {
+	if configuration.Accounting, err = f.fleet.acting(list, from); err != nil {
 		return nil, nil, nil, err
 	}
 	if l, err = engine.New(configuration); err != nil {
@@ -238,7 +238,7 @@
 		f.operators.sources.noteFile(f.operators.now)
 		f.operators.sources.list = f.operators.sources.targets.Update(list.Index, true, list.Entries())
 	}
-	if from != nil && from.engine.Module != nil {
+	if from != nil && from.engine.ForwarderState != nil {
 		err := l.Resume(&from.engine, lists[len(lists)-1])
 		if err == nil {
 			return l, http, known, nil
@@ -320,7 +320,7 @@
 	})
 	lists.Go(func() { f.followList(watching, known, l) })
 	lists.Go(func() { reload(watching, f.hup, f.fleet.again(), f.c.File, f.platform, f.operators) })
-	all.Go(func() { f.platform.Deliver(ctx, l.Heard) })
+	all.Go(func() { f.platform.Deliver(ctx, l.Acknowledge) })
 	if from != nil {
 		http.Adopt(from.idle)
 		clients.Adopt(from.clients, from.stopped)
@@ -331,7 +331,7 @@
 	}
 	f.fleet.serve(watching, &lists, l)
 	asks := f.listenForNext(ctx, &all)
-	f.control.Serve(operations.Part{Clients: clients, Members: f.operators.sources, Figures: l.Figures, JournalFailing: l.JournalFailing})
+	f.control.Serve(operations.Part{Clients: clients, Members: f.operators.sources, Figures: l.Stats, JournalFailing: l.JournalFailing})
 	slog.Info("serving", "name", f.c.Name, "address", ln.Addr(), "discovery", f.c.Discovery)
 	takeover.StepReached("new: serving")
 
@@ -370,7 +370,7 @@
 			}
 			left.engine = *h
 			takeover.StepReached("old: engine detached")
-			f.before = l.Figures()
+			f.before = l.Stats()
 			return left, next, nil
 		}
 	}
@@ -380,7 +380,7 @@
 func (f *forwarder) end(l *engine.Engine, clients *resp2.Server, failed <-chan error) error {
 	f.control.Stop(errStopping)
 	slog.Info("stopping")
-	l.Stopping(lastCall)
+	l.NotifyStopping(lastCall)
 	began := time.Now()
 	for _, step := range []struct {
 		at time.Duration
--- a/cmd/scaleroute/settings.go
+++ b/cmd/scaleroute/settings.go
@@ -218,7 +218,7 @@
 	}
 	slog.Info("drained by what others know", "targets", names)
 	l.Version = &version.Change{Cause: ledger.ByPeers}
-	s.to.List(l)
+	s.to.UpdateEndpoints(l)
 }
 
 // start tells what is known before the engine runs, and returns what it is to begin with.
@@ -242,7 +242,7 @@
 		l.Version = &version.Change{Cause: ledger.ListTold, Apply: func(v *version.Vector) { v.List = now }}
 	}
 	if l.Scope == decide.Snapshot || len(l.Endpoints) > 0 || l.Version != nil {
-		s.to.List(l)
+		s.to.UpdateEndpoints(l)
 	}
 }
 
@@ -256,7 +256,7 @@
 		list = &l
 		s.noteFile(set)
 	}
-	if !s.to.Change(c, do, list, bindWithin) {
+	if !s.to.ApplyChange(c, do, list, bindWithin) {
 		slog.Warn("the loop has not heard of the operators' file yet", "after", bindWithin)
 	}
 }
@@ -296,7 +296,7 @@
 	out := version.Contents{Digest: version.DigestOfNames(s.set.Disabled()), LoadCount: s.times}
 	l.Version = &version.Change{Cause: ledger.ByHand, By: name, Apply: func(v *version.Vector) { v.Disabled = out }}
 	slog.Info(what, "target", name)
-	if !s.to.ListWithin(l, bindWithin) {
+	if !s.to.UpdateEndpointsAndWait(l, bindWithin) {
 		slog.Warn("the loop has not heard of an operator's call yet", "after", bindWithin)
 	}
 	return nil
--- a/cmd/scaleroutectl/door_test.go
+++ b/cmd/scaleroutectl/door_test.go
@@ -43,8 +43,8 @@
 	at := "--at=" + ln.Addr().String()
 	a := &asked{}
 	serve := func() {
-		control.Serve(operations.Part{Clients: a, Members: a, Figures: func() *engine.Figures {
-			return &engine.Figures{Classes: map[string]engine.Tally{"note": {Fulfilled: 5, TurnedAway: 1, HandedBack: 2}}, Relayed: 9, Open: 3, Listed: 4, OutOfCall: 1}
+		control.Serve(operations.Part{Clients: a, Members: a, Figures: func() *engine.Stats {
+			return &engine.Stats{Classes: map[string]engine.ClassStats{"note": {Delivered: 5, RefusedAtIntake: 1, RefusedAfterAccept: 2}}, Relayed: 9, Open: 3, Listed: 4, OutOfRotation: 1}
 		}})
 	}
 	for _, c := range []struct {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -358,8 +358,8 @@
 }
 
 // Final queues the notice of a final answer; Deliver takes it out.
-func (p *Platform) Final(f engine.Final) {
-	n := notice{Ref: f.ID, Result: "bounced", WaitMS: f.Wait.Milliseconds()}
+func (p *Platform) NotifyCompletion(f engine.Completion) {
+	n := notice{Ref: f.ID, Result: "bounced", WaitMS: f.RetryAfter.Milliseconds()}
 	if f.Failed {
 		n = notice{Ref: f.ID, Result: "dead"}
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -106,9 +106,9 @@
 		taken[batch[0].Ref] = batch[0]
 		w.WriteHeader(http.StatusNoContent)
 	})
-	p.Final(engine.Final{ID: "bad", Failed: true})
-	p.Final(engine.Final{ID: "a", Failed: true})
-	p.Final(engine.Final{ID: "b", Wait: 500 * time.Millisecond})
+	p.NotifyCompletion(engine.Completion{ID: "bad", Failed: true})
+	p.NotifyCompletion(engine.Completion{ID: "a", Failed: true})
+	p.NotifyCompletion(engine.Completion{ID: "b", RetryAfter: 500 * time.Millisecond})
 	sent := []notice{{Ref: "a", Result: "dead"}, {Ref: "b", Result: "bounced", WaitMS: 500}}
 	arrived := make(chan string)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -188,7 +188,7 @@
 		p := New("discovery:1", Fleet{Forwarders: 80, Random: func() float64 { return 1 }})
 		p.agent.client.Transport.(*http.Transport).DialContext = network.dial
 		ctx, cancel := context.WithCancel(t.Context())
-		p.Final(engine.Final{ID: "m"})
+		p.NotifyCompletion(engine.Completion{ID: "m"})
 		p.Deliver(ctx, func([]string) { cancel() })
 		if late := time.Since(began) - 20*time.Second; late > 150*time.Millisecond {
 			t.Errorf("taken %v after it could be", late)
--- a/internal/agent/repeat_test.go
+++ b/internal/agent/repeat_test.go
@@ -58,11 +58,11 @@
 	p := New(ln.Addr().String(), Fleet{})
 	arrived := make(chan int, 10)
 	go p.Deliver(t.Context(), func(refs []string) { arrived <- len(calls) })
-	p.Final(engine.Final{ID: "first", Failed: true})
+	p.NotifyCompletion(engine.Completion{ID: "first", Failed: true})
 	if got := <-arrived; got != 1 {
 		t.Fatalf("the first notice is taken by call %d", got)
 	}
-	p.Final(engine.Final{ID: "second", Failed: true})
+	p.NotifyCompletion(engine.Completion{ID: "second", Failed: true})
 	if got := <-arrived; got != 3 {
 		t.Errorf("the second notice counts as taken after %d calls, of which the second was refused", got)
 	}
--- a/internal/agent/silence_test.go
+++ b/internal/agent/silence_test.go
@@ -129,7 +129,7 @@
 				go p.Deliver(ctx, func(refs []string) { arrived <- refs })
 				for _, id := range []string{"first", "second"} {
 					due := time.Now()
-					p.Final(engine.Final{ID: id})
+					p.NotifyCompletion(engine.Completion{ID: id})
 					if <-arrived; time.Since(due) > 250*time.Millisecond {
 						t.Errorf("cut at %d: %s arrived after %v", cut, id, time.Since(due))
 					}
@@ -148,7 +148,7 @@
 			conn.Close()
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		p.Final(engine.Final{ID: "m"})
+		p.NotifyCompletion(engine.Completion{ID: "m"})
 		go p.Deliver(ctx, func([]string) { t.Error("arrived") })
 		time.Sleep(10 * time.Second)
 		if n := calls.Load(); n < 10 || n > 13 {
--- a/internal/back/httpcall/begin_test.go
+++ b/internal/back/httpcall/begin_test.go
@@ -27,9 +27,9 @@
 	s.Start()
 	defer s.Close()
 	b := testTargets()
-	b.List(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "t"}, Address: s.Listener.Addr().String()}}})
+	b.UpdateEndpoints(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "t"}, Address: s.Listener.Addr().String()}}})
 	may := false
-	a := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Begin: func() bool { return may }}
+	a := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, MayBegin: func() bool { return may }}
 	since := time.Time{}
 	for range 2 {
 		if o := b.Endpoint("t").Call(t.Context(), a); o.Result != decide.NotSent || calls.Load() != 0 || b.pool.open != 1 {
--- a/internal/back/httpcall/call.go
+++ b/internal/back/httpcall/call.go
@@ -70,8 +70,8 @@
 	return max(theirs-idleMargin, theirs/2)
 }
 
-// List takes what a source tells of addresses.
-func (b *Back) List(l engine.List) {
+// UpdateEndpoints takes what a source tells of addresses.
+func (b *Back) UpdateEndpoints(l engine.List) {
 	whole := l.Scope == decide.Snapshot || l.Scope == decide.LastKnown
 	named := map[string]bool{}
 	for _, e := range l.Endpoints {
@@ -137,8 +137,8 @@
 	}
 	end := began.Add(timeout)
 	connect := timeout
-	if a.Connect > 0 {
-		connect = min(connect, a.Connect)
+	if a.ConnectTimeout > 0 {
+		connect = min(connect, a.ConnectTimeout)
 	}
 	c, err := t.pool.get(ctx, t.host, connect)
 	if err != nil {
@@ -148,7 +148,7 @@
 		}
 		return o
 	}
-	mayBegin := ctx.Err() == nil && (a.Begin == nil || a.Begin()) // as late as can be
+	mayBegin := ctx.Err() == nil && (a.MayBegin == nil || a.MayBegin()) // as late as can be
 	switch {
 	case t.drained.Load(): // while it was being connected, or while Begin was asked: a process that was stopped there may know a newer list by now
 		t.pool.close(c)
@@ -159,7 +159,7 @@
 		o.Result = decide.NotSent
 		return o
 	}
-	c.told = toldWait{tell: a.Told}
+	c.told = toldWait{tell: a.OnRetryAfter}
 	c.SetDeadline(end)
 	stop := context.AfterFunc(ctx, c.calledOff)
 	request := net.Buffers{t.head(&a, timeout, len(body)), body}
@@ -171,8 +171,8 @@
 		}
 		return o
 	}
-	if a.Wrote != nil {
-		a.Wrote()
+	if a.OnWritten != nil {
+		a.OnWritten()
 	}
 	t.await(ctx, c, began, end, &a, stop, &o)
 	return o
@@ -199,10 +199,10 @@
 func (t *target) await(ctx context.Context, c *conn, began, end time.Time, a *engine.Attempt, stop func() bool, o *decide.Outcome) {
 	resp, first, err := c.answer(ctx, end, a.Reply)
 	o.Latency = first.Sub(began)
-	if err != nil && a.Keep != nil && context.Cause(ctx) == engine.ErrHandOver && c.stopped && time.Now().Before(end) {
+	if err != nil && a.HandOver != nil && context.Cause(ctx) == engine.ErrHandOver && c.stopped && time.Now().Before(end) {
 		c.keepDeadline(stop)
 		t.pool.release()
-		a.Keep(&engine.Pending{Address: t.host.address, Conn: c.Conn, Read: c.record, Began: began, End: end})
+		a.HandOver(&engine.InFlightCall{Address: t.host.address, Conn: c.Conn, Read: c.record, Began: began, Deadline: end})
 		return
 	}
 	switch {
--- a/internal/back/httpcall/call_test.go
+++ b/internal/back/httpcall/call_test.go
@@ -359,17 +359,17 @@
 		return engine.Endpoint{Address: address, Target: decide.Target{ID: name, State: s}}
 	}
 	ts := testTargets()
-	ts.List(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Active), at("b", "127.0.0.1:2", decide.Active)}})
+	ts.UpdateEndpoints(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Active), at("b", "127.0.0.1:2", decide.Active)}})
 	a := ts.byName["a"]
-	ts.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Draining), at("b", "127.0.0.1:3", decide.Active)}})
+	ts.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Draining), at("b", "127.0.0.1:3", decide.Active)}})
 	if ts.byName["a"] != a || ts.byName["b"].host.address != "127.0.0.1:3" {
 		t.Errorf("after a change: %v", ts.byName)
 	}
-	ts.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "", decide.Gone)}})
+	ts.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "", decide.Gone)}})
 	if ts.Endpoint("a") != nil || ts.Endpoint("b") == nil {
 		t.Errorf("after a is gone: %v", ts.byName)
 	}
-	ts.List(engine.List{Scope: decide.Snapshot})
+	ts.UpdateEndpoints(engine.List{Scope: decide.Snapshot})
 	if len(ts.byName) != 0 {
 		t.Errorf("left over: %v", ts.byName)
 	}
@@ -382,7 +382,7 @@
 	ts := testTargets()
 	list := engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{
 		{Address: address, Target: decide.Target{ID: "a"}}, {Address: address, Target: decide.Target{ID: "b"}}}}
-	ts.List(list)
+	ts.UpdateEndpoints(list)
 	call := func(name string) {
 		t.Helper()
 		a := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute}
@@ -392,13 +392,13 @@
 	}
 	call("a")
 	list.Scope, list.Endpoints[0].State = decide.Delta, decide.Gone
-	ts.List(list)
+	ts.UpdateEndpoints(list)
 	call("b")
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections, 1 wanted", n)
 	}
 	list.Endpoints[1].State = decide.Gone
-	ts.List(list)
+	ts.UpdateEndpoints(list)
 	if ts.pool.open != 0 || len(ts.pool.hosts) != 0 {
 		t.Errorf("%d connections to %d addresses left", ts.pool.open, len(ts.pool.hosts))
 	}
@@ -460,9 +460,9 @@
 		defer c.Close()
 	}
 	b := testTargets()
-	b.List(engine.List{Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "s"}, Address: address}}})
+	b.UpdateEndpoints(engine.List{Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "s"}, Address: address}}})
 	began := time.Now()
-	o := b.Endpoint("s").Call(t.Context(), engine.Attempt{ID: "7f", Body: message.Bytes("b"), Timeout: 30 * time.Second, Connect: 50 * time.Millisecond})
+	o := b.Endpoint("s").Call(t.Context(), engine.Attempt{ID: "7f", Body: message.Bytes("b"), Timeout: 30 * time.Second, ConnectTimeout: 50 * time.Millisecond})
 	if o.Result != decide.ConnectFailed || time.Since(began) > 20*time.Second {
 		t.Errorf("%+v after %v", o, time.Since(began))
 	}
--- a/internal/back/httpcall/handover.go
+++ b/internal/back/httpcall/handover.go
@@ -56,7 +56,7 @@
 }
 
 // Resume goes on with a call that another process made, as Call does once its message is written.
-func (b *Back) Resume(ctx context.Context, endpoint string, p *engine.Pending, a engine.Attempt) (o decide.Outcome) {
+func (b *Back) Resume(ctx context.Context, endpoint string, p *engine.InFlightCall, a engine.Attempt) (o decide.Outcome) {
 	b.pool.mu.Lock()
 	b.pool.open++
 	h := b.pool.hosts[p.Address]
@@ -65,10 +65,10 @@
 	}
 	b.pool.mu.Unlock()
 	c := newConn(p.Conn, h)
-	c.replay, c.told = p.Read, toldWait{tell: a.Told}
-	c.SetDeadline(p.End)
+	c.replay, c.told = p.Read, toldWait{tell: a.OnRetryAfter}
+	c.SetDeadline(p.Deadline)
 	stop := context.AfterFunc(ctx, c.calledOff)
-	(&target{host: h, pool: b.pool}).await(ctx, c, p.Began, p.End, &a, stop, &o)
+	(&target{host: h, pool: b.pool}).await(ctx, c, p.Began, p.Deadline, &a, stop, &o)
 	return o
 }
 
--- a/internal/back/httpcall/handover_test.go
+++ b/internal/back/httpcall/handover_test.go
@@ -61,24 +61,24 @@
 			}()
 			list := engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "t"}, Address: ln.Addr().String()}}}
 			first, second := testTargets(), testTargets()
-			first.List(list)
-			second.List(list)
+			first.UpdateEndpoints(list)
+			second.UpdateEndpoints(list)
 			ctx, cancel := context.WithCancelCause(t.Context())
-			kept := make(chan *engine.Pending, 1)
-			attempt := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Keep: func(p *engine.Pending) { kept <- p }}
+			kept := make(chan *engine.InFlightCall, 1)
+			attempt := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, HandOver: func(p *engine.InFlightCall) { kept <- p }}
 			ended := make(chan decide.Outcome, 1)
 			go func() { ended <- first.Endpoint("t").Call(ctx, attempt) }()
 			<-part
 			cancel(engine.ErrHandOver)
 			<-ended
-			var p *engine.Pending
+			var p *engine.InFlightCall
 			select {
 			case p = <-kept:
 			default:
 				t.Fatalf("cut at %d: the call is not handed over", at)
 			}
 			close(rest)
-			attempt.Keep = nil
+			attempt.HandOver = nil
 			o := second.Resume(t.Context(), "t", p, attempt)
 			if o.Result != answer.result || o.RetryAfter != answer.wait || o.NoAnswerNeeded != (answer.result == decide.Succeeded) {
 				t.Errorf("cut at %d: %+v", at, o)
@@ -91,7 +91,7 @@
 				t.Errorf("cut at %d: %d idle, %d calls, %d and %d open", at, len(idle), len(calls), first.pool.open, second.pool.open)
 			} else {
 				third := testTargets()
-				third.List(list)
+				third.UpdateEndpoints(list)
 				third.Adopt(idle)
 				if third.pool.open != 1 || third.pool.idle.first == nil {
 					t.Errorf("cut at %d: the idle connection is not adopted", at)
@@ -112,22 +112,22 @@
 	})
 	b := testTargets()
 	e := engine.Endpoint{Target: decide.Target{ID: "t"}, Address: address}
-	b.List(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{e}})
+	b.UpdateEndpoints(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{e}})
 	to := b.Endpoint("t")
 	wrote := 0
 	call := func() decide.Outcome {
-		return to.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Wrote: func() { wrote++ }})
+		return to.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, OnWritten: func() { wrote++ }})
 	}
 	if o := call(); o.Result != decide.Succeeded || wrote != 1 {
 		t.Fatalf("%+v, written %d times", o, wrote)
 	}
 	e.State = decide.Draining
-	b.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
+	b.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
 	if o := call(); o.Result != decide.NotSent || served.Load() != 1 || wrote != 1 {
 		t.Errorf("drained: %+v, served %d times, written %d times", o, served.Load(), wrote)
 	}
 	e.State = decide.Active
-	b.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
+	b.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
 	if o := call(); o.Result != decide.Succeeded {
 		t.Errorf("put back: %+v", o)
 	}
@@ -143,13 +143,13 @@
 	})
 	b := testTargets()
 	e := engine.Endpoint{Target: decide.Target{ID: "t"}, Address: address}
-	b.List(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{e}})
+	b.UpdateEndpoints(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{e}})
 	drain := func() bool {
 		e.State = decide.Draining
-		b.List(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
+		b.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
 		return true
 	}
-	o := b.Endpoint("t").Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Begin: drain})
+	o := b.Endpoint("t").Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, MayBegin: drain})
 	if o.Result != decide.NotSent || served.Load() != 0 {
 		t.Errorf("%+v, served %d times", o, served.Load())
 	}
--- a/internal/back/httpcall/late_test.go
+++ b/internal/back/httpcall/late_test.go
@@ -44,7 +44,7 @@
 				a.Timeout = time.Minute
 			}
 			began := time.Now()
-			a.Wrote = func() {
+			a.OnWritten = func() {
 				if <-wrote; off {
 					cancel()
 				} else {
--- a/internal/back/httpcall/pool.go
+++ b/internal/back/httpcall/pool.go
@@ -358,7 +358,7 @@
 	}
 	var kept []byte
 	if reply != nil {
-		if kept, err = io.ReadAll(io.LimitReader(resp.Body, int64(reply.Most))); err != nil {
+		if kept, err = io.ReadAll(io.LimitReader(resp.Body, int64(reply.MaxBody))); err != nil {
 			return nil, began, err
 		}
 	}
--- a/internal/back/httpcall/told_test.go
+++ b/internal/back/httpcall/told_test.go
@@ -60,7 +60,7 @@
 				"reset": func(c *net.TCPConn) { time.Sleep(5 * time.Millisecond); c.SetLinger(0) }, // what was written is read first
 			} {
 				var told atomic.Int64
-				call := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Told: func(d time.Duration) { told.Store(int64(d)) }}
+				call := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, OnRetryAfter: func(d time.Duration) { told.Store(int64(d)) }}
 				o := testTargets().open(oneAnswer(t, answer[:n], end)).Call(t.Context(), call)
 				if want := n >= line; (told.Load() == int64(wait)) != want || (o.RetryAfter > wait-5*time.Second) != want || o.RetryAfter > wait {
 					t.Errorf("%s, %s behind byte %d %q: told %v, the outcome %+v", name, how, n, answer[max(0, n-12):n], time.Duration(told.Load()), o)
@@ -94,7 +94,7 @@
 			target := testTargets().open(oneAnswer(t, answer, func(*net.TCPConn) { <-heard }))
 			told, over := make(chan time.Duration, 1), make(chan decide.Outcome, 1)
 			go func() {
-				over <- target.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, Told: func(d time.Duration) { told <- d }})
+				over <- target.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, OnRetryAfter: func(d time.Duration) { told <- d }})
 			}()
 			select {
 			case d := <-told:
@@ -166,8 +166,8 @@
 		}
 		io.WriteString(far, answer[cut:])
 		var told atomic.Int64
-		o := testTargets().Resume(t.Context(), "t", &engine.Pending{Address: ln.Addr().String(), Conn: near, Read: []byte(answer[:cut]), Began: time.Now(), End: time.Now().Add(time.Minute)},
-			engine.Attempt{ID: "m", Told: func(d time.Duration) { told.Store(int64(d)) }})
+		o := testTargets().Resume(t.Context(), "t", &engine.InFlightCall{Address: ln.Addr().String(), Conn: near, Read: []byte(answer[:cut]), Began: time.Now(), Deadline: time.Now().Add(time.Minute)},
+			engine.Attempt{ID: "m", OnRetryAfter: func(d time.Duration) { told.Store(int64(d)) }})
 		if time.Duration(told.Load()) != time.Minute || o.Result != decide.Overloaded || o.RetryAfter != time.Minute {
 			t.Errorf("cut behind byte %d: told %v, %+v", cut, time.Duration(told.Load()), o)
 		}
--- a/internal/back/smtpcall/smtpcall.go
+++ b/internal/back/smtpcall/smtpcall.go
@@ -66,8 +66,8 @@
 // New makes a Back without endpoints.
 func New(c Config) *Back { return &Back{set: c, byName: map[string]*target{}} }
 
-// List takes what a source tells of addresses; those for other backs are passed over.
-func (b *Back) List(l engine.List) {
+// UpdateEndpoints takes what a source tells of addresses; those for other backs are passed over.
+func (b *Back) UpdateEndpoints(l engine.List) {
 	whole := l.Scope == decide.Snapshot || l.Scope == decide.LastKnown
 	named := map[string]bool{}
 	for _, e := range l.Endpoints {
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &target{back: b, address: address, host: m.At, lmtp: m.LMTP, from: m.From, to: m.To}, nil
+	return &target{back: b, address: address, host: m.HostPort, lmtp: m.LMTP, from: m.From, to: m.To}, nil
 }
 
 // remove forgets an endpoint; calls that are out go on.
@@ -217,7 +217,7 @@
 				return o
 			}
 		}
-		if ctx.Err() != nil || a.Begin != nil && !a.Begin() {
+		if ctx.Err() != nil || a.MayBegin != nil && !a.MayBegin() {
 			c.Close()
 			o.Result = decide.NotSent
 			return o
@@ -227,7 +227,7 @@
 			o.Result = decide.NotSent
 			return o
 		}
-		c.wrote = a.Wrote
+		c.wrote = a.OnWritten
 		c.SetDeadline(end)
 		stop := context.AfterFunc(ctx, func() { c.Close() })
 		f = t.transact(c, text, reused)
@@ -264,8 +264,8 @@
 // connect makes a connection on which a transaction may begin.
 func (t *target) connect(ctx context.Context, a *engine.Attempt, end time.Time) (*conn, *failure) {
 	limit := min(time.Until(end), t.back.set.ConnectLimit)
-	if a.Connect > 0 {
-		limit = min(limit, a.Connect)
+	if a.ConnectTimeout > 0 {
+		limit = min(limit, a.ConnectTimeout)
 	}
 	dialer := net.Dialer{Timeout: max(limit, time.Millisecond)}
 	raw, err := dialer.DialContext(ctx, "tcp", t.host)
--- a/internal/engine/acting.go
+++ b/internal/engine/acting.go
@@ -17,33 +17,33 @@
 // The loop acts under one version vector at a time. What changes it comes by the mailbox like all else, and takes effect between two Steps: each
 // decision is made under exactly one.
 
-// Acting is how the loop keeps account of that.
-type Acting struct {
+// Accounting is how the loop keeps account of that.
+type Accounting struct {
 	Vector version.Vector // at the start; lists that are told before the loop runs belong to it
 	Ledger *ledger.Ledger // the loop's alone; nil: none is kept
 	Fence  *fence.Fence   // nil: there is none
 	Load   *load.Meter    // the loop's alone
-	// ShutOut is why no call is to be begun from the first Step on; empty: they are.
-	ShutOut string
-	// Asleep is told by the loop that the process slept, and under which number to confirm that it may go on. It must not wait.
-	Asleep func(epoch uint64, slept time.Duration)
+	// FencedOff is why no call is to be begun from the first Step on; empty: they are.
+	FencedOff string
+	// OnSuspended is told by the loop that the process slept, and under which number to confirm that it may go on. It must not wait.
+	OnSuspended func(epoch uint64, slept time.Duration)
 }
 
-// Standing is what the loop acts under, as of one moment.
-type Standing struct {
-	Seq     uint64         `json:"seq"` // of the ledger
-	Cause   string         `json:"cause"`
-	By      string         `json:"by,omitempty"`
-	At      time.Time      `json:"at"`
-	Vector  version.Vector `json:"vector"`
-	Fenced  bool           `json:"fenced"`
-	ShutOut string         `json:"shut_out,omitempty"` // why
+// VersionStatus is what the loop acts under, as of one moment.
+type VersionStatus struct {
+	Seq         uint64         `json:"seq"` // of the ledger
+	Cause       string         `json:"cause"`
+	By          string         `json:"by,omitempty"`
+	At          time.Time      `json:"at"`
+	Vector      version.Vector `json:"vector"`
+	FenceClosed bool           `json:"fenced"`
+	FencedOff   string         `json:"shut_out,omitempty"` // why
 }
 
-// ToldWait is a wait that a target told this forwarder itself.
-type ToldWait struct {
-	Target string
-	Until  time.Time
+// RetryAfter is a wait that a target told this forwarder itself.
+type RetryAfter struct {
+	Endpoint string
+	Until    time.Time
 }
 
 // leastWait is the shortest that others hear of: a shorter one is over before they have.
@@ -60,26 +60,26 @@
 )
 
 type acting struct {
-	*Acting
+	*Accounting
 	now       version.Vector
 	started   bool
 	epoch     uint64 // of the sleep that was told last
 	out       string // why no call is begun; empty: it is
-	published atomic.Pointer[Standing]
-	waits     atomic.Pointer[[]ToldWait]
+	published atomic.Pointer[VersionStatus]
+	waits     atomic.Pointer[[]RetryAfter]
 }
 
-func (a *acting) init(c *Acting) {
+func (a *acting) init(c *Accounting) {
 	if c == nil {
 		return
 	}
-	a.Acting, a.now, a.out = c, c.Vector, c.ShutOut
-	a.published.Store(&Standing{Vector: a.now, ShutOut: a.out})
+	a.Accounting, a.now, a.out = c, c.Vector, c.FencedOff
+	a.published.Store(&VersionStatus{Vector: a.now, FencedOff: a.out})
 }
 
 // start is the first entry, once what is known at the start has been told.
 func (a *acting) start(cause string) {
-	if a.Acting == nil {
+	if a.Accounting == nil {
 		return
 	}
 	a.started = true
@@ -88,7 +88,7 @@
 
 // change goes on under another vector.
 func (a *acting) change(c version.Change) {
-	if a.Acting == nil {
+	if a.Accounting == nil {
 		return
 	}
 	if c.Apply != nil {
@@ -99,12 +99,12 @@
 	}
 	now := ledger.Clock()
 	a.Ledger.Change(c.Cause, c.By, now, a.now)
-	a.published.Store(&Standing{Seq: a.Ledger.Last().Seq, Cause: c.Cause, By: c.By, At: now, Vector: a.now, Fenced: a.closed(), ShutOut: a.out})
+	a.published.Store(&VersionStatus{Seq: a.Ledger.Last().Seq, Cause: c.Cause, By: c.By, At: now, Vector: a.now, FenceClosed: a.closed(), FencedOff: a.out})
 }
 
 // begin counts a call that is about to be made.
 func (a *acting) begin(target string) *ledger.Slot {
-	if a.Acting == nil {
+	if a.Accounting == nil {
 		return nil
 	}
 	if a.Load != nil {
@@ -116,19 +116,19 @@
 	return a.Ledger.Begin(target, ledger.Clock())
 }
 
-func (a *acting) resume(c Call) *ledger.Slot {
-	if a.Acting == nil || c.Under == 0 {
+func (a *acting) resume(c HandoverCall) *ledger.Slot {
+	if a.Accounting == nil || c.LedgerSeq == 0 {
 		return nil
 	}
-	return a.Ledger.Resume(c.Under, c.Endpoint)
+	return a.Ledger.Resume(c.LedgerSeq, c.Endpoint)
 }
 
 // closed tells whether the process slept and has not been confirmed since.
-func (a *acting) closed() bool { return a.Acting != nil && a.Fence != nil && a.Fence.Closed() }
+func (a *acting) closed() bool { return a.Accounting != nil && a.Fence != nil && a.Fence.Closed() }
 
 // beat is when the lease is to be renewed.
 func (a *acting) beat() (<-chan time.Time, func()) {
-	if a.Acting == nil || a.Fence == nil {
+	if a.Accounting == nil || a.Fence == nil {
 		return nil, func() {}
 	}
 	t := time.NewTicker(a.Fence.RenewInterval())
@@ -137,7 +137,7 @@
 
 // fenced has calls ask before their first byte, and the loop told of a sleep that they find.
 func (l *Engine) fenced() func() bool {
-	if l.acting.Acting == nil || l.acting.Fence == nil {
+	if l.acting.Accounting == nil || l.acting.Fence == nil {
 		return nil
 	}
 	f := l.acting.Fence
@@ -160,17 +160,17 @@
 	a.epoch = epoch
 	slog.Warn("this process slept: no call begins until discovery has been asked again", "slept", slept)
 	a.change(version.Change{Cause: ledger.Slept})
-	if a.Asleep != nil {
-		a.Asleep(epoch, slept)
+	if a.OnSuspended != nil {
+		a.OnSuspended(epoch, slept)
 	}
 }
 
-// Confirm tells that what was known before a sleep has been asked for again, or why calls may begin all the same.
-func (l *Engine) Confirm(epoch uint64, cause string) { l.tell(confirmed{epoch, cause}) }
+// ReopenFence tells that what was known before a sleep has been asked for again, or why calls may begin all the same.
+func (l *Engine) ReopenFence(epoch uint64, cause string) { l.tell(confirmed{epoch, cause}) }
 
 func (l *Engine) confirmed(ctx context.Context, c confirmed) {
 	a := &l.acting
-	if a.Acting == nil || a.Fence == nil || !a.Fence.Open(c.epoch) {
+	if a.Accounting == nil || a.Fence == nil || !a.Fence.Open(c.epoch) {
 		return // it has slept again: that is confirmed on its own
 	}
 	slog.Info("calls begin again", "why", c.cause)
@@ -178,8 +178,8 @@
 	l.sendAllPending(ctx)
 }
 
-// Change has something take effect between two Steps, as a change of the vector, with a list if there is one, and waits until it has, for so long at most.
-func (l *Engine) Change(c version.Change, do func(), list *List, limit time.Duration) bool {
+// ApplyChange has something take effect between two Steps, as a change of the vector, with a list if there is one, and waits until it has, for so long at most.
+func (l *Engine) ApplyChange(c version.Change, do func(), list *List, limit time.Duration) bool {
 	done := make(chan struct{})
 	l.tell(changed{c, do, list, done})
 	select {
@@ -205,7 +205,7 @@
 
 // listed notes who serves from now on.
 func (a *acting) listed(list *decide.TargetList) {
-	if a.Acting == nil || a.Load == nil {
+	if a.Accounting == nil || a.Load == nil {
 		return
 	}
 	if list.Scope == decide.Snapshot {
@@ -218,7 +218,7 @@
 
 // ended counts a call that came to nothing.
 func (a *acting) ended(o *decide.Outcome) {
-	if a.Acting == nil || a.Load == nil {
+	if a.Accounting == nil || a.Load == nil {
 		return
 	}
 	switch o.Result {
@@ -229,15 +229,15 @@
 
 // toldToWait keeps a wait for others to hear of.
 func (a *acting) toldToWait(o *decide.Outcome, now time.Time) {
-	if a.Acting == nil || o.RetryAfter < leastWait {
+	if a.Accounting == nil || o.RetryAfter < leastWait {
 		return
 	}
-	list := []ToldWait{{o.Target, now.Add(o.RetryAfter)}}
+	list := []RetryAfter{{o.Target, now.Add(o.RetryAfter)}}
 	if old := a.waits.Load(); old != nil {
 		for _, w := range *old {
-			if w.Target != o.Target && w.Until.After(now) {
+			if w.Endpoint != o.Target && w.Until.After(now) {
 				list = append(list, w)
-			} else if w.Target == o.Target && w.Until.After(list[0].Until) {
+			} else if w.Endpoint == o.Target && w.Until.After(list[0].Until) {
 				list[0] = w
 			}
 		}
@@ -245,19 +245,19 @@
 	a.waits.Store(&list)
 }
 
-// ToldWaits lists the waits of a second and more that this forwarder was told itself, the newest first, some that are over among them. It may be called from any goroutine.
-func (l *Engine) ToldWaits() []ToldWait {
+// RetryAfters lists the waits of a second and more that this forwarder was told itself, the newest first, some that are over among them. It may be called from any goroutine.
+func (l *Engine) RetryAfters() []RetryAfter {
 	if list := l.acting.waits.Load(); list != nil {
 		return *list
 	}
 	return nil
 }
 
-// PeerWaits tells of waits that others were told.
-func (l *Engine) PeerWaits(list []decide.PeerRetryAfter) { l.tell(peerWaits(list)) }
+// NotifyPeerWaits tells of waits that others were told.
+func (l *Engine) NotifyPeerWaits(list []decide.PeerRetryAfter) { l.tell(peerWaits(list)) }
 
-// ShutOut has no call begun any more, and what waits answered at once; an empty reason ends that.
-func (l *Engine) ShutOut(why, by string) {
+// SetFencedOff has no call begun any more, and what waits answered at once; an empty reason ends that.
+func (l *Engine) SetFencedOff(why, by string) {
 	cause := ledger.Back
 	if why != "" {
 		cause = ledger.Shut
@@ -268,8 +268,8 @@
 	}, nil, make(chan struct{})})
 }
 
-// Standing is what was published last; nil: no account is kept. It may be called from any goroutine, and waits for nothing.
-func (l *Engine) Standing() *Standing { return l.acting.published.Load() }
+// VersionStatus is what was published last; nil: no account is kept. It may be called from any goroutine, and waits for nothing.
+func (l *Engine) VersionStatus() *VersionStatus { return l.acting.published.Load() }
 
 // errLoop is what a caller hears of a loop that does not answer.
 var errLoop = errors.New("its loop has not answered: look at its log and its health")
@@ -301,7 +301,7 @@
 	for _, t := range l.module.Targets(time.Since(l.clock)) {
 		s.Targets = append(s.Targets, load.Target{Name: t.ID, Destination: t.Destination, Zone: t.Zone, Weight: t.Weight, Serves: t.State == decide.Active, Held: t.BlockedReason, Out: t.InFlight, Connections: t.Connections})
 	}
-	if l.acting.Acting != nil && l.acting.Load != nil {
+	if l.acting.Accounting != nil && l.acting.Load != nil {
 		l.acting.Load.Counts(s, time.Now())
 	}
 	asked.answer <- s
--- a/internal/engine/address.go
+++ b/internal/engine/address.go
@@ -10,7 +10,7 @@
 // MailAddress is an endpoint that takes mail, as its Address says it: smtp://10.0.0.7:25/?from=A&to=B.
 type MailAddress struct {
 	LMTP     bool
-	At       string // address and port
+	HostPort string // address and port
 	From, To string // of the envelope
 }
 
@@ -25,7 +25,7 @@
 	if m.LMTP {
 		scheme = LMTP
 	}
-	return (&url.URL{Scheme: scheme, Host: m.At, Path: "/", RawQuery: url.Values{"from": {m.From}, "to": {m.To}}.Encode()}).String()
+	return (&url.URL{Scheme: scheme, Host: m.HostPort, Path: "/", RawQuery: url.Values{"from": {m.From}, "to": {m.To}}.Encode()}).String()
 }
 
 // IsMail tells whether an Address is one of those.
@@ -42,5 +42,5 @@
 	if _, err := netip.ParseAddrPort(u.Host); err != nil || !IsMail(address) {
 		return m, fmt.Errorf("%q is no endpoint for mail", address)
 	}
-	return MailAddress{LMTP: u.Scheme == LMTP, At: u.Host, From: u.Query().Get("from"), To: u.Query().Get("to")}, nil
+	return MailAddress{LMTP: u.Scheme == LMTP, HostPort: u.Host, From: u.Query().Get("from"), To: u.Query().Get("to")}, nil
 }
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -43,9 +43,9 @@
 		}
 		if o.Result == decide.Succeeded {
 			l.tellEnd(e, "delivered")
-			l.endedAs(e, func(t *Tally) { t.Fulfilled++ })
+			l.endedAs(e, func(t *ClassStats) { t.Delivered++ })
 		}
-		l.endedAs(e, func(t *Tally) { t.Withdrawn++ })
+		l.endedAs(e, func(t *ClassStats) { t.Withdrawn++ })
 		l.forget(e)
 	} else {
 		l.journal.RecordOutcome(o.Message, !neverRan(o.Result))
@@ -81,19 +81,19 @@
 	slot := l.acting.begin(s.Target)
 	e.calls = append(e.calls, out{n, cancel, portable, slot})
 	try, decided := Attempt{ID: s.Message, Class: e.saved.Class, Destination: e.saved.Extras.Asked(e.saved.Dest), Number: n,
-		Body: e.saved.Body, Timeout: s.Timeout, Wrote: l.counts.wrote, Begin: l.waits.mayBeginElse}, time.Now()
+		Body: e.saved.Body, Timeout: s.Timeout, OnWritten: l.counts.wrote, MayBegin: l.waits.mayBeginElse}, time.Now()
 	told := l.waits.of(s.Target)
 	if told.began(); told != nil {
-		try.Begin, try.Told = told.begin, told.tell
+		try.MayBegin, try.OnRetryAfter = told.begin, told.tell
 	}
 	if !e.sendBy.IsZero() {
-		try.Begin = beginsBy(e.sendBy, try.Begin)
+		try.MayBegin = beginsBy(e.sendBy, try.MayBegin)
 	}
 	if x := e.saved.Extras; x != nil {
 		try.Header = x.Header
 	}
 	if l.limits != nil {
-		try.Connect = l.limits(e.saved.Class, e.saved.Dest, e.saved.Extras.Took()).Connect
+		try.ConnectTimeout = l.limits(e.saved.Class, e.saved.Dest, e.saved.Extras.Took()).Connect
 	}
 	undo := func(ctx context.Context) {
 		o := decide.Outcome{Message: s.Message, Attempt: n, Target: s.Target, Result: decide.NotSent}
@@ -106,9 +106,9 @@
 		}
 		go func() { // little stack is used on the way to the call: to have it grow costs a tenth of a call
 			keep := keeper{l: l, told: told, carried: carried{message: s.Message, endpoint: s.Target, attempt: n, slot: slot}}
-			try.Keep = keep.keep
+			try.HandOver = keep.keep
 			if slot != nil {
-				try.Wrote = keep.written
+				try.OnWritten = keep.written
 			}
 			o := decide.Outcome{Result: decide.NotSent}
 			if call.Err() == nil {
@@ -142,7 +142,7 @@
 	wrote bool
 }
 
-func (k *keeper) keep(p *Pending) {
+func (k *keeper) keep(p *InFlightCall) {
 	k.pending = p
 	k.l.tell(k.carried)
 }
--- a/internal/engine/completion.go
+++ b/internal/engine/completion.go
@@ -35,10 +35,10 @@
 	e.saved.Completion, e.saved.RetryAfter = how, wait
 	if how == 'd' {
 		l.tellEnd(e, "failed")
-		l.endedAs(e, func(t *Tally) { t.Faulted++ })
+		l.endedAs(e, func(t *ClassStats) { t.Failed++ })
 	} else {
 		l.tellEnd(e, "refused")
-		l.endedAs(e, func(t *Tally) { t.HandedBack++ })
+		l.endedAs(e, func(t *ClassStats) { t.RefusedAfterAccept++ })
 	}
 	l.journal.RecordCompletion(id, how, wait)
 	if e.acked {
@@ -48,7 +48,7 @@
 
 func (l *Engine) tellEnd(e *entry, how string) {
 	if l.ended != nil {
-		l.ended(Ending{e.saved.ID, e.saved.Class, e.saved.Extras.Asked(e.saved.Dest), how})
+		l.ended(MessageOutcome{e.saved.ID, e.saved.Class, e.saved.Extras.Asked(e.saved.Dest), how})
 	}
 }
 
@@ -59,6 +59,6 @@
 	if to == nil { // its front is not set up any more
 		to = l.finals[""]
 	}
-	f := Final{ID: e.saved.ID, Failed: e.saved.Completion == 'd', Wait: e.saved.RetryAfter}
-	l.add(effectNotice, e, func() { to.Final(f) })
+	f := Completion{ID: e.saved.ID, Failed: e.saved.Completion == 'd', RetryAfter: e.saved.RetryAfter}
+	l.add(effectNotice, e, func() { to.NotifyCompletion(f) })
 }
--- a/internal/engine/copies_test.go
+++ b/internal/engine/copies_test.go
@@ -12,12 +12,12 @@
 // TestSecondCopy: the engine has a second call out for a message where the module says so, and ends the first by its context, which nothing else
 // does here, once the second is answered; also where the module decides both before the client has its +OK.
 func TestSecondCopy(t *testing.T) {
-	gone, begun, ends := make(chan string, 10), make(chan bool, 10), make(chan Ending, 100)
+	gone, begun, ends := make(chan string, 10), make(chan bool, 10), make(chan MessageOutcome, 100)
 	n := startLoop(t, func(w *world) {
 		w.settings.Hedging, w.settings.MayCancel, w.settings.Weights = true, true, decide.NoWeights
 		w.settings.Limits = func(string, int, string) decide.Limits { return decide.Limits{HedgeDelay: 20 * time.Millisecond} }
 		w.list.Endpoints = append(w.list.Endpoints, Endpoint{Target: decide.Target{ID: "s2", Destination: 7}})
-		w.ended = func(e Ending) { ends <- e }
+		w.ended = func(e MessageOutcome) { ends <- e }
 		w.call = func(ctx context.Context, a Attempt) decide.Outcome {
 			if a.Number == 0 && a.ID[0] == 'c' {
 				begun <- true
@@ -46,14 +46,14 @@
 	}
 	for i := range 30 { // first tries, of which copies may be a fifth
 		id := fmt.Sprint("plain", i)
-		n.loop.Take(note(id)).Written(true)
+		n.loop.Accept(note(id)).ConfirmWritten(true)
 		wait(id)
 	}
 	for _, late := range []time.Duration{0, 60 * time.Millisecond} {
 		id := fmt.Sprint("copied", late.Milliseconds())
-		a := n.loop.Take(note(id))
+		a := n.loop.Accept(note(id))
 		time.Sleep(late) // until the copy is decided, too
-		a.Written(true)
+		a.ConfirmWritten(true)
 		wait(id)
 		select {
 		case got := <-gone:
--- a/internal/engine/durable_test.go
+++ b/internal/engine/durable_test.go
@@ -51,7 +51,7 @@
 			before := fs.syncs.Load()
 			answers := make(chan Answer, 1)
 			fs.gate = make(chan error) // the loop reads it by the message that follows
-			go func() { answers <- n.loop.Take(note("m")) }()
+			go func() { answers <- n.loop.Accept(note("m")) }()
 			for fs.syncs.Load() == before { // until it waits at the gate
 				time.Sleep(time.Millisecond)
 			}
@@ -67,7 +67,7 @@
 				}
 				close(fs.gate)
 				for i := 0; ; i++ {
-					if a := n.loop.Take(note(fmt.Sprint("again", i))); a.Kind == Taken {
+					if a := n.loop.Accept(note(fmt.Sprint("again", i))); a.Kind == Accepted {
 						return
 					}
 					time.Sleep(time.Millisecond)
@@ -75,10 +75,10 @@
 			}
 			fs.gate <- nil
 			a := <-answers
-			if a.Kind != Taken {
+			if a.Kind != Accepted {
 				t.Fatalf("%+v", a)
 			}
-			a.Written(true)
+			a.ConfirmWritten(true)
 			for fs.syncs.Load() == before+1 {
 				time.Sleep(time.Millisecond)
 			}
@@ -111,8 +111,8 @@
 			b.SetParallelism(64)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if a := n.loop.Take(note(fmt.Sprint("m", id.Add(1)))); a.Kind == Taken {
-						a.Written(true)
+					if a := n.loop.Accept(note(fmt.Sprint("m", id.Add(1)))); a.Kind == Accepted {
+						a.ConfirmWritten(true)
 					}
 				}
 			})
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -87,7 +87,7 @@
 // withdraw forgets a message whose client was never told that it was accepted.
 func (l *Engine) withdraw(e *entry) {
 	l.unsendPending(e)
-	l.endedAs(e, func(t *Tally) { t.Withdrawn++ })
+	l.endedAs(e, func(t *ClassStats) { t.Withdrawn++ })
 	l.events = append(l.events, decide.Withdrawn{Message: e.saved.ID})
 	l.forget(e)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine carries what happens outside to a [decide.Forwarder] and does
 // what that decides. It decides nothing about deliveries itself, and knows no
 // protocol: fronts hand messages in by [Engine.Take], sources of servers tell
-// theirs by [Engine.List], a [Back] makes the calls, and [Finals] take the final
+// theirs by [Engine.UpdateEndpoints], a [Back] makes the calls, and [CompletionNotifier] take the final
 // answers of messages whose clients have heard that they were taken on.
 package engine
 
@@ -30,8 +30,8 @@
 // Back makes calls to endpoints. Its own two methods are called by the engine's
 // loop alone and must not wait for anything outside.
 type Back interface {
-	// List tells which endpoints there are, and where.
-	List(List)
+	// UpdateEndpoints tells which endpoints there are, and where.
+	UpdateEndpoints(List)
 	// Endpoint finds one of them by its name, or returns nil.
 	Endpoint(name string) Caller
 }
@@ -48,76 +48,76 @@
 
 // Attempt is one attempt at a message.
 type Attempt struct {
-	ID          string
-	Class       string
-	Destination int // that its client named
-	Number      int // from 0
-	Body        message.Body
-	Header      []message.Field
-	Timeout     time.Duration  // from now on
-	Connect     time.Duration  // the same, for a connection to be made; 0: as the back has it
-	Reply       *Reply         // to be filled in, if it is wanted
-	Keep        func(*Pending) // takes a call that is handed over; see Portable
-	Wrote       func()         // called once the message is written whole; it does not wait
-	Begin       func() bool    // asked before the first byte is written; no: the call is not made. nil: it may
-	// Told is called as soon as an answer is known to tell a wait, also one that turns out to be spoilt: from then on nobody may begin a
+	ID             string
+	Class          string
+	Destination    int // that its client named
+	Number         int // from 0
+	Body           message.Body
+	Header         []message.Field
+	Timeout        time.Duration       // from now on
+	ConnectTimeout time.Duration       // the same, for a connection to be made; 0: as the back has it
+	Reply          *Reply              // to be filled in, if it is wanted
+	HandOver       func(*InFlightCall) // takes a call that is handed over; see Portable
+	OnWritten      func()              // called once the message is written whole; it does not wait
+	MayBegin       func() bool         // asked before the first byte is written; no: the call is not made. nil: it may
+	// OnRetryAfter is called as soon as an answer is known to tell a wait, also one that turns out to be spoilt: from then on nobody may begin a
 	// call. The outcome tells what is left of it. nil: nobody listens.
-	Told func(time.Duration)
+	OnRetryAfter func(time.Duration)
 }
 
 // Reply is what a call was answered with.
 type Reply struct {
-	Most   int // bytes of the body that are wanted
-	Status int // 0 if there was no whole answer
-	Header map[string][]string
-	Body   []byte
+	MaxBody int // bytes of the body that are wanted
+	Status  int // 0 if there was no whole answer
+	Header  map[string][]string
+	Body    []byte
 }
 
-// Ending is what became of a message that was taken on.
-type Ending struct {
+// MessageOutcome is what became of a message that was taken on.
+type MessageOutcome struct {
 	ID          string
 	Class       string
 	Destination int    // that its client named
-	How         string // delivered, refused or failed
+	Result      string // delivered, refused or failed
 }
 
-// Final is the final answer of a message that was taken on and not delivered.
-type Final struct {
-	ID     string
-	Failed bool          // it may have taken effect; otherwise handing it in again is harmless
-	Wait   time.Duration // advice: not to come again before that
+// Completion is the final answer of a message that was taken on and not delivered.
+type Completion struct {
+	ID         string
+	Failed     bool          // it may have taken effect; otherwise handing it in again is harmless
+	RetryAfter time.Duration // advice: not to come again before that
 }
 
-// Finals takes final answers to where they are awaited. Each that has arrived is
-// told to [Engine.Heard]; until then the journal owes it.
-type Finals interface {
-	Final(Final) // does not wait
+// CompletionNotifier takes final answers to where they are awaited. Each that has arrived is
+// told to [Engine.Acknowledge]; until then the journal owes it.
+type CompletionNotifier interface {
+	NotifyCompletion(Completion) // does not wait
 }
 
 // Limits tighten what is taken on; at 0 they don't.
 type Limits struct {
-	Whole   time.Duration // how long a message may be delivered in all
+	Total   time.Duration // how long a message may be delivered in all
 	Connect time.Duration // how long a connection may take
-	Held    int           // messages held at once, for each destination apart
+	Queued  int           // messages held at once, for each destination apart
 	Rule    string        // under which those are counted
 }
 
 // Answer is what a front tells its client at once.
 type Answer struct {
-	Kind Kind
-	Why  string        // with Rejected
-	Wait time.Duration // with Refused: advice, 0 for none
-	// Written must be called when the client has been told that its message is
+	Kind       AnswerKind
+	Reason     string        // with Rejected
+	RetryAfter time.Duration // with Refused: advice, 0 for none
+	// ConfirmWritten must be called when the client has been told that its message is
 	// taken on, or could not be told; nil if there is nothing to wait for.
-	Written func(ok bool)
+	ConfirmWritten func(ok bool)
 }
 
-// Kind is the kind of an Answer.
-type Kind int
+// AnswerKind is the kind of an Answer.
+type AnswerKind int
 
 // The kinds of answer.
 const (
-	Taken    Kind = iota // the message is owed its end from now on
-	Refused              // handing it in again is harmless
-	Rejected             // it can't be delivered as it is
+	Accepted AnswerKind = iota // the message is owed its end from now on
+	Refused                    // handing it in again is harmless
+	Rejected                   // it can't be delivered as it is
 )
--- a/internal/engine/evict_test.go
+++ b/internal/engine/evict_test.go
@@ -18,27 +18,27 @@
 func TestEvictedIsForgotten(t *testing.T) {
 	n := startLoop(t, nil)
 	for d := 100; d < 1100; d++ {
-		n.loop.List(listOf(d, decide.Active))
+		n.loop.UpdateEndpoints(listOf(d, decide.Active))
 		n.loop.Evict(listOf(d, decide.Gone), []int{d})
 	}
 	to := func(id string, destination int) Answer {
 		m := note(id)
 		m.Destination = destination
-		return n.loop.Take(m)
+		return n.loop.Accept(m)
 	}
 	if got := to("a", 100); got.Kind != Rejected {
 		t.Errorf("to an evicted destination: %+v", got)
 	}
 	var dests, waits int
-	n.loop.Change(version.Change{}, func() { dests, waits = len(n.loop.dests), len(n.loop.waits.shared)+len(n.loop.waits.evicted) }, nil, time.Minute)
+	n.loop.ApplyChange(version.Change{}, func() { dests, waits = len(n.loop.dests), len(n.loop.waits.shared)+len(n.loop.waits.evicted) }, nil, time.Minute)
 	if dests != 1 || waits != 1 { // the one of the start
 		t.Errorf("%d destinations and %d waits are left", dests, waits)
 	}
-	n.loop.List(listOf(100, decide.Active))
-	if got := to("b", 100); got.Kind != Taken {
+	n.loop.UpdateEndpoints(listOf(100, decide.Active))
+	if got := to("b", 100); got.Kind != Accepted {
 		t.Errorf("listed anew: %+v", got)
 	} else {
-		got.Written(true)
+		got.ConfirmWritten(true)
 	}
 	if id := <-n.calls; id != "b" {
 		t.Errorf("%s was sent", id)
@@ -87,16 +87,16 @@
 		defer mu.Unlock()
 		return held[7]
 	}
-	kept := n.loop.Take(note("a"))
-	lost := n.loop.Take(note("b"))
+	kept := n.loop.Accept(note("a"))
+	lost := n.loop.Accept(note("b"))
 	if now() != 2 {
 		t.Fatalf("%d held", now())
 	}
-	lost.Written(false)
+	lost.ConfirmWritten(false)
 	unknown := note("c")
 	unknown.Class = "none"
-	n.loop.Take(unknown)
-	kept.Written(true)
+	n.loop.Accept(unknown)
+	kept.ConfirmWritten(true)
 	<-n.calls
 	for limit := time.Now().Add(time.Minute); now() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
--- a/internal/engine/extras_test.go
+++ b/internal/engine/extras_test.go
@@ -32,11 +32,11 @@
 	j.Close()
 	var mu sync.Mutex
 	var wrong []string
-	ended := make(chan Ending, 100)
+	ended := make(chan MessageOutcome, 100)
 	n := startLoop(t, func(w *world) {
 		w.dir = dir
 		w.list.Endpoints = append(w.list.Endpoints, Endpoint{Target: decide.Target{ID: "s2", Destination: 7, Weight: 1000}})
-		w.ended = func(e Ending) { ended <- e }
+		w.ended = func(e MessageOutcome) { ended <- e }
 		w.hear = func(name string, a Attempt) {
 			if name != "s2" || !reflect.DeepEqual(a.Header, extras.Header) || a.Class != "note" || a.Destination != 7 {
 				mu.Lock()
@@ -48,16 +48,16 @@
 	for i := range 8 {
 		m := note(fmt.Sprint("new", i))
 		m.Extras = extras
-		if a := n.loop.Take(m); a.Kind != Taken {
+		if a := n.loop.Accept(m); a.Kind != Accepted {
 			t.Fatal(a)
 		} else {
-			a.Written(true)
+			a.ConfirmWritten(true)
 		}
 	}
 	for range 16 {
 		select {
 		case e := <-ended:
-			if e.How != "delivered" || e.Class != "note" || e.Destination != 7 {
+			if e.Result != "delivered" || e.Class != "note" || e.Destination != 7 {
 				t.Errorf("%+v", e)
 			}
 		case <-time.After(20 * time.Second):
--- a/internal/engine/figures_test.go
+++ b/internal/engine/figures_test.go
@@ -12,24 +12,24 @@
 )
 
 // agrees tells whether a snapshot's figures agree: what was taken is open or has ended.
-func (f *Figures) agrees() bool {
+func (f *Stats) agrees() bool {
 	var taken, over uint64
 	for _, t := range f.Classes {
-		taken += t.Taken
-		over += t.Fulfilled + t.HandedBack + t.Faulted + t.Withdrawn + t.HandedOver
+		taken += t.Accepted
+		over += t.Delivered + t.RefusedAfterAccept + t.Failed + t.Withdrawn + t.HandedOver
 	}
 	return taken == over+uint64(f.Open)
 }
 
 // await waits for figures of which something is true.
-func (n *testNode) await(t *testing.T, what string, is func(*Figures) bool) *Figures {
+func (n *testNode) await(t *testing.T, what string, is func(*Stats) bool) *Stats {
 	t.Helper()
 	for limit := time.Now().Add(time.Minute); time.Now().Before(limit); time.Sleep(time.Millisecond) {
-		if f := n.loop.Figures(); is(f) {
+		if f := n.loop.Stats(); is(f) {
 			return f
 		}
 	}
-	t.Fatalf("%s: %+v", what, n.loop.Figures())
+	t.Fatalf("%s: %+v", what, n.loop.Stats())
 	return nil
 }
 
@@ -37,18 +37,18 @@
 type record struct {
 	mu      sync.Mutex
 	classes map[string]string // of each message
-	tallies map[string]*Tally
+	tallies map[string]*ClassStats
 	wrote   uint64
 	fate    map[string]decide.Result
 }
 
-func (r *record) Final(f Final) {
+func (r *record) NotifyCompletion(f Completion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.tallies[r.classes[f.ID]]; f.Failed {
-		t.Faulted++
+		t.Failed++
 	} else {
-		t.HandedBack++
+		t.RefusedAfterAccept++
 	}
 }
 
@@ -57,13 +57,13 @@
 	defer r.mu.Unlock()
 	o := decide.Outcome{Result: r.fate[a.ID]}
 	if o.Result != decide.ConnectFailed {
-		a.Wrote()
+		a.OnWritten()
 		r.wrote++
 	}
 	switch o.Result {
 	case decide.Succeeded:
 		o.NoAnswerNeeded = true
-		r.tallies[a.Class].Fulfilled++
+		r.tallies[a.Class].Delivered++
 	case decide.NotSent:
 		o.NoAnswerNeeded = true // the platform wants it no more
 		r.tallies[a.Class].Withdrawn++
@@ -74,10 +74,10 @@
 // TestFiguresOfADay compares the figures with a record of what clients were told and endpoints did, over a generated day: delivered, failed,
 // refused before and after they were taken on, with clients that leave; and each snapshot agrees with itself.
 func TestFiguresOfADay(t *testing.T) {
-	var all Tally
+	var all ClassStats
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 26))
-		r := &record{classes: map[string]string{}, tallies: map[string]*Tally{"note": {}, "once": {}}, fate: map[string]decide.Result{}}
+		r := &record{classes: map[string]string{}, tallies: map[string]*ClassStats{"note": {}, "once": {}}, fate: map[string]decide.Result{}}
 		n := startLoop(t, func(w *world) {
 			w.figures, w.finals, w.call = true, r, r.call
 			w.settings.MaxOpen = 30
@@ -88,7 +88,7 @@
 		var watch sync.WaitGroup
 		watch.Go(func() {
 			for ; ctx.Err() == nil; time.Sleep(time.Millisecond) {
-				if f := n.loop.Figures(); !f.agrees() {
+				if f := n.loop.Stats(); !f.agrees() {
 					t.Errorf("a snapshot does not agree with itself: %+v", f)
 				}
 			}
@@ -116,41 +116,41 @@
 			}
 			c := r.tallies[m.Class]
 			r.mu.Unlock()
-			a := n.loop.Take(m)
+			a := n.loop.Accept(m)
 			r.mu.Lock()
 			switch {
 			case a.Kind == Refused:
-				c.TurnedAway++
+				c.RefusedAtIntake++
 			case a.Kind == Rejected:
-				c.Spurned++
+				c.RejectedAtIntake++
 			default:
-				c.Taken++
+				c.Accepted++
 				if leaves {
 					c.Withdrawn++
 				}
 			}
 			r.mu.Unlock()
-			if a.Kind == Taken {
-				a.Written(!leaves)
+			if a.Kind == Accepted {
+				a.ConfirmWritten(!leaves)
 			}
 		}
-		f := n.await(t, "the end of the day", func(f *Figures) bool {
+		f := n.await(t, "the end of the day", func(f *Stats) bool {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			return f.Classes["note"] == *r.tallies["note"] && f.Classes["once"] == *r.tallies["once"] && f.Relayed == r.wrote
 		})
 		cancel()
 		watch.Wait()
-		if f.Open == 0 || f.Listed != 2 || f.OutOfCall < 1 {
+		if f.Open == 0 || f.Listed != 2 || f.OutOfRotation < 1 {
 			t.Errorf("%+v", f)
 		}
 		c := f.Classes["once"]
-		all.Fulfilled, all.TurnedAway, all.HandedBack = all.Fulfilled+c.Fulfilled, all.TurnedAway+c.TurnedAway, all.HandedBack+c.HandedBack
-		all.Spurned, all.Faulted, all.Withdrawn = all.Spurned+c.Spurned, all.Faulted+c.Faulted, all.Withdrawn+c.Withdrawn
-		n.loop.List(List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: "away", Destination: 8, State: decide.Gone}}}})
-		n.await(t, "an endpoint less", func(f *Figures) bool { return f.Listed == 1 })
+		all.Delivered, all.RefusedAtIntake, all.RefusedAfterAccept = all.Delivered+c.Delivered, all.RefusedAtIntake+c.RefusedAtIntake, all.RefusedAfterAccept+c.RefusedAfterAccept
+		all.RejectedAtIntake, all.Failed, all.Withdrawn = all.RejectedAtIntake+c.RejectedAtIntake, all.Failed+c.Failed, all.Withdrawn+c.Withdrawn
+		n.loop.UpdateEndpoints(List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: "away", Destination: 8, State: decide.Gone}}}})
+		n.await(t, "an endpoint less", func(f *Stats) bool { return f.Listed == 1 })
 	}
-	if all.Fulfilled*all.TurnedAway*all.HandedBack*all.Spurned*all.Faulted*all.Withdrawn == 0 {
+	if all.Delivered*all.RefusedAtIntake*all.RefusedAfterAccept*all.RejectedAtIntake*all.Failed*all.Withdrawn == 0 {
 		t.Errorf("the days show little: %+v", all)
 	}
 }
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -21,13 +21,13 @@
 // ErrHandOver is the cause of the end of a call's context when the call is to be handed over.
 var ErrHandOver = errors.New("the call goes on in another process")
 
-// Pending is a call that is out, written whole, as another process can go on with it.
-type Pending struct {
-	Address string
-	Conn    net.Conn // as it is; what was read of it is in Read
-	Read    []byte   // of the answer, so far
-	Began   time.Time
-	End     time.Time // when it is not waited for any longer
+// InFlightCall is a call that is out, written whole, as another process can go on with it.
+type InFlightCall struct {
+	Address  string
+	Conn     net.Conn // as it is; what was read of it is in Read
+	Read     []byte   // of the answer, so far
+	Began    time.Time
+	Deadline time.Time // when it is not waited for any longer
 }
 
 // Portable is a Caller whose calls can be handed over: one whose context ends for ErrHandOver calls Attempt.Keep, or
@@ -36,24 +36,24 @@
 
 // Resumer goes on with calls of another process: with what a Portable's were.
 type Resumer interface {
-	Resume(ctx context.Context, endpoint string, p *Pending, a Attempt) decide.Outcome
+	Resume(ctx context.Context, endpoint string, p *InFlightCall, a Attempt) decide.Outcome
 }
 
-// Call is one that is handed over.
-type Call struct {
-	Message  string
-	Attempt  int
-	Endpoint string
-	Under    uint64 // the change of the ledger that it was begun under; 0: nothing is kept
-	*Pending
+// HandoverCall is one that is handed over.
+type HandoverCall struct {
+	Message   string
+	Attempt   int
+	Endpoint  string
+	LedgerSeq uint64 // the change of the ledger that it was begun under; 0: nothing is kept
+	*InFlightCall
 }
 
 // Handover is what an engine leaves to the next one besides the journal.
 type Handover struct {
-	Module []byte
-	Clock  time.Duration // the module's
-	At     time.Time     // when that was its time
-	Calls  []Call
+	ForwarderState []byte
+	Clock          time.Duration // the module's
+	SavedAt        time.Time     // when that was its time
+	Calls          []HandoverCall
 	// Destinations are those that there are, also while their endpoints are away.
 	Destinations []int
 }
@@ -67,7 +67,7 @@
 	carried struct { // a call that is handed over
 		message, endpoint string
 		attempt           int
-		pending           *Pending
+		pending           *InFlightCall
 		slot              *ledger.Slot
 	}
 )
@@ -75,7 +75,7 @@
 // leaving is what an engine is at that hands over.
 type leaving struct {
 	done  chan<- *Handover
-	calls []Call
+	calls []HandoverCall
 }
 
 // Detach ends the loop without a call that goes on here, and returns what the next one goes on from. It is called when no message can
@@ -129,7 +129,7 @@
 	}
 	e.callOver(v.attempt)
 	v.slot.Carried()
-	l.leaving.calls = append(l.leaving.calls, Call{v.message, v.attempt, v.endpoint, v.slot.Under(), v.pending})
+	l.leaving.calls = append(l.leaving.calls, HandoverCall{v.message, v.attempt, v.endpoint, v.slot.Under(), v.pending})
 }
 
 // home tells whether all calls are.
@@ -148,10 +148,10 @@
 		return err
 	}
 	for _, e := range l.entries {
-		l.endedAs(e, func(t *Tally) { t.HandedOver++ })
+		l.endedAs(e, func(t *ClassStats) { t.HandedOver++ })
 	}
 	now := time.Now()
-	l.leaving.done <- &Handover{Module: l.module.Save(), Clock: now.Sub(l.clock), At: now, Calls: l.leaving.calls,
+	l.leaving.done <- &Handover{ForwarderState: l.module.Save(), Clock: now.Sub(l.clock), SavedAt: now, Calls: l.leaving.calls,
 		Destinations: slices.Sorted(maps.Keys(l.dests))}
 	return nil
 }
@@ -159,15 +159,15 @@
 // Resume is Recover for an engine that goes on where another one was. An error means that what is left of that one can't be read, and nothing
 // has been done.
 func (l *Engine) Resume(h *Handover, lists ...List) error {
-	memory, err := decide.DecodeState(h.Module)
+	memory, err := decide.DecodeState(h.ForwarderState)
 	if err != nil {
 		return err
 	}
-	gap := min(max(0, time.Since(h.At)), longestGap)
+	gap := min(max(0, time.Since(h.SavedAt)), longestGap)
 	l.clock = time.Now().Add(-h.Clock - gap)
 	told := make([]decide.TargetList, len(lists))
 	for i, v := range lists {
-		l.back.List(v)
+		l.back.UpdateEndpoints(v)
 		told[i] = l.targets(v)
 	}
 	for _, d := range h.Destinations {
@@ -182,7 +182,7 @@
 		id      string
 		attempt int
 	}
-	known := map[key]Call{}
+	known := map[key]HandoverCall{}
 	for _, c := range h.Calls {
 		known[key{c.Message, c.Attempt}] = c
 	}
@@ -207,9 +207,9 @@
 }
 
 // goOn waits for the answer to a call that another process made.
-func (l *Engine) goOn(e *entry, attempt int, from Call) {
+func (l *Engine) goOn(e *entry, attempt int, from HandoverCall) {
 	call, cancel := context.WithCancelCause(context.Background())
-	endpoint, p := from.Endpoint, from.Pending
+	endpoint, p := from.Endpoint, from.InFlightCall
 	slot, told := l.acting.resume(from), l.waits.of(endpoint)
 	e.calls = append(e.calls, out{attempt, cancel, true, slot})
 	told.began()
@@ -217,13 +217,13 @@
 	l.add(effectFree, nil, func() {
 		go func() {
 			keep := keeper{l: l, told: told, carried: carried{message: a.ID, endpoint: endpoint, attempt: attempt, slot: slot}, wrote: true}
-			a.Keep = keep.keep
+			a.HandOver = keep.keep
 			if told != nil {
-				a.Told = told.tell
+				a.OnRetryAfter = told.tell
 			}
 			o := decide.Outcome{Result: decide.Reset} // lost on the way: it may have run
 			if p != nil {
-				a.Timeout = time.Until(p.End)
+				a.Timeout = time.Until(p.Deadline)
 				o = l.resumer.Resume(call, endpoint, p, a)
 			}
 			keep.over(&o)
--- a/internal/engine/intake.go
+++ b/internal/engine/intake.go
@@ -22,7 +22,7 @@
 
 // Take takes a message on or turns it away. It waits until that is decided,
 // which is soon: the loop waits for nothing outside.
-func (l *Engine) Take(m *message.Message) Answer {
+func (l *Engine) Accept(m *message.Message) Answer {
 	answer := answers.Get().(chan reply)
 	l.tell(arrival{m, answer})
 	var a reply
@@ -39,14 +39,14 @@
 		}
 	}
 	if a.entry != nil {
-		a.Written = func(ok bool) { l.tell(ackWritten{a.entry, ok}) }
+		a.ConfirmWritten = func(ok bool) { l.tell(ackWritten{a.entry, ok}) }
 	}
 	return a.Answer
 }
 
-func refused(wait time.Duration) Answer { return Answer{Kind: Refused, Wait: wait} }
+func refused(wait time.Duration) Answer { return Answer{Kind: Refused, RetryAfter: wait} }
 
-func rejected(why string) Answer { return Answer{Kind: Rejected, Why: why} }
+func rejected(why string) Answer { return Answer{Kind: Rejected, Reason: why} }
 
 func (l *Engine) arrive(a arrival) {
 	m := a.msg
@@ -57,7 +57,7 @@
 	class, known := l.classes[m.Class]
 	switch e := l.entries[m.ID]; {
 	case e != nil && e.acked: // handed in twice: it is held already
-		turnAway(Answer{Kind: Taken})
+		turnAway(Answer{Kind: Accepted})
 		return
 	case e != nil: // whether that one is taken on is still open, and not for this client to say
 		turnAway(rejected("handed in twice at once"))
@@ -74,12 +74,12 @@
 	if l.limits != nil {
 		limits = l.limits(m.Class, m.Destination, m.Extras.Took())
 	}
-	if limits.Whole > 0 {
-		left = min(left, limits.Whole)
+	if limits.Total > 0 {
+		left = min(left, limits.Total)
 	}
 	s := &journal.MessageState{ID: m.ID, Origin: m.Origin, Class: m.Class, Dest: m.Destination, Body: m.Body, Extras: m.Extras,
 		Deadline: m.Read.Add(left - intakeSlack)}
-	if limits.Held > 0 && !l.caps.Admits(intake.Cap{Rule: limits.Rule, Destination: m.Destination}, limits.Held) {
+	if limits.Queued > 0 && !l.caps.Admits(intake.Cap{Rule: limits.Rule, Destination: m.Destination}, limits.Queued) {
 		turnAway(refused(diskWait))
 		return
 	}
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -68,20 +68,20 @@
 	SyncEvery time.Duration
 	// Limits are those of a class towards a destination, by a route if its name is not empty; nil for none.
 	Limits func(class string, destination int, route string) Limits
-	// Ended is told of each message that was taken on and is over, by the loop: it must not wait. nil if nobody asks.
-	Ended func(Ending)
-	// Holding is called by the loop, which it must not have wait, as it begins and ends to hold a message for a destination. nil if nobody asks.
-	Holding func(destination int, begins bool)
-	// Steps is shown each step of the module, by the loop: it must not wait. nil if nobody asks.
-	Steps func(now time.Duration, events []decide.Event, actions []decide.Action)
-	// Figures has the figures published for Engine.Figures.
-	Figures bool
-	// Acting has the loop keep account of the version vector that it acts under; nil: it does not.
-	Acting *Acting
-	// Before is the last figures of an engine before in this process, to be counted on from; nil if there was none.
-	Before *Figures
-	// Finals by the front that took a message; the one under "" takes what no other does.
-	Finals map[string]Finals
+	// OnOutcome is told of each message that was taken on and is over, by the loop: it must not wait. nil if nobody asks.
+	OnOutcome func(MessageOutcome)
+	// OnQueueChange is called by the loop, which it must not have wait, as it begins and ends to hold a message for a destination. nil if nobody asks.
+	OnQueueChange func(destination int, begins bool)
+	// OnStep is shown each step of the module, by the loop: it must not wait. nil if nobody asks.
+	OnStep func(now time.Duration, events []decide.Event, actions []decide.Action)
+	// PublishStats has the figures published for Engine.PublishStats.
+	PublishStats bool
+	// Accounting has the loop keep account of the version vector that it acts under; nil: it does not.
+	Accounting *Accounting
+	// PreviousStats is the last figures of an engine before in this process, to be counted on from; nil if there was none.
+	PreviousStats *Stats
+	// CompletionNotifiers by the front that took a message; the one under "" takes what no other does.
+	CompletionNotifiers map[string]CompletionNotifier
 }
 
 // Engine is the loop between fronts and backs. Its loop owns the Forwarder and
@@ -91,7 +91,7 @@
 	journal *journal.Journal
 	back    Back
 	resumer Resumer
-	finals  map[string]Finals
+	finals  map[string]CompletionNotifier
 	clock   time.Time
 	inbox   chan any
 	done    chan struct{}
@@ -105,7 +105,7 @@
 	shares  intake.Shares
 	caps    intake.Caps
 	limits  func(class string, destination int, route string) Limits
-	ended   func(Ending)
+	ended   func(MessageOutcome)
 	holds   func(destination int, begins bool)
 	steps   func(time.Duration, []decide.Event, []decide.Action)
 	effects []effect // after the journal has been written
@@ -130,15 +130,15 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Engine{module: m, journal: c.Journal, back: c.Back, resumer: c.Resumer, finals: c.Finals, clock: time.Now(), syncEvery: c.SyncEvery, limits: c.Limits, ended: c.Ended, holds: c.Holding, steps: c.Steps,
+	l := &Engine{module: m, journal: c.Journal, back: c.Back, resumer: c.Resumer, finals: c.CompletionNotifiers, clock: time.Now(), syncEvery: c.SyncEvery, limits: c.Limits, ended: c.OnOutcome, holds: c.OnQueueChange, steps: c.OnStep,
 		inbox: make(chan any, mailbox), done: make(chan struct{}), idle: make(chan struct{}),
 		classes: map[string]decide.Class{}, dests: map[int]bool{},
 		entries: map[string]*entry{}, wake: time.NewTimer(time.Hour), failing: newFailing()}
 	for _, class := range c.Settings.Classes {
 		l.classes[class.Name] = class
 	}
-	l.counts.init(c.Figures, c.Settings.Classes, c.Before)
-	l.acting.init(c.Acting)
+	l.counts.init(c.PublishStats, c.Settings.Classes, c.PreviousStats)
+	l.acting.init(c.Accounting)
 	l.waits.init(c.Settings.Kinds, l.clock, l.fenced())
 	return l, nil
 }
@@ -151,11 +151,11 @@
 	}
 }
 
-// List tells what a source of servers has told.
-func (l *Engine) List(v List) { l.tell(v) }
+// UpdateEndpoints tells what a source of servers has told.
+func (l *Engine) UpdateEndpoints(v List) { l.tell(v) }
 
-// ListWithin does so and waits until it binds, for so long at most. Lists bind in the order in which they are told.
-func (l *Engine) ListWithin(v List, limit time.Duration) bool {
+// UpdateEndpointsAndWait does so and waits until it binds, for so long at most. Lists bind in the order in which they are told.
+func (l *Engine) UpdateEndpointsAndWait(v List, limit time.Duration) bool {
 	bound := make(chan struct{})
 	l.tell(listed{v, bound})
 	select {
@@ -166,11 +166,11 @@
 	}
 }
 
-// Heard tells that the final answers of these messages have arrived.
-func (l *Engine) Heard(ids []string) { l.tell(heard{ids}) }
+// Acknowledge tells that the final answers of these messages have arrived.
+func (l *Engine) Acknowledge(ids []string) { l.tell(heard{ids}) }
 
-// Stopping tells that the process ends after this time.
-func (l *Engine) Stopping(left time.Duration) { l.tell(decide.Stopping{TimeLeft: left}) }
+// NotifyStopping tells that the process ends after this time.
+func (l *Engine) NotifyStopping(left time.Duration) { l.tell(decide.Stopping{TimeLeft: left}) }
 
 // Finish tells that no message comes any more.
 func (l *Engine) Finish() { l.tell(finish{}) }
@@ -335,7 +335,7 @@
 	if v.Version != nil {
 		l.acting.change(*v.Version)
 	}
-	l.back.List(v)
+	l.back.UpdateEndpoints(v)
 	event := l.targets(v)
 	l.acting.listed(&event)
 	l.events = append(l.events, event)
@@ -377,7 +377,7 @@
 		l.taken(e)
 		l.add(effectAccept, e, func() {
 			e.revoked = nil
-			answer <- reply{Answer{Kind: Taken}, e}
+			answer <- reply{Answer{Kind: Accepted}, e}
 		})
 	}
 	clear(l.arrived)
--- a/internal/engine/loop_test.go
+++ b/internal/engine/loop_test.go
@@ -30,12 +30,12 @@
 	limits   func(class string, destination int, route string) Limits
 	hear     func(endpoint string, a Attempt)
 	call     func(context.Context, Attempt) decide.Outcome // in place of success; nil for that
-	ended    func(Ending)
+	ended    func(MessageOutcome)
 	holding  func(destination int, begins bool)
 	figures  bool
-	acting   *Acting
-	finals   Finals // in place of none
-	dir      string // of the journal; its own if it is empty
+	acting   *Accounting
+	finals   CompletionNotifier // in place of none
+	dir      string             // of the journal; its own if it is empty
 }
 
 // memoryBack is a back whose calls all succeed at once.
@@ -52,7 +52,7 @@
 	name string
 }
 
-func (b *memoryBack) List(l List) {
+func (b *memoryBack) UpdateEndpoints(l List) {
 	for _, e := range l.Endpoints {
 		b.names[e.ID] = e.State != decide.Gone
 	}
@@ -81,7 +81,7 @@
 // noFinals takes final answers and forgets them.
 type noFinals struct{}
 
-func (noFinals) Final(Final) {}
+func (noFinals) NotifyCompletion(Completion) {}
 
 func startLoop(t testing.TB, set func(*world)) *testNode {
 	t.Helper()
@@ -108,7 +108,7 @@
 		t.Cleanup(func() { j.Close() })
 	}
 	l, err := New(Config{Settings: w.settings, Journal: j, SyncEvery: time.Millisecond, Limits: w.limits,
-		Back: &memoryBack{names: map[string]bool{}, calls: n.calls, hear: w.hear, call: w.call}, Ended: w.ended, Holding: w.holding, Figures: w.figures, Acting: w.acting, Finals: map[string]Finals{"": w.finals}})
+		Back: &memoryBack{names: map[string]bool{}, calls: n.calls, hear: w.hear, call: w.call}, OnOutcome: w.ended, OnQueueChange: w.holding, PublishStats: w.figures, Accounting: w.acting, CompletionNotifiers: map[string]CompletionNotifier{"": w.finals}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,22 +158,22 @@
 func TestHeldLimit(t *testing.T) {
 	n := startLoop(t, func(w *world) {
 		w.limits = func(class string, dest int, _ string) Limits {
-			return Limits{Rule: "few", Held: 2, Whole: 30 * time.Second}
+			return Limits{Rule: "few", Queued: 2, Total: 30 * time.Second}
 		}
 	})
-	first := n.loop.Take(note("a"))
-	n.loop.Take(note("b"))
+	first := n.loop.Accept(note("a"))
+	n.loop.Accept(note("b"))
 	if left := time.Until(n.onDisk(t)["a"].Deadline); left > 30*time.Second {
 		t.Errorf("%v left, 30 s in all are set", left)
 	}
-	if got := n.loop.Take(note("c")); first.Kind != Taken || got.Kind != Refused || got.Wait <= 0 {
+	if got := n.loop.Accept(note("c")); first.Kind != Accepted || got.Kind != Refused || got.RetryAfter <= 0 {
 		t.Fatalf("the first: %+v; the third: %+v", first, got)
 	}
-	if got := n.loop.Take(note("a")); got.Kind == Refused {
+	if got := n.loop.Accept(note("a")); got.Kind == Refused {
 		t.Errorf("one that is held already: %+v", got)
 	}
-	first.Written(false)
-	if got := n.loop.Take(note("c")); got.Kind != Taken {
+	first.ConfirmWritten(false)
+	if got := n.loop.Accept(note("c")); got.Kind != Accepted {
 		t.Errorf("after one was withdrawn: %+v", got)
 	}
 }
@@ -182,19 +182,19 @@
 // is sent only after that; one whose +OK can't be written is not sent at all.
 func TestIntakeOrder(t *testing.T) {
 	n := startLoop(t, nil)
-	answer := n.loop.Take(note("lost"))
-	if answer.Kind != Taken {
+	answer := n.loop.Accept(note("lost"))
+	if answer.Kind != Accepted {
 		t.Fatal(answer)
 	}
 	if s := n.onDisk(t)["lost"]; s == nil || string(s.Body.(message.Bytes)) != "x" || s.Attempts != 0 {
 		t.Errorf("in the journal at +OK: %+v", s)
 	}
-	answer.Written(false)
-	answer = n.loop.Take(note("kept"))
-	if answer.Kind != Taken {
+	answer.ConfirmWritten(false)
+	answer = n.loop.Accept(note("kept"))
+	if answer.Kind != Accepted {
 		t.Fatal(answer)
 	}
-	answer.Written(true)
+	answer.ConfirmWritten(true)
 	if got := <-n.calls; got != "kept" {
 		t.Errorf("%s was sent", got)
 	}
@@ -210,16 +210,16 @@
 		l := &Engine{inbox: make(chan any), done: make(chan struct{})}
 		go func() {
 			a := (<-l.inbox).(arrival)
-			a.answer <- reply{Answer: Answer{Kind: Taken}}
+			a.answer <- reply{Answer: Answer{Kind: Accepted}}
 			close(l.done)
 		}()
-		if got := l.Take(note("m")); got.Kind != Taken {
+		if got := l.Accept(note("m")); got.Kind != Accepted {
 			t.Fatalf("got %+v", got)
 		}
 	}
 	l := &Engine{inbox: make(chan any), done: make(chan struct{})}
 	close(l.done)
-	if got := l.Take(note("m")); got.Kind != Refused {
+	if got := l.Accept(note("m")); got.Kind != Refused {
 		t.Errorf("after the end, got %+v", got)
 	}
 }
@@ -257,24 +257,24 @@
 // it in can neither confirm the first one's message nor withdraw it.
 func TestHandedInTwice(t *testing.T) {
 	n := startLoop(t, nil)
-	answer := n.loop.Take(note("m"))
-	if answer.Kind != Taken {
+	answer := n.loop.Accept(note("m"))
+	if answer.Kind != Accepted {
 		t.Fatal(answer)
 	}
-	if got := n.loop.Take(note("m")); got.Kind != Rejected || got.Written != nil {
+	if got := n.loop.Accept(note("m")); got.Kind != Rejected || got.ConfirmWritten != nil {
 		t.Errorf("before the first client has its +OK, the second got %+v", got)
 	}
 	if len(n.calls) > 0 {
 		t.Error("sent before its client has its +OK")
 	}
-	answer.Written(true)
+	answer.ConfirmWritten(true)
 	if got := <-n.calls; got != "m" {
 		t.Errorf("%s was sent", got)
 	}
 
 	n = startLoop(t, func(w *world) { w.list.Endpoints[0].State = decide.Draining }) // nothing can be sent
-	n.loop.Take(note("m")).Written(true)
-	if got := n.loop.Take(note("m")); got.Kind != Taken || got.Written != nil {
+	n.loop.Accept(note("m")).ConfirmWritten(true)
+	if got := n.loop.Accept(note("m")); got.Kind != Accepted || got.ConfirmWritten != nil {
 		t.Errorf("held already: got %+v", got)
 	}
 	if live := n.onDisk(t); len(live) != 1 {
@@ -303,7 +303,7 @@
 			if c.msg != nil {
 				c.msg(m)
 			}
-			if got := n.loop.Take(m); !reflect.DeepEqual(got, c.want) {
+			if got := n.loop.Accept(m); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 			if live := n.onDisk(t); len(live) != 0 {
@@ -317,14 +317,14 @@
 // is not held for longer than its class allows, whatever its client says.
 func TestIntakeBounds(t *testing.T) {
 	n := startLoop(t, nil)
-	n.loop.List(List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: "s1", Destination: 7, State: decide.Gone}}}})
+	n.loop.UpdateEndpoints(List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: "s1", Destination: 7, State: decide.Gone}}}})
 	m := note("m")
 	m.Left = 1e6 * time.Second
-	answer := n.loop.Take(m)
-	if answer.Kind != Taken {
+	answer := n.loop.Accept(m)
+	if answer.Kind != Accepted {
 		t.Fatalf("with its targets away, got %+v", answer)
 	}
-	answer.Written(true)
+	answer.ConfirmWritten(true)
 	if left := time.Until(n.onDisk(t)["m"].Deadline); left > 5*time.Minute {
 		t.Errorf("held for %v", left)
 	}
--- a/internal/engine/relisted_test.go
+++ b/internal/engine/relisted_test.go
@@ -48,12 +48,12 @@
 							if first.Add(1) == 1 {
 								close(out)
 								<-answer
-								a.Told(wait) // its body is still to come: the loop hears nothing yet
+								a.OnRetryAfter(wait) // its body is still to come: the loop hears nothing yet
 								answer <- true
 								<-answer
 								return decide.Outcome{Result: decide.Overloaded, RetryAfter: wait}
 							}
-							if !a.Begin() {
+							if !a.MayBegin() {
 								held.Add(1)
 								return decide.Outcome{Result: decide.NotSent}
 							}
@@ -62,8 +62,8 @@
 						}
 					})
 					hand := func(id string) {
-						if got := n.loop.Take(note(id)); got.Kind == Taken {
-							got.Written(true)
+						if got := n.loop.Accept(note(id)); got.Kind == Accepted {
+							got.ConfirmWritten(true)
 						} else {
 							t.Errorf("%s: %+v", id, got)
 						}
@@ -82,7 +82,7 @@
 						case when == "told before it leaves" && i == 0, when == "told while it is away" && i == 1:
 							tell()
 						}
-						if !n.loop.ListWithin(l, time.Minute) {
+						if !n.loop.UpdateEndpointsAndWait(l, time.Minute) {
 							t.Fatal("a list does not bind")
 						}
 					}
--- a/internal/engine/repeat_test.go
+++ b/internal/engine/repeat_test.go
@@ -28,7 +28,7 @@
 					}
 					defer func() { done <- true }()
 					time.Sleep(connects) // the connection comes up
-					if !a.Begin() {
+					if !a.MayBegin() {
 						return decide.Outcome{Result: decide.NotSent}
 					}
 					if time.Since(first) > window {
@@ -39,11 +39,11 @@
 			})
 			m := note("m")
 			m.Class = "keyed"
-			got := n.loop.Take(m)
-			if got.Kind != Taken {
+			got := n.loop.Accept(m)
+			if got.Kind != Accepted {
 				t.Fatalf("%+v", got)
 			}
-			got.Written(true)
+			got.ConfirmWritten(true)
 			<-done
 			if late.Load() > 0 {
 				t.Errorf("connected after %v: begun outside of the window", connects)
--- a/internal/engine/waits_test.go
+++ b/internal/engine/waits_test.go
@@ -45,7 +45,7 @@
 						refused = a.ID
 						mu.Unlock()
 						if c.read {
-							a.Told(wait)
+							a.OnRetryAfter(wait)
 							told <- time.Now()
 							<-asked
 						} else {
@@ -59,7 +59,7 @@
 							time.Sleep(50 * time.Millisecond) // the loop has heard; what it has not is let through by the rules
 						}
 					}
-					begins := a.Begin()
+					begins := a.MayBegin()
 					if slow {
 						close(asked)
 					}
@@ -76,11 +76,11 @@
 			hand := func(id string, destination int) {
 				m := note(id)
 				m.Destination = destination
-				got := n.loop.Take(m)
-				if got.Kind != Taken {
+				got := n.loop.Accept(m)
+				if got.Kind != Accepted {
 					t.Fatalf("%s: %+v", id, got)
 				}
-				got.Written(true)
+				got.ConfirmWritten(true)
 			}
 			hand("m1", 7)
 			<-connecting
--- a/internal/front/resp2/server.go
+++ b/internal/front/resp2/server.go
@@ -42,7 +42,7 @@
 
 // Taker takes a message on or turns it away.
 type Taker interface {
-	Take(*message.Message) engine.Answer
+	Accept(*message.Message) engine.Answer
 }
 
 // Server serves RESP2. The commands are read here and not by
@@ -379,17 +379,17 @@
 
 // enqueue hands a message in and words the answer.
 func (c *Server) enqueue(m *message.Message) (string, func(bool)) {
-	a := c.take.Take(m)
+	a := c.take.Accept(m)
 	switch a.Kind {
-	case engine.Taken:
-		return "+OK\r\n", a.Written
+	case engine.Accepted:
+		return "+OK\r\n", a.ConfirmWritten
 	case engine.Refused:
-		if a.Wait <= 0 {
+		if a.RetryAfter <= 0 {
 			return "-BUSY\r\n", nil
 		}
-		return fmt.Sprintf("-BUSY %d\r\n", a.Wait.Milliseconds()), nil
+		return fmt.Sprintf("-BUSY %d\r\n", a.RetryAfter.Milliseconds()), nil
 	}
-	return "-ERR " + a.Why + "\r\n", nil
+	return "-ERR " + a.Reason + "\r\n", nil
 }
 
 func parseEnqueue(args [][]byte, read time.Time) (*message.Message, error) {
--- a/internal/front/resp2/server_test.go
+++ b/internal/front/resp2/server_test.go
@@ -18,7 +18,7 @@
 // taker is a Taker made of a function.
 type taker func(*message.Message) engine.Answer
 
-func (f taker) Take(m *message.Message) engine.Answer { return f(m) }
+func (f taker) Accept(m *message.Message) engine.Answer { return f(m) }
 
 // startClients serves an intake on a loopback port.
 func startClients(t *testing.T, most int, take Taker) (*Server, string) {
@@ -73,7 +73,7 @@
 // the next connection is served: a bad request must not end the process.
 func TestClientRequests(t *testing.T) {
 	_, address := startClients(t, 100, taker(func(m *message.Message) engine.Answer {
-		return engine.Answer{Kind: engine.Rejected, Why: fmt.Sprint(m.ID, " ", m.Class, " ", m.Left, " ", m.Destination, " ",
+		return engine.Answer{Kind: engine.Rejected, Reason: fmt.Sprint(m.ID, " ", m.Class, " ", m.Left, " ", m.Destination, " ",
 			m.Again, " ", m.Body.Len())}
 	}))
 	for _, c := range []struct{ name, send, want string }{
@@ -259,10 +259,10 @@
 func TestAnswers(t *testing.T) {
 	written := make(chan bool, 1)
 	answers := map[string]engine.Answer{
-		"+OK":         {Kind: engine.Taken, Written: func(ok bool) { written <- ok }},
+		"+OK":         {Kind: engine.Accepted, ConfirmWritten: func(ok bool) { written <- ok }},
 		"-BUSY":       {Kind: engine.Refused},
-		"-BUSY 1500":  {Kind: engine.Refused, Wait: 1500 * time.Millisecond},
-		"-ERR failed": {Kind: engine.Rejected, Why: "failed"},
+		"-BUSY 1500":  {Kind: engine.Refused, RetryAfter: 1500 * time.Millisecond},
+		"-ERR failed": {Kind: engine.Rejected, Reason: "failed"},
 	}
 	_, address := startClients(t, 10, taker(func(m *message.Message) engine.Answer { return answers[m.Class] }))
 	conn, r := dial(t, address)
--- a/internal/operations/control.go
+++ b/internal/operations/control.go
@@ -27,7 +27,7 @@
 type Part struct {
 	Clients Clients
 	Members Members
-	Figures func() *engine.Figures
+	Figures func() *engine.Stats
 	// JournalFailing returns since when the journal keeps no records; zero if it does. nil: it always does.
 	JournalFailing func() time.Time
 }
@@ -203,11 +203,11 @@
 }
 
 // figures is the newest there are.
-func (c *Control) figures() *engine.Figures {
+func (c *Control) figures() *engine.Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.part.Figures == nil { // it has not served yet
-		return &engine.Figures{}
+		return &engine.Stats{}
 	}
 	return c.part.Figures()
 }
--- a/internal/operations/stats.go
+++ b/internal/operations/stats.go
@@ -18,13 +18,13 @@
 func (c *Control) Stats() any { return StatsOf(c.figures()) }
 
 // StatsOf words figures.
-func StatsOf(f *engine.Figures) Stats {
+func StatsOf(f *engine.Stats) Stats {
 	s := Stats{Fulfilled: map[string]uint64{}, Throttled: map[string]uint64{}, Faulted: map[string]uint64{},
-		Relayed: f.Relayed, OpenRequests: f.Open, Registry: f.Listed, OutOfRotation: f.OutOfCall}
+		Relayed: f.Relayed, OpenRequests: f.Open, Registry: f.Listed, OutOfRotation: f.OutOfRotation}
 	for class, t := range f.Classes {
-		s.Fulfilled[class] = t.Fulfilled
-		s.Throttled[class] = t.TurnedAway + t.HandedBack
-		s.Faulted[class] = t.Spurned + t.Faulted
+		s.Fulfilled[class] = t.Delivered
+		s.Throttled[class] = t.RefusedAtIntake + t.RefusedAfterAccept
+		s.Faulted[class] = t.RejectedAtIntake + t.Failed
 	}
 	return s
 }
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -200,10 +200,10 @@
 // destination under which rule; 0 for no limit.
 func (l *Limits) Intake(class string, dest int, route string) (i engine.Limits) {
 	if rule := l.of(whole, class, dest, route); rule != nil {
-		i.Whole = time.Duration(rule.Whole)
+		i.Total = time.Duration(rule.Whole)
 	}
 	if rule := l.of(held, class, dest, route); rule != nil {
-		i.Rule, i.Held = rule.Name, rule.Held
+		i.Rule, i.Queued = rule.Name, rule.Held
 	}
 	if rule := l.of(connect, class, dest, route); rule != nil {
 		i.Connect = time.Duration(rule.Connect)
--- a/internal/operator/pools.go
+++ b/internal/operator/pools.go
@@ -178,7 +178,7 @@
 			}
 			address := e.Address
 			if e.Protocol != "" && e.Protocol != "http" {
-				address = engine.MailAddress{LMTP: e.Protocol == engine.LMTP, At: address, From: p.Sender, To: p.Recipient}.String()
+				address = engine.MailAddress{LMTP: e.Protocol == engine.LMTP, HostPort: address, From: p.Sender, To: p.Recipient}.String()
 			}
 			l.Endpoints = append(l.Endpoints, engine.Endpoint{Address: address,
 				Target: decide.Target{ID: e.Name, Destination: p.Number(), Zone: e.Zone, State: state, Backup: e.Backup, Share: float64(e.Weight)}})
--- a/internal/plugin/runner/runner.go
+++ b/internal/plugin/runner/runner.go
@@ -25,7 +25,7 @@
 
 // Taker takes a message on or turns it away.
 type Taker interface {
-	Take(*message.Message) engine.Answer
+	Accept(*message.Message) engine.Answer
 }
 
 // Runner holds the plug-ins that are loaded.
@@ -37,7 +37,7 @@
 	now     atomic.Pointer[set]
 	load    sync.Mutex
 	retired sync.WaitGroup // pools that were replaced, until they have ended
-	finals  chan engine.Ending
+	finals  chan engine.MessageOutcome
 	unseen  atomic.Uint64
 
 	mu     sync.RWMutex
@@ -57,7 +57,7 @@
 // New makes a Runner without plug-ins. The command starts a process that serves one (package host).
 func New(command []string) *Runner {
 	ctx, stop := context.WithCancel(context.Background())
-	r := &Runner{command: command, ctx: ctx, stop: stop, finals: make(chan engine.Ending, finalsWaiting),
+	r := &Runner{command: command, ctx: ctx, stop: stop, finals: make(chan engine.MessageOutcome, finalsWaiting),
 		active: map[int][]plugin.Endpoint{}, where: map[string]int{}}
 	r.now.Store(&set{choices: plugin.Choices{}})
 	r.wg.Go(r.observe)
@@ -154,12 +154,12 @@
 }
 
 // Take runs in the goroutine of the message's client. What the plug-ins take of its time counts in the message's time.
-func (f front) Take(m *message.Message) engine.Answer {
+func (f front) Accept(m *message.Message) engine.Answer {
 	altered, answer := f.ask(m)
 	if altered == nil {
 		return answer
 	}
-	return f.next.Take(altered)
+	return f.next.Accept(altered)
 }
 
 // ask asks the plug-ins. Without a message the answer is final.
@@ -175,7 +175,7 @@
 			body, err := m.Body.Load()
 			if err != nil {
 				slog.Error("a body can't be read", "id", m.ID, "err", err)
-				return nil, engine.Answer{Kind: engine.Refused, Wait: p.spec.Wait}
+				return nil, engine.Answer{Kind: engine.Refused, RetryAfter: p.spec.Wait}
 			}
 			d = &plugin.Draft{Body: body, Endpoints: f.r.endpoints(m.Destination)}
 		}
@@ -195,11 +195,11 @@
 		switch {
 		case err != nil && p.spec.Pass:
 		case err != nil:
-			return nil, engine.Answer{Kind: engine.Refused, Wait: p.spec.Wait}
+			return nil, engine.Answer{Kind: engine.Refused, RetryAfter: p.spec.Wait}
 		case d.Refused && d.Wait > 0:
-			return nil, engine.Answer{Kind: engine.Refused, Wait: d.Wait}
+			return nil, engine.Answer{Kind: engine.Refused, RetryAfter: d.Wait}
 		case d.Refused:
-			return nil, engine.Answer{Kind: engine.Rejected, Why: "plug-in " + p.spec.Name + ": " + d.Reason}
+			return nil, engine.Answer{Kind: engine.Rejected, Reason: "plug-in " + p.spec.Name + ": " + d.Reason}
 		}
 	}
 	if d == nil {
@@ -238,9 +238,9 @@
 	next engine.Back
 }
 
-func (b *back) List(l engine.List) {
+func (b *back) UpdateEndpoints(l engine.List) {
 	b.r.list(l)
-	b.next.List(l)
+	b.next.UpdateEndpoints(l)
 }
 
 // list notes which endpoints may be called. What is handed out is not changed any more.
@@ -324,7 +324,7 @@
 	var content *plugin.Content
 	for _, p := range s.pools {
 		if p.spec.Binds(plugin.Reply, a.Class, a.Destination) {
-			a.Reply = &engine.Reply{Most: plugin.ReplyBody}
+			a.Reply = &engine.Reply{MaxBody: plugin.ReplyBody}
 		}
 		if !p.spec.Binds(plugin.Call, a.Class, a.Destination) {
 			continue
@@ -361,7 +361,7 @@
 }
 
 // Ended is for the engine to tell of ends. It does not wait.
-func (r *Runner) Ended(e engine.Ending) {
+func (r *Runner) Ended(e engine.MessageOutcome) {
 	if len(r.now.Load().pools) == 0 {
 		return
 	}
@@ -382,7 +382,7 @@
 			s := r.use()
 			for _, p := range s.pools {
 				if p.spec.Binds(plugin.Final, e.Class, e.Destination) {
-					p.ask(&plugin.Request{Point: plugin.Final, ID: e.ID, Class: e.Class, Destination: e.Destination, End: e.How},
+					p.ask(&plugin.Request{Point: plugin.Final, ID: e.ID, Class: e.Class, Destination: e.Destination, End: e.Result},
 						func(*plugin.Result) error { return errors.New("after the end nothing can be changed") })
 				}
 			}
--- a/internal/plugin/runner/runner_test.go
+++ b/internal/plugin/runner/runner_test.go
@@ -85,15 +85,15 @@
 	list []*message.Message
 }
 
-func (k *taker) Take(m *message.Message) engine.Answer {
+func (k *taker) Accept(m *message.Message) engine.Answer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.list = append(k.list, m)
-	return engine.Answer{Kind: engine.Taken}
+	return engine.Answer{Kind: engine.Accepted}
 }
 
 func handIn(f Taker, body string) engine.Answer {
-	return f.Take(&message.Message{ID: "7f", Class: "note", Destination: 7, Left: 3 * time.Second, Read: time.Now(), Body: message.Bytes(body)})
+	return f.Accept(&message.Message{ID: "7f", Class: "note", Destination: 7, Left: 3 * time.Second, Read: time.Now(), Body: message.Bytes(body)})
 }
 
 // TestIntake: what a plug-in wishes for before a message is taken on, and what comes of it.
@@ -107,24 +107,24 @@
 		body, more string
 		why        string // a part of the last error
 	}{
-		{"nothing", "return None", nil, engine.Answer{Kind: engine.Taken}, "body", "", ""},
-		{"altered", `return change(body = message.body.upper(), header = {"X-A": "1"}, only = ["b"], prefer = ["b"])`, nil, engine.Answer{Kind: engine.Taken}, "BODY", "[b] [b] [{X-A 1}]", ""},
-		{"refused", `return refuse("not\r\nhere")`, nil, engine.Answer{Kind: engine.Rejected, Why: "plug-in p: not  here"}, "", "", ""},
-		{"refused for a while", `return refuse("later", retry_after = "2s")`, nil, engine.Answer{Kind: engine.Refused, Wait: 2 * time.Second}, "", "", ""},
-		{"another's endpoint", `return change(only = ["other"])`, nil, engine.Answer{Kind: engine.Refused, Wait: time.Second}, "", "", ""},
-		{"one that drains", `return change(only = ["drains"])`, pass, engine.Answer{Kind: engine.Taken}, "body", "", ""},
-		{"another id", `return change(body = "x", header = {"Req-Id": "0"})`, pass, engine.Answer{Kind: engine.Taken}, "body", "", ""},
-		{"an endless loop", "while True:\n        pass", nil, engine.Answer{Kind: engine.Refused, Wait: time.Second}, "", "", ""},
-		{"an endless loop, passed", "while True:\n        pass", pass, engine.Answer{Kind: engine.Taken}, "body", "", ""},
-		{"a gigabyte", "x = \"x\"\n    for i in range(30):\n        x = x + x\n    return change(body = x)", nil, engine.Answer{Kind: engine.Refused, Wait: time.Second}, "", "", "its process ended"},
-		{"one step without end", "x = 3\n    for i in range(60):\n        x = x * x", impatient, engine.Answer{Kind: engine.Refused, Wait: time.Second}, "", "", ""},
+		{"nothing", "return None", nil, engine.Answer{Kind: engine.Accepted}, "body", "", ""},
+		{"altered", `return change(body = message.body.upper(), header = {"X-A": "1"}, only = ["b"], prefer = ["b"])`, nil, engine.Answer{Kind: engine.Accepted}, "BODY", "[b] [b] [{X-A 1}]", ""},
+		{"refused", `return refuse("not\r\nhere")`, nil, engine.Answer{Kind: engine.Rejected, Reason: "plug-in p: not  here"}, "", "", ""},
+		{"refused for a while", `return refuse("later", retry_after = "2s")`, nil, engine.Answer{Kind: engine.Refused, RetryAfter: 2 * time.Second}, "", "", ""},
+		{"another's endpoint", `return change(only = ["other"])`, nil, engine.Answer{Kind: engine.Refused, RetryAfter: time.Second}, "", "", ""},
+		{"one that drains", `return change(only = ["drains"])`, pass, engine.Answer{Kind: engine.Accepted}, "body", "", ""},
+		{"another id", `return change(body = "x", header = {"Req-Id": "0"})`, pass, engine.Answer{Kind: engine.Accepted}, "body", "", ""},
+		{"an endless loop", "while True:\n        pass", nil, engine.Answer{Kind: engine.Refused, RetryAfter: time.Second}, "", "", ""},
+		{"an endless loop, passed", "while True:\n        pass", pass, engine.Answer{Kind: engine.Accepted}, "body", "", ""},
+		{"a gigabyte", "x = \"x\"\n    for i in range(30):\n        x = x + x\n    return change(body = x)", nil, engine.Answer{Kind: engine.Refused, RetryAfter: time.Second}, "", "", "its process ended"},
+		{"one step without end", "x = 3\n    for i in range(60):\n        x = x * x", impatient, engine.Answer{Kind: engine.Refused, RetryAfter: time.Second}, "", "", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.set == nil {
 				c.set = func(*plugin.Spec) {}
 			}
 			r, k := loaded(t, spec(t, "p", "def intake(message):\n    "+c.hook+"\n", c.set)), &taker{}
-			if got := handIn(r.Front(k), "body"); got.Kind != c.want.Kind || got.Why != c.want.Why || got.Wait != c.want.Wait {
+			if got := handIn(r.Front(k), "body"); got.Kind != c.want.Kind || got.Reason != c.want.Reason || got.RetryAfter != c.want.RetryAfter {
 				t.Fatalf("%+v, %+v is wanted; %+v", got, c.want, r.Status())
 			}
 			if c.why != "" {
@@ -188,7 +188,7 @@
 	}
 	f := r.Front(k)
 	for i := range 40 {
-		f.Take(&message.Message{ID: fmt.Sprint(i), Class: "note", Destination: 7, Left: 3 * time.Second, Read: time.Now(), Body: message.Bytes("b")})
+		f.Accept(&message.Message{ID: fmt.Sprint(i), Class: "note", Destination: 7, Left: 3 * time.Second, Read: time.Now(), Body: message.Bytes("b")})
 	}
 	for _, m := range k.list {
 		if body, _ := m.Body.Load(); string(body) != m.ID {
@@ -240,7 +240,7 @@
 	got    []engine.Attempt
 }
 
-func (c *called) List(engine.List)              {}
+func (c *called) UpdateEndpoints(engine.List)   {}
 func (c *called) Endpoint(string) engine.Caller { return c }
 func (c *called) CloseIdle()                    {}
 func (c *called) Call(_ context.Context, a engine.Attempt) decide.Outcome {
@@ -296,7 +296,7 @@
 	r, k := loaded(t, hangs), &taker{}
 	f := r.Front(k)
 	for range 50 {
-		if a := handIn(f, "bad"); a.Kind != engine.Refused || a.Wait != time.Second {
+		if a := handIn(f, "bad"); a.Kind != engine.Refused || a.RetryAfter != time.Second {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -304,7 +304,7 @@
 	if s.Circuit != "open" || s.Calls > 10 || s.Costly != s.Calls || s.Skipped < 40 || len(s.Errors) == 0 || !strings.Contains(s.Errors[0].Error, "too many steps") {
 		t.Fatalf("%+v", s)
 	}
-	for end := time.Now().Add(20 * time.Second); handIn(f, "good").Kind != engine.Taken; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); handIn(f, "good").Kind != engine.Accepted; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("it is not asked again: %+v", r.Status())
 		}
@@ -324,7 +324,7 @@
 		to.cmd.Process.Kill()
 		<-to.gone
 		pool.idle <- to // as if nobody had noticed
-		for end := time.Now().Add(20 * time.Second); handIn(f, "b").Kind != engine.Taken; time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); handIn(f, "b").Kind != engine.Accepted; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%+v", r.Status())
 			}
@@ -349,7 +349,7 @@
 	for range callers {
 		wg.Go(func() {
 			for range each {
-				if a := handIn(f, "b"); a.Kind != engine.Taken {
+				if a := handIn(f, "b"); a.Kind != engine.Accepted {
 					t.Errorf("%+v %+v", a, r.Status())
 					return
 				}
@@ -410,7 +410,7 @@
 		for range 3 {
 			k := &taker{}
 			a := handIn(r.Front(k), "body")
-			if a.Kind == engine.Taken {
+			if a.Kind == engine.Accepted {
 				if x := k.list[0].Extras; k.list[0].ID != "7f" || k.list[0].Destination != 7 || x != nil && slices.ContainsFunc(append(x.Only, x.Prefer...), func(n string) bool { return n != "a" }) {
 					t.Fatalf("%+v\n%s", k.list[0], source)
 				}
@@ -419,7 +419,7 @@
 			if o := r.Back(end).Endpoint("a").Call(t.Context(), engine.Attempt{ID: "7f", Class: "note", Destination: 7, Body: message.Bytes("body"), Timeout: time.Minute}); o.Result != decide.Overloaded && o.Result != decide.NotSent {
 				t.Fatalf("%+v\n%s", o, source)
 			}
-			r.Ended(engine.Ending{ID: "7f", Class: "note", Destination: 7, How: "failed"})
+			r.Ended(engine.MessageOutcome{ID: "7f", Class: "note", Destination: 7, Result: "failed"})
 			calls++
 		}
 	}
--- a/internal/scale/node.go
+++ b/internal/scale/node.go
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	back := httpcall.New(httpcall.Config{Connections: callConnections, ConnIdle: settings.ConnIdle, ConnectLimit: settings.ConnectTimeout})
-	e, err := engine.New(engine.Config{Settings: settings, Journal: store, Back: back, Finals: map[string]engine.Finals{"": noFinals{}}})
+	e, err := engine.New(engine.Config{Settings: settings, Journal: store, Back: back, CompletionNotifiers: map[string]engine.CompletionNotifier{"": noFinals{}}})
 	if err != nil {
 		return nil, fmt.Errorf("node %s: %w", name, err)
 	}
@@ -111,7 +111,7 @@
 
 // apply has a list in force.
 func (n *Node) apply(index int64, l engine.List) {
-	if n.engine.ListWithin(l, applyWithin) {
+	if n.engine.UpdateEndpointsAndWait(l, applyWithin) {
 		n.clock.note(index, time.Now())
 	}
 }
@@ -177,4 +177,4 @@
 // noFinals takes no final answers: there are no messages.
 type noFinals struct{}
 
-func (noFinals) Final(engine.Final) {}
+func (noFinals) NotifyCompletion(engine.Completion) {}
