--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -146,7 +146,7 @@
 }
 
 func (t lookupFront) Accept(m *message.Message) engine.Answer {
-	d := t.follower.Arrive(m.Destination, m.Read.Add(lookupWait))
+	d := t.follower.Arrive(m.Destination, m.ReadAt.Add(lookupWait))
 	if d.Verdict == partial.Reject {
 		if t.set.sources.inFile(m.Destination) { // its endpoints in the operators' file are known
 			return t.next.Accept(m)
--- a/cmd/scaleroute/routes.go
+++ b/cmd/scaleroute/routes.go
@@ -26,7 +26,7 @@
 		return r.next.Accept(m)
 	}
 	led := *m // the client's goroutine holds the other
-	led.Extras = &message.Extras{Route: way.Name, For: m.Destination}
+	led.Extras = &message.Extras{Route: way.Name, Requested: m.Destination}
 	led.Destination = way.To
 	return r.next.Accept(&led)
 }
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -80,7 +80,7 @@
 	_, portable := to.(Portable)
 	slot := l.acting.begin(s.Target)
 	e.calls = append(e.calls, out{n, cancel, portable, slot})
-	try, decided := Attempt{ID: s.Message, Class: e.saved.Class, Destination: e.saved.Extras.Asked(e.saved.Dest), Number: n,
+	try, decided := Attempt{ID: s.Message, Class: e.saved.Class, Destination: e.saved.Extras.RequestedDestination(e.saved.Dest), Number: n,
 		Body: e.saved.Body, Timeout: s.Timeout, OnWritten: l.counts.wrote, MayBegin: l.waits.mayBeginElse}, time.Now()
 	told := l.waits.of(s.Target)
 	if told.began(); told != nil {
@@ -93,7 +93,7 @@
 		try.Header = x.Header
 	}
 	if l.limits != nil {
-		try.ConnectTimeout = l.limits(e.saved.Class, e.saved.Dest, e.saved.Extras.Took()).Connect
+		try.ConnectTimeout = l.limits(e.saved.Class, e.saved.Dest, e.saved.Extras.RouteName()).Connect
 	}
 	undo := func(ctx context.Context) {
 		o := decide.Outcome{Message: s.Message, Attempt: n, Target: s.Target, Result: decide.NotSent}
--- a/internal/engine/completion.go
+++ b/internal/engine/completion.go
@@ -48,7 +48,7 @@
 
 func (l *Engine) tellEnd(e *entry, how string) {
 	if l.ended != nil {
-		l.ended(MessageOutcome{e.saved.ID, e.saved.Class, e.saved.Extras.Asked(e.saved.Dest), how})
+		l.ended(MessageOutcome{e.saved.ID, e.saved.Class, e.saved.Extras.RequestedDestination(e.saved.Dest), how})
 	}
 }
 
--- a/internal/engine/entry.go
+++ b/internal/engine/entry.go
@@ -52,7 +52,7 @@
 	if l.limits == nil {
 		return
 	}
-	if i := l.limits(e.saved.Class, e.saved.Dest, e.saved.Extras.Took()); i.Queued > 0 {
+	if i := l.limits(e.saved.Class, e.saved.Dest, e.saved.Extras.RouteName()); i.Queued > 0 {
 		e.cap = intake.Cap{Rule: i.Rule, Destination: e.saved.Dest}
 		l.caps.Add(e.cap, 1)
 	}
--- a/internal/engine/evict.go
+++ b/internal/engine/evict.go
@@ -18,7 +18,7 @@
 func (l *Engine) evict(v evicted) {
 	l.list(v.List)
 	for _, d := range v.destinations {
-		if !l.shares.Holds(d) {
+		if !l.shares.HasQueued(d) {
 			delete(l.dests, d)
 		}
 	}
--- a/internal/engine/figures_test.go
+++ b/internal/engine/figures_test.go
@@ -102,7 +102,7 @@
 				m.Destination = 8 // held
 			}
 			if rng.IntN(10) == 0 {
-				m.Left = 0 // refused at once
+				m.TimeLeft = 0 // refused at once
 			}
 			if rng.IntN(20) == 0 {
 				m.Destination = 9 // there is none
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -213,7 +213,7 @@
 	slot, told := l.acting.resume(from), l.waits.of(endpoint)
 	e.calls = append(e.calls, out{attempt, cancel, true, slot})
 	told.began()
-	a := Attempt{ID: e.saved.ID, Class: e.saved.Class, Destination: e.saved.Extras.Asked(e.saved.Dest), Number: attempt}
+	a := Attempt{ID: e.saved.ID, Class: e.saved.Class, Destination: e.saved.Extras.RequestedDestination(e.saved.Dest), Number: attempt}
 	l.add(effectFree, nil, func() {
 		go func() {
 			keep := keeper{l: l, told: told, carried: carried{message: a.ID, endpoint: endpoint, attempt: attempt, slot: slot}, wrote: true}
--- a/internal/engine/intake.go
+++ b/internal/engine/intake.go
@@ -70,15 +70,15 @@
 		turnAway(rejected("unknown destination"))
 		return
 	}
-	left, limits := min(m.Left, class.Deadline), Limits{}
+	left, limits := min(m.TimeLeft, class.Deadline), Limits{}
 	if l.limits != nil {
-		limits = l.limits(m.Class, m.Destination, m.Extras.Took())
+		limits = l.limits(m.Class, m.Destination, m.Extras.RouteName())
 	}
 	if limits.Total > 0 {
 		left = min(left, limits.Total)
 	}
 	s := &journal.MessageState{ID: m.ID, Origin: m.Origin, Class: m.Class, Dest: m.Destination, Body: m.Body, Extras: m.Extras,
-		Deadline: m.Read.Add(left - intakeSlack)}
+		Deadline: m.ReadAt.Add(left - intakeSlack)}
 	if limits.Queued > 0 && !l.caps.Admits(intake.Cap{Rule: limits.Rule, Destination: m.Destination}, limits.Queued) {
 		turnAway(refused(diskWait))
 		return
@@ -101,7 +101,7 @@
 	l.keep(e)
 	l.arrived = append(l.arrived, e)
 	l.events = append(l.events, decide.Message{ID: m.ID, Class: m.Class, Destination: m.Destination,
-		TimeLeft: time.Until(s.Deadline), FromFailedForwarder: m.Again, ClientRetry: m.Repeat, Filter: among(m.Extras), Route: m.Extras.Took()})
+		TimeLeft: time.Until(s.Deadline), FromFailedForwarder: m.Resubmitted, ClientRetry: m.Repeat, Filter: among(m.Extras), Route: m.Extras.RouteName()})
 }
 
 // among is what the module is told of a message's endpoints.
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -102,7 +102,7 @@
 	entries map[string]*entry
 	events  []decide.Event
 	arrived []*entry // in this round
-	shares  intake.Shares
+	shares  intake.FairShare
 	caps    intake.Caps
 	limits  func(class string, destination int, route string) Limits
 	ended   func(MessageOutcome)
@@ -205,7 +205,7 @@
 		}
 		l.taken(e)
 		list = append(list, decide.Message{ID: s.ID, Class: s.Class, Destination: s.Dest,
-			TimeLeft: s.Deadline.Sub(now), Filter: among(s.Extras), Route: s.Extras.Took(), Recovered: true, Attempts: s.Attempts, HasOpenAttempt: s.InFlight, MayHaveRun: s.PossiblyRan()})
+			TimeLeft: s.Deadline.Sub(now), Filter: among(s.Extras), Route: s.Extras.RouteName(), Recovered: true, Attempts: s.Attempts, HasOpenAttempt: s.InFlight, MayHaveRun: s.PossiblyRan()})
 	}
 	return list
 }
--- a/internal/engine/loop_test.go
+++ b/internal/engine/loop_test.go
@@ -137,7 +137,7 @@
 }
 
 func note(id string) *message.Message {
-	return &message.Message{ID: id, Class: "note", Destination: 7, Left: time.Minute, Body: message.Bytes("x"), Read: time.Now()}
+	return &message.Message{ID: id, Class: "note", Destination: 7, TimeLeft: time.Minute, Body: message.Bytes("x"), ReadAt: time.Now()}
 }
 
 // onDisk reads the journal as a restart would; the loop may go on.
@@ -293,7 +293,7 @@
 	}{
 		{"unknown class", nil, func(m *message.Message) { m.Class = "other" }, rejected("unknown class")},
 		{"unknown destination", nil, func(m *message.Message) { m.Destination = 8 }, rejected("unknown destination")},
-		{"no time left", nil, func(m *message.Message) { m.Left = 0 }, refused(0)},
+		{"no time left", nil, func(m *message.Message) { m.TimeLeft = 0 }, refused(0)},
 		{"hold full", func(w *world) { w.settings.MaxOpen = 1 }, nil, refused(0)},
 		{"disk full", func(w *world) { w.diskMB = 0.017 }, nil, refused(time.Second)},
 	} {
@@ -319,7 +319,7 @@
 	n := startLoop(t, nil)
 	n.loop.UpdateEndpoints(List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: "s1", Destination: 7, State: decide.Gone}}}})
 	m := note("m")
-	m.Left = 1e6 * time.Second
+	m.TimeLeft = 1e6 * time.Second
 	answer := n.loop.Accept(m)
 	if answer.Kind != Accepted {
 		t.Fatalf("with its targets away, got %+v", answer)
--- a/internal/front/resp2/gap_test.go
+++ b/internal/front/resp2/gap_test.go
@@ -41,7 +41,7 @@
 				defer ln.Close()
 				ages := make(chan time.Duration, 2)
 				server := New(ln, 10, taker(func(m *message.Message) engine.Answer {
-					ages <- time.Since(m.Read)
+					ages <- time.Since(m.ReadAt)
 					return engine.Answer{}
 				}))
 				conn, r := dial(t, ln.Addr().String())
--- a/internal/front/resp2/server.go
+++ b/internal/front/resp2/server.go
@@ -396,7 +396,7 @@
 	if len(args) != 5 {
 		return nil, errors.New("ENQUEUE takes a key, an id, a list and a body")
 	}
-	req := &message.Message{ID: string(args[2]), Destination: -1, Fields: string(args[3]), Body: message.Bytes(args[4]), Read: read}
+	req := &message.Message{ID: string(args[2]), Destination: -1, Fields: string(args[3]), Body: message.Bytes(args[4]), ReadAt: read}
 	if !plainWord(req.ID) {
 		return nil, errors.New("bad id")
 	}
@@ -419,7 +419,7 @@
 			if err != nil || !(ms >= 0 && ms <= 1e9) {
 				return nil, errors.New("bad time")
 			}
-			req.Left = time.Duration(ms * float64(time.Millisecond))
+			req.TimeLeft = time.Duration(ms * float64(time.Millisecond))
 		case "dest":
 			n, err := strconv.ParseInt(value, 10, 32)
 			if err != nil || n < 0 {
@@ -429,7 +429,7 @@
 		case "r":
 			req.Repeat = value == "1"
 		case "again":
-			req.Again = value == "1"
+			req.Resubmitted = value == "1"
 		}
 	}
 	if req.Class == "" || req.Destination < 0 {
--- a/internal/front/resp2/server_test.go
+++ b/internal/front/resp2/server_test.go
@@ -73,8 +73,8 @@
 // the next connection is served: a bad request must not end the process.
 func TestClientRequests(t *testing.T) {
 	_, address := startClients(t, 100, taker(func(m *message.Message) engine.Answer {
-		return engine.Answer{Kind: engine.Rejected, Reason: fmt.Sprint(m.ID, " ", m.Class, " ", m.Left, " ", m.Destination, " ",
-			m.Again, " ", m.Body.Len())}
+		return engine.Answer{Kind: engine.Rejected, Reason: fmt.Sprint(m.ID, " ", m.Class, " ", m.TimeLeft, " ", m.Destination, " ",
+			m.Resubmitted, " ", m.Body.Len())}
 	}))
 	for _, c := range []struct{ name, send, want string }{
 		{"ping", resp("PING"), "+PONG"},
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -34,14 +34,14 @@
 	}
 }
 
-// Shares knows what each destination holds. The zero value holds nothing.
-type Shares struct {
+// FairShare knows what each destination holds. The zero value holds nothing.
+type FairShare struct {
 	held map[int]int64 // bytes
 	used int64
 }
 
 // Add notes that a destination holds so much more; a negative number gives it back.
-func (s *Shares) Add(dest int, bytes int64) {
+func (s *FairShare) Add(dest int, bytes int64) {
 	if s.held == nil {
 		s.held = map[int]int64{}
 	}
@@ -51,12 +51,12 @@
 	}
 }
 
-// Holds tells whether a destination holds anything.
-func (s *Shares) Holds(dest int) bool { return s.held[dest] > 0 }
+// HasQueued tells whether a destination holds anything.
+func (s *FairShare) HasQueued(dest int) bool { return s.held[dest] > 0 }
 
 // Admits tells whether a destination may hold so much more, when such a part of the room is in use, from 0 to 1, and
 // there are so many destinations in all.
-func (s *Shares) Admits(dest int, bytes int64, full float64, destinations int) bool {
+func (s *FairShare) Admits(dest int, bytes int64, full float64, destinations int) bool {
 	if full < scarce || destinations <= 1 {
 		return true
 	}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -10,7 +10,7 @@
 func TestWellOnesFindRoom(t *testing.T) {
 	const room = 100_000
 	for _, c := range []struct{ sick, well int }{{1, 1}, {3, 10}, {40, 60}, {16, 1}, {1, 0}} {
-		var s Shares
+		var s FairShare
 		rng := rand.New(rand.NewPCG(uint64(c.sick), 7))
 		used, refused := int64(0), 0
 		full := func() float64 { return float64(used) / room }
--- a/internal/journal/extras_test.go
+++ b/internal/journal/extras_test.go
@@ -12,7 +12,7 @@
 
 // TestLargestExtras: a message of the longest body with as much besides as plug-ins and routes may add is read back after a kill.
 func TestLargestExtras(t *testing.T) {
-	x := &message.Extras{Route: strings.Repeat("r", 255), For: -7}
+	x := &message.Extras{Route: strings.Repeat("r", 255), Requested: -7}
 	for n := range 32 {
 		name := fmt.Sprintf("%0255d", n)
 		x.Only, x.Prefer = append(x.Only, name), append(x.Prefer, name)
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -26,7 +26,7 @@
 	p := make([]byte, 0, 24+s.Size())
 	p = binary.LittleEndian.AppendUint64(p, uint64(clock.Millis(s.Deadline)))
 	p = binary.LittleEndian.AppendUint32(p, uint32(int32(s.Dest)))
-	p = append(p, byte(min(s.Attempts, 255)), flagByte(s.InFlight)*flagOpen|flagByte(s.MayHaveRun)*flagMayHaveRun|flagByte(s.isBodyLost())*flagLost|flagByte(s.Extras != nil)*flagExtras|flagByte(s.Extras.Took() != "")*flagRoute, s.Completion)
+	p = append(p, byte(min(s.Attempts, 255)), flagByte(s.InFlight)*flagOpen|flagByte(s.MayHaveRun)*flagMayHaveRun|flagByte(s.isBodyLost())*flagLost|flagByte(s.Extras != nil)*flagExtras|flagByte(s.Extras.RouteName() != "")*flagRoute, s.Completion)
 	p = binary.LittleEndian.AppendUint32(p, uint32(min(s.RetryAfter.Milliseconds(), 1<<32-1)))
 	p = append(p, byte(len(s.ID)), byte(len(s.Class)), byte(len(s.Origin)))
 	p = append(append(append(p, s.ID...), s.Class...), s.Origin...)
@@ -43,9 +43,9 @@
 			p = append(binary.LittleEndian.AppendUint16(p, uint16(len(f.Value))), f.Value...)
 		}
 	}
-	if route := s.Extras.Took(); route != "" {
+	if route := s.Extras.RouteName(); route != "" {
 		p = append(append(p, byte(len(route))), route...)
-		p = binary.LittleEndian.AppendUint32(p, uint32(int32(s.Extras.For)))
+		p = binary.LittleEndian.AppendUint32(p, uint32(int32(s.Extras.Requested)))
 	}
 	return append(p, body...)
 }
@@ -97,7 +97,7 @@
 	}
 	if routed {
 		a.Route = string(take(length(1)))
-		a.For = int(int32(length(4)))
+		a.Requested = int(int32(length(4)))
 	}
 	if short {
 		return nil, nil, errShort
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -13,9 +13,9 @@
 	Origin      string // the front that took it; its final answer goes back there. At most 255 bytes
 	Class       string
 	Destination int
-	Left        time.Duration // until it is given up, from Read on
-	Read        time.Time     // when its last byte had been read
-	Again       bool          // it was held by a forwarder that died
+	TimeLeft    time.Duration // until it is given up, from Read on
+	ReadAt      time.Time     // when its last byte had been read
+	Resubmitted bool          // it was held by a forwarder that died
 	Repeat      bool          // a client's repeat after a refusal, where clients mark it
 	Fields      string        // what its client said of it: names and values, as name=value, with commas between
 	Extras      *Extras       // nil: none
@@ -34,8 +34,8 @@
 	return value, there
 }
 
-// Asked is the destination that a message's client named; Destination is where it goes.
-func (m *Message) Asked() int { return m.Extras.Asked(m.Destination) }
+// RequestedDestination is the destination that a message's client named; Destination is where it goes.
+func (m *Message) RequestedDestination() int { return m.Extras.RequestedDestination(m.Destination) }
 
 // Extras is what was added to a message where it was taken on. It holds as long as the message does.
 type Extras struct {
@@ -43,22 +43,22 @@
 	Only   []string // no others; none: all
 	Prefer []string // these before the others, in this order
 	// Route is the name of the route that it took, and For the destination that its client named; none: it goes there.
-	Route string // 255 bytes at most
-	For   int
+	Route     string // 255 bytes at most
+	Requested int
 	// Header goes along with each attempt: 255 fields, each of 255 bytes and 65,535.
 	Header []Field
 }
 
-// Asked is the destination that a client named for a message that goes to another; it may be asked of nil.
-func (x *Extras) Asked(to int) int {
+// RequestedDestination is the destination that a client named for a message that goes to another; it may be asked of nil.
+func (x *Extras) RequestedDestination(to int) int {
 	if x == nil || x.Route == "" {
 		return to
 	}
-	return x.For
+	return x.Requested
 }
 
-// Took is the name of the route; it may be asked of nil.
-func (x *Extras) Took() string {
+// RouteName is the name of the route; it may be asked of nil.
+func (x *Extras) RouteName() string {
 	if x == nil {
 		return ""
 	}
--- a/internal/plugin/runner/bench_test.go
+++ b/internal/plugin/runner/bench_test.go
@@ -37,7 +37,7 @@
 			}
 			f := r.Front(&taker{})
 			for b.Loop() {
-				f.Accept(&message.Message{ID: "7f", Class: "note", Destination: 7, Left: 3 * time.Second, Read: time.Now(), Body: message.Bytes(body)})
+				f.Accept(&message.Message{ID: "7f", Class: "note", Destination: 7, TimeLeft: 3 * time.Second, ReadAt: time.Now(), Body: message.Bytes(body)})
 			}
 			for _, s := range r.Status() {
 				b.ReportMetric(s.CPU*1e6/float64(s.Calls), "host-µs/op")
--- a/internal/plugin/runner/runner.go
+++ b/internal/plugin/runner/runner.go
@@ -168,7 +168,7 @@
 	defer s.giveBack()
 	var d *plugin.Draft
 	for _, p := range s.pools {
-		if !p.spec.Binds(plugin.Intake, m.Class, m.Asked()) {
+		if !p.spec.Binds(plugin.Intake, m.Class, m.RequestedDestination()) {
 			continue
 		}
 		if d == nil {
@@ -179,7 +179,7 @@
 			}
 			d = &plugin.Draft{Body: body, Endpoints: f.r.endpoints(m.Destination)}
 		}
-		q := &plugin.Request{Point: plugin.Intake, ID: m.ID, Class: m.Class, Destination: m.Asked(), Left: (m.Left - time.Since(m.Read)).Seconds(),
+		q := &plugin.Request{Point: plugin.Intake, ID: m.ID, Class: m.Class, Destination: m.RequestedDestination(), Left: (m.TimeLeft - time.Since(m.ReadAt)).Seconds(),
 			Header: d.Header, Endpoints: d.Endpoints, Body: d.Body}
 		err := p.ask(q, func(r *plugin.Result) error {
 			next := *d
--- a/internal/plugin/runner/runner_test.go
+++ b/internal/plugin/runner/runner_test.go
@@ -93,7 +93,7 @@
 }
 
 func handIn(f Taker, body string) engine.Answer {
-	return f.Accept(&message.Message{ID: "7f", Class: "note", Destination: 7, Left: 3 * time.Second, Read: time.Now(), Body: message.Bytes(body)})
+	return f.Accept(&message.Message{ID: "7f", Class: "note", Destination: 7, TimeLeft: 3 * time.Second, ReadAt: time.Now(), Body: message.Bytes(body)})
 }
 
 // TestIntake: what a plug-in wishes for before a message is taken on, and what comes of it.
@@ -188,7 +188,7 @@
 	}
 	f := r.Front(k)
 	for i := range 40 {
-		f.Accept(&message.Message{ID: fmt.Sprint(i), Class: "note", Destination: 7, Left: 3 * time.Second, Read: time.Now(), Body: message.Bytes("b")})
+		f.Accept(&message.Message{ID: fmt.Sprint(i), Class: "note", Destination: 7, TimeLeft: 3 * time.Second, ReadAt: time.Now(), Body: message.Bytes("b")})
 	}
 	for _, m := range k.list {
 		if body, _ := m.Body.Load(); string(body) != m.ID {
