--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -239,8 +239,8 @@
 		if !pools[r.Pool] {
 			bad(key+".pool", fmt.Sprintf("there is no pool %q", r.Pool), Nearest(r.Pool, c.poolNames()))
 		}
-		if r.Order < -route.MostOrder || r.Order > route.MostOrder {
-			bad(key+".order", fmt.Sprintf("order is %d", r.Order), fmt.Sprintf("set from -%d to %d", route.MostOrder, route.MostOrder))
+		if r.Order < -route.MaxOrder || r.Order > route.MaxOrder {
+			bad(key+".order", fmt.Sprintf("order is %d", r.Order), fmt.Sprintf("set from -%d to %d", route.MaxOrder, route.MaxOrder))
 		}
 		for _, f := range r.Fronts {
 			if !slices.Contains(Fronts, f) {
@@ -252,15 +252,15 @@
 				bad(key+".destinations", fmt.Sprintf("no client can name the destination %d", d), "set 0 or more")
 			}
 		}
-		if len(r.Fields) > route.MostFields {
-			bad(key+".fields", fmt.Sprintf("%d fields", len(r.Fields)), fmt.Sprintf("name %d at most", route.MostFields))
+		if len(r.Fields) > route.MaxFields {
+			bad(key+".fields", fmt.Sprintf("%d fields", len(r.Fields)), fmt.Sprintf("name %d at most", route.MaxFields))
 		}
 		for _, name := range slices.Sorted(maps.Keys(r.Fields)) {
 			switch _, err := route.ParseMatch(r.Fields[name]); {
 			case slices.Contains(ownFields, name):
 				bad(key+".fields", fmt.Sprintf("the field %q is the client's own", name), "name classes and destinations by classes and destinations; the others are no ground for a route")
-			case name == "" || len(name) > route.MostName || strings.ContainsAny(name, ",= \r\n"):
-				bad(key+".fields", fmt.Sprintf("%.70q is no name of a field", name), fmt.Sprintf("a name has %d bytes at most, and no comma, space or =", route.MostName))
+			case name == "" || len(name) > route.MaxNameLen || strings.ContainsAny(name, ",= \r\n"):
+				bad(key+".fields", fmt.Sprintf("%.70q is no name of a field", name), fmt.Sprintf("a name has %d bytes at most, and no comma, space or =", route.MaxNameLen))
 			case err != nil:
 				bad(key+".fields", fmt.Sprintf("what field %s must hold can't be read: %v", name, err), `write a text, a beginning ("tartu-*") or a regular expression ("/[a-z]+-[0-9]+/")`)
 			case strings.Contains(r.Fields[name], ",") && r.Fields[name][0] != '/':
@@ -295,7 +295,7 @@
 	}
 	for _, p := range pairs {
 		at := cmp.Or(c.Where["route."+p.A.Name], p.A.Name)
-		add("route."+p.B.Name, fmt.Sprintf("the routes %q and %q are of equal rank for %s", p.A.Name, p.B.Name, p.For),
+		add("route."+p.B.Name, fmt.Sprintf("the routes %q and %q are of equal rank for %s", p.A.Name, p.B.Name, p.Messages),
 			fmt.Sprintf("set order in one of them: the lower one goes first (the other: %s)", at))
 	}
 	if len(pairs) == 0 {
@@ -306,7 +306,7 @@
 // hidden says which routes never match; with classes there are no others.
 func (c *Config) hidden(t *route.Table, classes []string, add func(key, what, remedy string)) {
 	for _, r := range t.Rules() {
-		by := t.Hidden(r, classes, Fronts)
+		by := t.ShadowedBy(r, classes, Fronts)
 		if len(by) == 0 {
 			continue
 		}
@@ -423,11 +423,11 @@
 		return c.Where["route."+r.Name]
 	}
 	for _, c := range route.Diff(a.table, b.table, most, way) {
-		if c.More {
-			list = append(list, Change{c.For.String(), "goes", "more kinds of these, that fit other routes too, go elsewhere", "ask explain", "", ""})
+		if c.Truncated {
+			list = append(list, Change{c.Messages.String(), "goes", "more kinds of these, that fit other routes too, go elsewhere", "ask explain", "", ""})
 			continue
 		}
-		list = append(list, Change{c.For.String(), "goes", place(c.Old), place(c.New), where(old, c.Old), where(new, c.New)})
+		list = append(list, Change{c.Messages.String(), "goes", place(c.Old), place(c.New), where(old, c.Old), where(new, c.New)})
 	}
 	return list
 }
--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -7,10 +7,10 @@
 
 // Change is messages that go elsewhere.
 type Change struct {
-	For      *Some
+	Messages *MessageSet
 	Old, New *Rule // nil: none
-	// More tells that more kinds of those that fit this and other routes go elsewhere than were listed.
-	More bool
+	// Truncated tells that more kinds of those that fit this and other routes go elsewhere than were listed.
+	Truncated bool
 }
 
 // Diff lists the messages that take another way by b than by a: names, order and the text of routes mean nothing, and way tells the place that a
@@ -24,8 +24,8 @@
 func Diff(a, b *Table, most int, way func(*Rule) int) (list []Change) {
 	before, after := a.parts(), b.parts()
 	said := map[string]bool{}
-	told := map[[2]int][]*Some{}
-	look := func(s *Some) {
+	told := map[[2]int][]*MessageSet{}
+	look := func(s *MessageSet) {
 		if len(list) >= most {
 			return
 		}
@@ -34,13 +34,13 @@
 		} else {
 			said[text] = true
 		}
-		x, y := a.Whole(s), b.Whole(s)
+		x, y := a.RouteForAll(s), b.RouteForAll(s)
 		ways := [2]int{way(x), way(y)}
 		if ways[0] == ways[1] || slices.ContainsFunc(told[ways][:min(len(told[ways]), mostInside)], s.inside) { // or said of all that are like these
 			return
 		}
 		told[ways] = append(told[ways], s)
-		list = append(list, Change{For: s, Old: x, New: y})
+		list = append(list, Change{Messages: s, Old: x, New: y})
 	}
 	var both, moved, ranked []part
 	for _, p := range sortedParts(before) {
@@ -90,7 +90,7 @@
 		for _, some := range others {
 			for _, o := range some {
 				if pair(p, o); len(list)-had >= mostOfOne {
-					list = append(list, Change{For: p.some(), More: true})
+					list = append(list, Change{Messages: p.some(), Truncated: true})
 					break one
 				}
 			}
@@ -142,8 +142,8 @@
 	return list
 }
 
-func (p *part) some() *Some {
-	s := &Some{Front: p.cell.front, Class: p.cell.class, Destination: p.cell.dest, Named: len(p.rule.Destinations) > 0, Fields: map[string][]Match{}}
+func (p *part) some() *MessageSet {
+	s := &MessageSet{Front: p.cell.front, Class: p.cell.class, Destination: p.cell.dest, HasDestination: len(p.rule.Destinations) > 0, Fields: map[string][]Match{}}
 	for _, f := range p.rule.Fields {
 		s.Fields[f.Name] = []Match{f.Match}
 	}
@@ -151,14 +151,14 @@
 }
 
 // meet looks at the messages that fit two parts, if there are any and they are not all of one.
-func (p *part) meet(o part, look func(*Some)) {
-	s := &Some{Front: p.cell.front, Class: p.cell.class, Destination: p.cell.dest, Named: len(p.rule.Destinations) > 0}
+func (p *part) meet(o part, look func(*MessageSet)) {
+	s := &MessageSet{Front: p.cell.front, Class: p.cell.class, Destination: p.cell.dest, HasDestination: len(p.rule.Destinations) > 0}
 	switch {
 	case len(o.rule.Destinations) == 0:
-	case s.Named && s.Destination != o.cell.dest:
+	case s.HasDestination && s.Destination != o.cell.dest:
 		return
 	default:
-		s.Destination, s.Named = o.cell.dest, true
+		s.Destination, s.HasDestination = o.cell.dest, true
 	}
 	if !agree(&s.Class, o.cell.class) || !agree(&s.Front, o.cell.front) {
 		return
@@ -179,8 +179,8 @@
 }
 
 // inside tells whether all of s are of a wider kind.
-func (s *Some) inside(o *Some) bool {
-	if o.Named && (!s.Named || s.Destination != o.Destination) || o.Class != "" && s.Class != o.Class || o.Front != "" && s.Front != o.Front {
+func (s *MessageSet) inside(o *MessageSet) bool {
+	if o.HasDestination && (!s.HasDestination || s.Destination != o.Destination) || o.Class != "" && s.Class != o.Class || o.Front != "" && s.Front != o.Front {
 		return false
 	}
 	for name, all := range o.Fields {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -19,13 +19,13 @@
 
 // Bounds of routes.
 const (
-	MostFields = 8    // of one route
-	MostName   = 64   // bytes of a field's name
-	MostText   = 512  // bytes of what is looked for in one
-	MostNames  = 32   // different fields of all routes: each is looked for once in a message
-	MostValue  = 1024 // bytes of a value that expressions look at: a longer one fits none
-	MostForms  = 256  // forms of routes: each message is looked up once in each
-	MostOrder  = 1000 // and not below its negative
+	MaxFields     = 8    // of one route
+	MaxNameLen    = 64   // bytes of a field's name
+	MaxTextLen    = 512  // bytes of what is looked for in one
+	MaxFieldNames = 32   // different fields of all routes: each is looked for once in a message
+	MaxValueLen   = 1024 // bytes of a value that expressions look at: a longer one fits none
+	MaxForms      = 256  // forms of routes: each message is looked up once in each
+	MaxOrder      = 1000 // and not below its negative
 )
 
 // Message is what of a message says where it goes.
@@ -71,8 +71,8 @@
 // ParseMatch reads a match: /x/ is a regular expression (RE2) for the whole value, x* a prefix, and all else the value itself.
 func ParseMatch(text string) (Match, error) {
 	switch {
-	case len(text) > MostText:
-		return Match{}, fmt.Errorf("a text of %d bytes is looked for; at most %d", len(text), MostText)
+	case len(text) > MaxTextLen:
+		return Match{}, fmt.Errorf("a text of %d bytes is looked for; at most %d", len(text), MaxTextLen)
 	case text == "":
 		return Match{}, errors.New(`an empty text is looked for: write "*" for any value`)
 	case len(text) > 1 && text[0] == '/' && text[len(text)-1] == '/':
@@ -187,9 +187,9 @@
 }
 
 // Error is what is wrong with one route.
-type Error struct{ Route, What string }
+type Error struct{ Route, Problem string }
 
-func (e *Error) Error() string { return fmt.Sprintf("route %q %s", e.Route, e.What) }
+func (e *Error) Error() string { return fmt.Sprintf("route %q %s", e.Route, e.Problem) }
 
 // New makes a Table. The error says that there are too many fields or forms.
 func New(rules []Rule) (*Table, error) {
@@ -197,23 +197,23 @@
 	forms := map[string]*group{}
 	for i := range rules {
 		r := &rules[i]
-		if len(r.Fields) > MostFields {
-			return nil, &Error{r.Name, fmt.Sprintf("names %d fields; at most %d", len(r.Fields), MostFields)}
+		if len(r.Fields) > MaxFields {
+			return nil, &Error{r.Name, fmt.Sprintf("names %d fields; at most %d", len(r.Fields), MaxFields)}
 		}
 		t.rules = append(t.rules, r)
 		f := r.form()
 		same := f.same()
 		g := forms[same]
 		if g == nil {
-			if len(forms) == MostForms {
-				return nil, &Error{r.Name, fmt.Sprintf("is of one form more than the %d that there may be: each message is looked up in each", MostForms)}
+			if len(forms) == MaxForms {
+				return nil, &Error{r.Name, fmt.Sprintf("is of one form more than the %d that there may be: each message is looked up in each", MaxForms)}
 			}
 			for n := range f.fields {
 				name := f.fields[n].name
 				at := slices.Index(t.names, name)
 				if at < 0 {
-					if at = len(t.names); at == MostNames {
-						return nil, &Error{r.Name, fmt.Sprintf("names the field %q, one more than the %d that all routes may name together", name, MostNames)}
+					if at = len(t.names); at == MaxFieldNames {
+						return nil, &Error{r.Name, fmt.Sprintf("names the field %q, one more than the %d that all routes may name together", name, MaxFieldNames)}
 					}
 					t.names = append(t.names, name)
 				}
@@ -307,8 +307,8 @@
 // Find returns the route that a message takes; nil if it fits none.
 func (t *Table) Find(m *Message) *Rule {
 	var buf [256]byte
-	var values [MostFields]string
-	var all [MostNames]struct {
+	var values [MaxFields]string
+	var all [MaxFieldNames]struct {
 		value         string
 		there, looked bool
 	}
@@ -343,7 +343,7 @@
 
 func (r *Rule) patternsFit(values []string) bool {
 	for n, p := range r.Fields {
-		if p.kind == pattern && (len(values[n]) > MostValue || !p.fits(values[n])) {
+		if p.kind == pattern && (len(values[n]) > MaxValueLen || !p.fits(values[n])) {
 			return false
 		}
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -206,14 +206,14 @@
 		})
 		if len(pairs) > 0 {
 			unclear++
-			if p := pairs[0]; !equal && !patterns && table.Whole(p.For) == nil {
-				t.Fatalf("%+v: %s and %s are said to be equal for %s", rules, p.A.Name, p.B.Name, p.For)
+			if p := pairs[0]; !equal && !patterns && table.RouteForAll(p.Messages) == nil {
+				t.Fatalf("%+v: %s and %s are said to be equal for %s", rules, p.A.Name, p.B.Name, p.Messages)
 			}
 			continue
 		}
 		fine++
 		for _, r := range table.rules {
-			by := table.Hidden(r, classes, fronts)
+			by := table.ShadowedBy(r, classes, fronts)
 			if len(by) > 0 {
 				hidden++
 			}
@@ -272,12 +272,12 @@
 				return
 			}
 			differs = true
-			if !slices.ContainsFunc(d, func(c Change) bool { return way(c.Old) == way(x) && way(c.New) == way(y) && holds(c.For, m) }) {
+			if !slices.ContainsFunc(d, func(c Change) bool { return way(c.Old) == way(x) && way(c.New) == way(y) && holds(c.Messages, m) }) {
 				t.Fatalf("%+v to %+v: %+v goes from %d to %d, and only this is said: %+v", rules, changed, m, way(x), way(y), d)
 			}
 		})
 		if !differs && len(d) > 0 {
-			t.Fatalf("%+v to %+v: nothing differs, and this is said: %v", rules, changed, d[0].For)
+			t.Fatalf("%+v to %+v: nothing differs, and this is said: %v", rules, changed, d[0].Messages)
 		}
 		if differs {
 			other++
@@ -292,8 +292,8 @@
 }
 
 // holds tells whether a message is one of some.
-func holds(s *Some, m *said) bool {
-	if s.Named && s.Destination != m.dest || s.Class != "" && s.Class != m.class || s.Front != "" && s.Front != m.front {
+func holds(s *MessageSet, m *said) bool {
+	if s.HasDestination && s.Destination != m.dest || s.Class != "" && s.Class != m.class || s.Front != "" && s.Front != m.front {
 		return false
 	}
 	for name, all := range s.Fields {
@@ -321,7 +321,7 @@
 			}
 		}
 	})
-	for text, want := range map[string]string{"": "empty", "/(/": "missing closing", strings.Repeat("x", MostText+1): "at most"} {
+	for text, want := range map[string]string{"": "empty", "/(/": "missing closing", strings.Repeat("x", MaxTextLen+1): "at most"} {
 		if _, err := ParseMatch(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.9q: %v, want %q", text, err, want)
 		}
@@ -331,18 +331,18 @@
 // TestTooMuch: what would cost each message too much, or can't be told in bounded time, is refused.
 func TestTooMuch(t *testing.T) {
 	var rules []Rule
-	for n := range MostForms + 1 {
+	for n := range MaxForms + 1 {
 		m, _ := ParseMatch(strings.Repeat("p", n+1) + "*")
 		rules = append(rules, Rule{Name: fmt.Sprint(n), Fields: []Field{{"x", m}}})
 	}
 	if _, err := New(rules); err == nil {
 		t.Error("so many forms are taken")
 	}
-	if _, err := New([]Rule{{Fields: make([]Field, MostFields+1)}}); err == nil {
+	if _, err := New([]Rule{{Fields: make([]Field, MaxFields+1)}}); err == nil {
 		t.Error("so many fields are taken")
 	}
 	rules = nil
-	for n := range MostNames + 1 {
+	for n := range MaxFieldNames + 1 {
 		m, _ := ParseMatch("x")
 		rules = append(rules, Rule{Name: fmt.Sprint(n), Fields: []Field{{fmt.Sprint("f", n), m}}})
 	}
@@ -360,7 +360,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	looks, size := 0, MostValue
+	looks, size := 0, MaxValueLen
 	m := &Message{Field: func(string) (string, bool) { looks++; return strings.Repeat("p", size), true }}
 	if got := some.Find(m); got == nil || got.Name != "p" || looks != 1 {
 		t.Errorf("%v after %d looks", got, looks)
--- a/internal/route/some.go
+++ b/internal/route/some.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// Some is the messages that are alike in what is said here and may hold anything else: a class of its own, no destination that
+// MessageSet is the messages that are alike in what is said here and may hold anything else: a class of its own, no destination that
 // any route names, and so on, where nothing is said.
-type Some struct {
-	Front, Class string
-	Destination  int
-	Named        bool               // the destination is
-	Fields       map[string][]Match // of each, all hold
+type MessageSet struct {
+	Front, Class   string
+	Destination    int
+	HasDestination bool               // the destination is
+	Fields         map[string][]Match // of each, all hold
 }
 
-func (s *Some) String() string {
-	return describe(s.Class, fmt.Sprint(s.Destination), s.Named, s.Front, s.Fields)
+func (s *MessageSet) String() string {
+	return describe(s.Class, fmt.Sprint(s.Destination), s.HasDestination, s.Front, s.Fields)
 }
 
 // fieldsWithin tells whether the fields of all of them fit a rule.
-func (s *Some) fieldsWithin(r *Rule) bool {
+func (s *MessageSet) fieldsWithin(r *Rule) bool {
 	for _, f := range r.Fields {
 		if !slices.ContainsFunc(s.Fields[f.Name], func(m Match) bool { return m.implies(f.Match) }) {
 			return false
@@ -30,8 +30,8 @@
 	return true
 }
 
-// Whole returns the route that all of them take; nil if there is none, or none is known to be.
-func (t *Table) Whole(s *Some) *Rule {
+// RouteForAll returns the route that all of them take; nil if there is none, or none is known to be.
+func (t *Table) RouteForAll(s *MessageSet) *Rule {
 	for _, g := range t.groups {
 		if r := g.whole(s); r != nil {
 			return r
@@ -41,8 +41,8 @@
 }
 
 // whole finds a rule of a form that all of them fit.
-func (g *group) whole(s *Some) *Rule {
-	if g.dest && !s.Named || g.class && s.Class == "" || g.front && s.Front == "" {
+func (g *group) whole(s *MessageSet) *Rule {
+	if g.dest && !s.HasDestination || g.class && s.Class == "" || g.front && s.Front == "" {
 		return nil
 	}
 	texts := make([]string, len(g.fields))
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// Hidden returns the routes that take all messages of a rule before it, if it never matches. Where classes and fronts are given there are no
+// ShadowedBy returns the routes that take all messages of a rule before it, if it never matches. Where classes and fronts are given there are no
 // others.
-func (t *Table) Hidden(r *Rule, classes, fronts []string) (by []*Rule) {
+func (t *Table) ShadowedBy(r *Rule, classes, fronts []string) (by []*Rule) {
 	own := r.form()
 	fields := map[string][]Match{}
 	for _, f := range r.Fields {
@@ -91,7 +91,7 @@
 		all.Fronts = fronts
 	}
 	for c := range all.cells() {
-		s := &Some{Front: c.front, Class: c.class, Destination: c.dest, Named: len(r.Destinations) > 0, Fields: fields}
+		s := &MessageSet{Front: c.front, Class: c.class, Destination: c.dest, HasDestination: len(r.Destinations) > 0, Fields: fields}
 		var first *Rule
 		for _, g := range t.groups {
 			if compareRank(&g.form, &own) >= 0 {
@@ -111,10 +111,10 @@
 	return by
 }
 
-// Pair is two routes of equal rank that fit one message.
-type Pair struct {
-	A, B *Rule
-	For  *Some
+// AmbiguousPair is two routes of equal rank that fit one message.
+type AmbiguousPair struct {
+	A, B     *Rule
+	Messages *MessageSet
 }
 
 // mostPairs bounds what is said at once, and mostLooks what it takes.
@@ -125,7 +125,7 @@
 
 // Ambiguous lists routes of equal rank that fit one message, 100 pairs at most. An error says that there are too many patterns
 // to tell.
-func (t *Table) Ambiguous() (list []Pair, err error) {
+func (t *Table) Ambiguous() (list []AmbiguousPair, err error) {
 	looks := 0
 	for i, a := range t.groups {
 		for _, b := range t.groups[i:] {
@@ -143,7 +143,7 @@
 
 // ambiguous compares the routes of two forms of one rank, or of one form. They meet if they agree on what both name; what both
 // name and can be compared by a look-up is one.
-func ambiguous(a, b *group, list *[]Pair, looks *int) error {
+func ambiguous(a, b *group, list *[]AmbiguousPair, looks *int) error {
 	by := map[string][]*Rule{}
 	for _, r := range b.sorted() {
 		for c := range r.cells() {
@@ -171,7 +171,7 @@
 					continue
 				}
 				told[[2]*Rule{r, o}] = true
-				*list = append(*list, Pair{r, o, &Some{c.front, c.class, c.dest, a.dest, fields}})
+				*list = append(*list, AmbiguousPair{r, o, &MessageSet{c.front, c.class, c.dest, a.dest, fields}})
 				if len(*list) >= mostPairs {
 					return nil
 				}
