--- a/cmd/scaleroute/fleet.go
+++ b/cmd/scaleroute/fleet.go
@@ -86,7 +86,7 @@
 	if names, err := operations.NewLeftOut(p.f.c.State).Load(); len(names) > 0 || err != nil {
 		v.Disabled = version.Contents{Digest: version.DigestOfNames(names), LoadCount: 1}
 	}
-	v.List = new(version.ListTracker).Update(known.Index, true, known.Entries())
+	v.List = new(version.ListTracker).Update(known.Index, true, known.VersionEntries())
 	a := &engine.Accounting{Vector: v, OnSuspended: func(epoch uint64, slept time.Duration) {
 		select {
 		case <-p.asleep: // an earlier one that nobody has seen to: what is asked for now is newer than both
--- a/cmd/scaleroute/member.go
+++ b/cmd/scaleroute/member.go
@@ -257,7 +257,7 @@
 			defer m.looked.Store(false)
 			limit, cancel := context.WithTimeout(ctx, lookFor)
 			defer cancel()
-			m.p.f.platform.Look(limit) // silence is what made it look
+			m.p.f.platform.Refresh(limit) // silence is what made it look
 		}()
 	}
 	if d.ReloadOperators {
--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -80,7 +80,7 @@
 		slog.Warn("no control server has told this forwarder's part: starting with the list of the configuration", "endpoints", len(configured.Endpoints), "err", err)
 	}
 	known, changed := follower.Begin()
-	p.f.withdrawn.Tell(&agent.List{Index: known.Index, Endpoints: changed})
+	p.f.withdrawn.Update(&agent.List{Index: known.Index, Endpoints: changed})
 	return &known
 }
 
@@ -126,7 +126,7 @@
 	}
 	if len(u.Changed) > 0 {
 		list := &agent.List{Index: u.Index, Endpoints: u.Changed}
-		p.f.withdrawn.Tell(list)
+		p.f.withdrawn.Update(list)
 		sources.hear(list)
 	}
 }
@@ -195,12 +195,12 @@
 		f.partial.follower.Load().Run(ctx)
 		return
 	}
-	heard := func(list *agent.List) { l.UpdateEndpoints(list.Told()) }
+	heard := func(list *agent.List) { l.UpdateEndpoints(list.EngineUpdate()) }
 	if sources := f.operators.sources; sources != nil {
 		heard = sources.hear
 	}
 	f.platform.Watch(ctx, known, func(list *agent.List) {
-		f.withdrawn.Tell(list)
+		f.withdrawn.Update(list)
 		heard(list)
 	})
 }
@@ -210,7 +210,7 @@
 	if f.partial != nil {
 		return f.partial.follower.Load().Look(ctx)
 	}
-	return f.platform.Look(ctx)
+	return f.platform.Refresh(ctx)
 }
 
 // evict has destinations that are not needed forgotten, unless the operators' file has endpoints of them.
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -57,7 +57,7 @@
 	hup       <-chan os.Signal
 	settings  decide.Settings // with what operators have set
 	platform  *agent.Platform
-	withdrawn *agent.Withdrawn
+	withdrawn *agent.WithdrawnStore
 
 	inherited net.Listener // the clients' socket that the platform holds; nil if it does not
 	id        takeover.Identity
@@ -101,7 +101,7 @@
 		c.Settings.Slots = most
 	}
 	f.settings = c.Settings
-	f.platform = agent.New(c.Discovery, agent.Fleet{Forwarders: c.Settings.Forwarders, Asks: c.Settings.MustSubscribe, AskEvery: c.Settings.ResubscribeInterval})
+	f.platform = agent.New(c.Discovery, agent.Fleet{Forwarders: c.Settings.Forwarders, MustSubscribe: c.Settings.MustSubscribe, ResubscribeInterval: c.Settings.ResubscribeInterval})
 	if err := operators.apply(&f.settings); err != nil {
 		return err
 	}
@@ -123,7 +123,7 @@
 		if err := f.inherit(); err != nil {
 			return err
 		}
-		f.platform.KeepLast()
+		f.platform.RetainLatest()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -212,16 +212,16 @@
 	if f.operators.logSteps {
 		configuration.OnStep = steplog.NewWriter(os.Stderr).Step
 	}
-	f.withdrawn = agent.OpenWithdrawn(f.c.State, &f.c.Known)
-	list := f.withdrawn.Known()
-	lists := []engine.List{list.As(decide.LastKnown)}
+	f.withdrawn = agent.OpenWithdrawnStore(f.c.State, &f.c.Known)
+	list := f.withdrawn.InitialList()
+	lists := []engine.List{list.ToEngineList(decide.LastKnown)}
 	if f.partial != nil {
 		list = f.partial.start(list, from, j)
-		lists = []engine.List{list.As(decide.Snapshot)}
+		lists = []engine.List{list.ToEngineList(decide.Snapshot)}
 		defer f.partial.started()
 	} else if known = f.knownFrom(from); known != nil {
-		lists = append(lists, known.As(decide.Snapshot))
-		f.withdrawn.Tell(known)
+		lists = append(lists, known.ToEngineList(decide.Snapshot))
+		f.withdrawn.Update(known)
 		list = known
 	} else if f.settings.MustSubscribe && len(list.Endpoints) > 0 {
 		known = list // what has changed since is less work than the whole list
@@ -236,7 +236,7 @@
 		f.operators.sources = &sources{to: l, leftOut: operations.NewLeftOut(f.c.State)}
 		lists = f.operators.sources.start(f.operators.now.Endpoints(), lists...)
 		f.operators.sources.noteFile(f.operators.now)
-		f.operators.sources.list = f.operators.sources.targets.Update(list.Index, true, list.Entries())
+		f.operators.sources.list = f.operators.sources.targets.Update(list.Index, true, list.VersionEntries())
 	}
 	if from != nil && from.engine.ForwarderState != nil {
 		err := l.Resume(&from.engine, lists[len(lists)-1])
@@ -255,7 +255,7 @@
 	if from != nil && from.list != nil {
 		return from.list
 	}
-	first, err := f.platform.First(listWait)
+	first, err := f.platform.FetchSnapshot(listWait)
 	if err != nil {
 		slog.Warn("starting with the list as last known", "err", err)
 	}
@@ -320,7 +320,7 @@
 	})
 	lists.Go(func() { f.followList(watching, known, l) })
 	lists.Go(func() { reload(watching, f.hup, f.fleet.again(), f.c.File, f.platform, f.operators) })
-	all.Go(func() { f.platform.Deliver(ctx, l.Acknowledge) })
+	all.Go(func() { f.platform.DeliverNotices(ctx, l.Acknowledge) })
 	if from != nil {
 		http.Adopt(from.idle)
 		clients.Adopt(from.clients, from.stopped)
@@ -358,7 +358,7 @@
 			// In the order in which things come: lists, then requests, then calls.
 			unwatch()
 			lists.Wait()
-			left = &bundle{list: f.platform.Last(), part: f.partial.leave(), drained: f.control.SentAway(), stopped: time.Now()}
+			left = &bundle{list: f.platform.Latest(), part: f.partial.leave(), drained: f.control.SentAway(), stopped: time.Now()}
 			left.clients = clients.Detach(detachLimit)
 			accepting.Wait()
 			takeover.StepReached("old: clients detached")
@@ -424,6 +424,6 @@
 			continue
 		}
 		again = nil
-		p.Move(address)
+		p.SetAddress(address)
 	}
 }
--- a/cmd/scaleroute/settings.go
+++ b/cmd/scaleroute/settings.go
@@ -235,9 +235,9 @@
 func (s *sources) hear(told *agent.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.set.Update(membership.Agent, told.Told())
+	l := s.set.Update(membership.Agent, told.EngineUpdate())
 	s.noteDrains(told)
-	if now := s.targets.Update(told.Index, told.Snapshot, told.Entries()); now != s.list {
+	if now := s.targets.Update(told.Index, told.Snapshot, told.VersionEntries()); now != s.list {
 		s.list = now
 		l.Version = &version.Change{Cause: ledger.ListTold, Apply: func(v *version.Vector) { v.List = now }}
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -64,8 +64,8 @@
 	Weight  float64 `json:"weight"`
 }
 
-// As is the list in the engine's terms.
-func (l *List) As(scope decide.ListScope) engine.List {
+// ToEngineList is the list in the engine's terms.
+func (l *List) ToEngineList(scope decide.ListScope) engine.List {
 	v := engine.List{Scope: scope, Endpoints: make([]engine.Endpoint, len(l.Endpoints))}
 	for i, t := range l.Endpoints {
 		state := decide.Active
@@ -81,12 +81,12 @@
 	return v
 }
 
-// Told is the list as told by a watch: whole, or what changed.
-func (l *List) Told() engine.List {
+// EngineUpdate is the list as told by a watch: whole, or what changed.
+func (l *List) EngineUpdate() engine.List {
 	if l.Snapshot {
-		return l.As(decide.Snapshot)
+		return l.ToEngineList(decide.Snapshot)
 	}
-	return l.As(decide.Delta)
+	return l.ToEngineList(decide.Delta)
 }
 
 // Platform speaks to discovery and takes notices to the platform.
@@ -136,9 +136,9 @@
 	return p.agent
 }
 
-// Move goes on at another address: calls that are out at the old one are given
+// SetAddress goes on at another address: calls that are out at the old one are given
 // up, so that a held watch ends and notices without an answer are sent again there.
-func (p *Platform) Move(address string) {
+func (p *Platform) SetAddress(address string) {
 	p.mu.Lock()
 	old := p.agent
 	if old.base == "http://"+address {
@@ -175,10 +175,10 @@
 	return err
 }
 
-// First fetches the whole list, if it comes in so short a time. Where the list must be asked for it returns nil: what has
+// FetchSnapshot fetches the whole list, if it comes in so short a time. Where the list must be asked for it returns nil: what has
 // changed since it was last told is told by the watch, and a fleet that starts together must not ask twice.
-func (p *Platform) First(limit time.Duration) (*List, error) {
-	if p.fleet.Asks {
+func (p *Platform) FetchSnapshot(limit time.Duration) (*List, error) {
+	if p.fleet.MustSubscribe {
 		return nil, nil
 	}
 	return p.current().listAt(context.Background(), "/v1/servers", true, limit)
@@ -256,9 +256,9 @@
 					again.worked()
 					wait = min(wait, time.Duration(p.fleet.random()*float64(reopenPause)))
 				}
-				failing = p.fleet.Asks
+				failing = p.fleet.MustSubscribe
 				warn(err, wait)
-				if p.fleet.Asks { // each call is work there, whoever wants it
+				if p.fleet.MustSubscribe { // each call is work there, whoever wants it
 					a.pause(ctx, wait)
 				} else {
 					a.pause(call, wait)
@@ -299,9 +299,9 @@
 	p.mu.Unlock()
 }
 
-// Look has the watch ask what there is now, in place of waiting for what changes, and returns once the answer to a call that began after
+// Refresh has the watch ask what there is now, in place of waiting for what changes, and returns once the answer to a call that began after
 // that has been told.
-func (p *Platform) Look(ctx context.Context) error {
+func (p *Platform) Refresh(ctx context.Context) error {
 	told := make(chan struct{})
 	p.mu.Lock()
 	p.asked = append(p.asked, told)
@@ -372,9 +372,9 @@
 	}
 }
 
-// Deliver sends the notices in batches, each until it gets its 204, and tells
+// DeliverNotices sends the notices in batches, each until it gets its 204, and tells
 // which have arrived, until ctx ends.
-func (p *Platform) Deliver(ctx context.Context, arrived func(refs []string)) {
+func (p *Platform) DeliverNotices(ctx context.Context, arrived func(refs []string)) {
 	for {
 		p.mu.Lock()
 		batch := p.pending[:min(noticeBatch, len(p.pending))]
@@ -438,8 +438,8 @@
 	}
 }
 
-// KeepLast has the list kept for Last. It is called before Watch.
-func (p *Platform) KeepLast() { p.last = map[string]Endpoint{} }
+// RetainLatest has the list kept for Last. It is called before Watch.
+func (p *Platform) RetainLatest() { p.last = map[string]Endpoint{} }
 
 // note keeps the list, from what was told.
 func (p *Platform) note(l *List) {
@@ -458,8 +458,8 @@
 	}
 }
 
-// Last is the whole list, as told last; nil if none was. It is asked for once Watch has ended.
-func (p *Platform) Last() *List {
+// Latest is the whole list, as told last; nil if none was. It is asked for once Watch has ended.
+func (p *Platform) Latest() *List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.last) == 0 {
@@ -472,8 +472,8 @@
 	return l
 }
 
-// Entries is a list as its digest is made of.
-func (l *List) Entries() []version.Entry {
+// VersionEntries is a list as its digest is made of.
+func (l *List) VersionEntries() []version.Entry {
 	v := make([]version.Entry, len(l.Endpoints))
 	for i, t := range l.Endpoints {
 		v[i] = version.Entry{Name: t.Name, Address: t.Address, Zone: t.Zone, Kind: t.Type, State: t.Status, Group: t.Group, Weight: t.Weight, Gone: t.Status == Deleted}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -67,7 +67,7 @@
 	}{{true, decide.Active}, {false, decide.Draining}, {false, decide.Gone}}
 	for _, w := range want {
 		l := <-lists
-		if e := l.Told().Endpoints; l.Snapshot != w.whole || len(e) != 1 || e[0].State != w.state || e[0].Destination != 3 {
+		if e := l.EngineUpdate().Endpoints; l.Snapshot != w.whole || len(e) != 1 || e[0].State != w.state || e[0].Destination != 3 {
 			t.Errorf("got %+v, want %+v", l, w)
 		}
 	}
@@ -113,7 +113,7 @@
 	arrived := make(chan string)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go p.Deliver(ctx, func(refs []string) {
+	go p.DeliverNotices(ctx, func(refs []string) {
 		for _, r := range refs {
 			arrived <- r
 		}
@@ -147,7 +147,7 @@
 		}
 		io.WriteString(w, `]}`)
 	})
-	l, err := p.First(time.Minute)
+	l, err := p.FetchSnapshot(time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 		t.Errorf("%d endpoints, the last %+v", len(l.Endpoints), l.Endpoints[len(l.Endpoints)-1])
 	}
 	endless = true
-	if _, err := p.First(time.Minute); err == nil || !strings.Contains(err.Error(), "more than 64 MiB") {
+	if _, err := p.FetchSnapshot(time.Minute); err == nil || !strings.Contains(err.Error(), "more than 64 MiB") {
 		t.Errorf("an endless list: %v", err)
 	}
 }
--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -31,10 +31,10 @@
 
 // Fleet is what a Platform is told of those that call the same discovery.
 type Fleet struct {
-	Forwarders int            // how many there are, this one included
-	Asks       bool           // the list comes only when it is asked for, and asking is work there
-	AskEvery   time.Duration  // where that is so: who has not asked for so long is taken to be told what changed; 0: no such rule
-	Random     func() float64 // from 0 to 1; nil: the runtime's own
+	Forwarders          int            // how many there are, this one included
+	MustSubscribe       bool           // the list comes only when it is asked for, and asking is work there
+	ResubscribeInterval time.Duration  // where that is so: who has not asked for so long is taken to be told what changed; 0: no such rule
+	Random              func() float64 // from 0 to 1; nil: the runtime's own
 }
 
 // turns is how long it takes until each of a fleet has had its turn at first.
@@ -43,12 +43,12 @@
 // firstWait is the span over which a fleet spreads its first calls after a start of all of them: not so long that what changes
 // counts as told meanwhile.
 func (f Fleet) firstWait() time.Duration {
-	if !f.Asks {
+	if !f.MustSubscribe {
 		return 0
 	}
 	span := f.turns()
-	if f.AskEvery > 0 {
-		span = min(span, f.AskEvery*3/4)
+	if f.ResubscribeInterval > 0 {
+		span = min(span, f.ResubscribeInterval*3/4)
 	}
 	return span
 }
@@ -62,7 +62,7 @@
 
 // hold is how long a watch may wait for what changes.
 func (f Fleet) hold() time.Duration {
-	if f.Asks {
+	if f.MustSubscribe {
 		return askedHold
 	}
 	return pushedHold
@@ -70,7 +70,7 @@
 
 // callTime is how long a call may take that does not wait for changes.
 func (f Fleet) callTime() time.Duration {
-	if f.Asks {
+	if f.MustSubscribe {
 		return askedTime
 	}
 	return listTime
@@ -78,7 +78,7 @@
 
 // again are the waits after list calls that failed.
 func (f Fleet) again() backoff {
-	if !f.Asks {
+	if !f.MustSubscribe {
 		return backoff{first: firstPause, most: pushedPause, random: f.random}
 	}
 	return backoff{first: max(firstPause, f.firstWait()), most: max(listPause, 4*f.turns()), random: f.random}
@@ -87,7 +87,7 @@
 // retryPause is how long to wait after a list call that failed after so long.
 func (f Fleet) retryPause(b *backoff, took time.Duration, err error) time.Duration {
 	wait := b.failed()
-	if !f.Asks {
+	if !f.MustSubscribe {
 		return wait
 	}
 	b.overload += overloadSign(err)
--- a/internal/agent/check.go
+++ b/internal/agent/check.go
@@ -43,7 +43,7 @@
 	}
 	l.Endpoints = (*in.Endpoints)[:0]
 	for i, e := range *in.Endpoints {
-		if err := e.Check(); err != nil {
+		if err := e.Validate(); err != nil {
 			slog.Warn("an entry of discovery's list is left out", "index", l.Index, "entry", i, "name", fmt.Sprintf("%.80q", e.Name), "err", err)
 			continue
 		}
@@ -52,8 +52,8 @@
 	return l, nil
 }
 
-// Check says what can't be right in an entry. Of one that is to get nothing new, only its name counts.
-func (e *Endpoint) Check() error {
+// Validate says what can't be right in an entry. Of one that is to get nothing new, only its name counts.
+func (e *Endpoint) Validate() error {
 	if e.Name == "" {
 		return errors.New("name: it has none")
 	}
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -118,7 +118,7 @@
 	var mu sync.Mutex
 	for range n {
 		own := rand.New(rand.NewPCG(seeded.Uint64(), seeded.Uint64()))
-		p := New("discovery:1", Fleet{Forwarders: n, Asks: true, AskEvery: 10 * time.Second, Random: own.Float64})
+		p := New("discovery:1", Fleet{Forwarders: n, MustSubscribe: true, ResubscribeInterval: 10 * time.Second, Random: own.Float64})
 		p.agent.client.Transport.(*http.Transport).DialContext = network.dial
 		watching.Go(func() {
 			mine, stop := context.WithCancel(ctx)
@@ -168,8 +168,8 @@
 	if got := b.failed(); got != time.Second/4 {
 		t.Errorf("the first wait after a success, drawn at a quarter, is %v", got)
 	}
-	alone, many := Fleet{Forwarders: 1, Asks: true, AskEvery: 10 * time.Second}, Fleet{Forwarders: 80, Asks: true, AskEvery: 10 * time.Second}
-	if a, m := alone.firstWait(), many.firstWait(); a > 200*time.Millisecond || m < 5*time.Second || m >= many.AskEvery {
+	alone, many := Fleet{Forwarders: 1, MustSubscribe: true, ResubscribeInterval: 10 * time.Second}, Fleet{Forwarders: 80, MustSubscribe: true, ResubscribeInterval: 10 * time.Second}
+	if a, m := alone.firstWait(), many.firstWait(); a > 200*time.Millisecond || m < 5*time.Second || m >= many.ResubscribeInterval {
 		t.Errorf("first calls are spread over %v by one, %v by many", a, m)
 	}
 	if f := (Fleet{Forwarders: 80}); f.firstWait() != 0 || f.again().first != firstPause {
@@ -189,7 +189,7 @@
 		p.agent.client.Transport.(*http.Transport).DialContext = network.dial
 		ctx, cancel := context.WithCancel(t.Context())
 		p.NotifyCompletion(engine.Completion{ID: "m"})
-		p.Deliver(ctx, func([]string) { cancel() })
+		p.DeliverNotices(ctx, func([]string) { cancel() })
 		if late := time.Since(began) - 20*time.Second; late > 150*time.Millisecond {
 			t.Errorf("taken %v after it could be", late)
 		}
--- a/internal/agent/repeat_test.go
+++ b/internal/agent/repeat_test.go
@@ -57,7 +57,7 @@
 	}()
 	p := New(ln.Addr().String(), Fleet{})
 	arrived := make(chan int, 10)
-	go p.Deliver(t.Context(), func(refs []string) { arrived <- len(calls) })
+	go p.DeliverNotices(t.Context(), func(refs []string) { arrived <- len(calls) })
 	p.NotifyCompletion(engine.Completion{ID: "first", Failed: true})
 	if got := <-arrived; got != 1 {
 		t.Fatalf("the first notice is taken by call %d", got)
--- a/internal/agent/retry_test.go
+++ b/internal/agent/retry_test.go
@@ -36,14 +36,14 @@
 // TestChangeAfterFailures: calls fail in each way for some time, beginning with the first; then discovery can be reached and has a change. It is in force within
 // 6 s of that, whatever the draw of the pauses, for lists that are pushed and for those that are asked for, by fleets of each size.
 func TestChangeAfterFailures(t *testing.T) {
-	for _, fleet := range []Fleet{{Forwarders: 1}, {Forwarders: 300}, {Forwarders: 1, Asks: true}, {Forwarders: 24, Asks: true}, {Forwarders: 80, Asks: true}, {Forwarders: 300, Asks: true}} {
+	for _, fleet := range []Fleet{{Forwarders: 1}, {Forwarders: 300}, {Forwarders: 1, MustSubscribe: true}, {Forwarders: 24, MustSubscribe: true}, {Forwarders: 80, MustSubscribe: true}, {Forwarders: 300, MustSubscribe: true}} {
 		for name, fail := range failures {
 			for _, draw := range []float64{1, 0.1} { // a small one uses up sooner what is retried soon
-				if !fleet.Asks && draw < 1 {
+				if !fleet.MustSubscribe && draw < 1 {
 					continue // thousands of calls that show nothing more
 				}
-				t.Run(fmt.Sprintf("%d, asks: %v, %s, draw %v", fleet.Forwarders, fleet.Asks, name, draw), func(t *testing.T) {
-					fleet.AskEvery, fleet.Random = 10*time.Second, func() float64 { return draw }
+				t.Run(fmt.Sprintf("%d, asks: %v, %s, draw %v", fleet.Forwarders, fleet.MustSubscribe, name, draw), func(t *testing.T) {
+					fleet.ResubscribeInterval, fleet.Random = 10*time.Second, func() float64 { return draw }
 					for away := 250 * time.Millisecond; away <= 10*time.Second; away += 1950 * time.Millisecond {
 						synctest.Test(t, func(t *testing.T) { changeAfterFailures(t, fleet, fail, away) })
 					}
@@ -55,7 +55,7 @@
 
 // TestChangeAfterLongFailures: the same after minutes, for a fleet that can be answered in time.
 func TestChangeAfterLongFailures(t *testing.T) {
-	for _, fleet := range []Fleet{{Forwarders: 300}, {Forwarders: 24, Asks: true}} {
+	for _, fleet := range []Fleet{{Forwarders: 300}, {Forwarders: 24, MustSubscribe: true}} {
 		for name, fail := range failures {
 			for _, away := range []time.Duration{3*time.Minute + 1700*time.Millisecond} {
 				t.Run(fmt.Sprintf("%d, %s, %v", fleet.Forwarders, name, away), func(t *testing.T) {
--- a/internal/agent/silence_test.go
+++ b/internal/agent/silence_test.go
@@ -60,7 +60,7 @@
 func TestSilentWatch(t *testing.T) {
 	const news = `{"index":42,"snapshot":false,"endpoints":[{"name":"a","group":3,"status":"DRAINING"}]}`
 	text := whole(news)
-	for name, fleet := range map[string]Fleet{"pushed": {Forwarders: 300}, "asked for": {Forwarders: 300, Asks: true, AskEvery: 10 * time.Second}} {
+	for name, fleet := range map[string]Fleet{"pushed": {Forwarders: 300}, "asked for": {Forwarders: 300, MustSubscribe: true, ResubscribeInterval: 10 * time.Second}} {
 		for cut := 0; cut < len(text); cut++ {
 			for _, at := range []float64{0, 1} { // of the time that the call may wait
 				synctest.Test(t, func(t *testing.T) {
@@ -90,7 +90,7 @@
 						cancel()
 					})
 					late := time.Since(began) - silent - 6*time.Second
-					if fleet.Asks { // each call is work there: as long as the page lets it
+					if fleet.MustSubscribe { // each call is work there: as long as the page lets it
 						late = time.Since(began) - silent - max(6*time.Second, wait+2*time.Second)
 					}
 					if late > 0 {
@@ -126,7 +126,7 @@
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				arrived := make(chan []string)
-				go p.Deliver(ctx, func(refs []string) { arrived <- refs })
+				go p.DeliverNotices(ctx, func(refs []string) { arrived <- refs })
 				for _, id := range []string{"first", "second"} {
 					due := time.Now()
 					p.NotifyCompletion(engine.Completion{ID: id})
@@ -149,7 +149,7 @@
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		p.NotifyCompletion(engine.Completion{ID: "m"})
-		go p.Deliver(ctx, func([]string) { t.Error("arrived") })
+		go p.DeliverNotices(ctx, func([]string) { t.Error("arrived") })
 		time.Sleep(10 * time.Second)
 		if n := calls.Load(); n < 10 || n > 13 {
 			t.Errorf("%d calls in 10 s", n)
@@ -282,7 +282,7 @@
 			t.Errorf("%+v", l)
 		}
 		for _, e := range l.Endpoints {
-			if err := e.Check(); err != nil {
+			if err := e.Validate(); err != nil {
 				t.Errorf("%+v: %v", e, err)
 			}
 		}
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -27,9 +27,9 @@
 
 // StreamLimits bound what Stream reads.
 type StreamLimits struct {
-	Bytes   int64         // of one list
-	First   time.Duration // until a whole list begins to come
-	Silence time.Duration // between two pieces of a list
+	MaxBytes         int64         // of one list
+	FirstByteTimeout time.Duration // until a whole list begins to come
+	IdleTimeout      time.Duration // between two pieces of a list
 }
 
 // maxReordered bounds the entries of a list that come before it has said what it is.
@@ -48,7 +48,7 @@
 // a list that breaks off has been handed on in part.
 func (p *Platform) Stream(ctx context.Context, index int64, limits StreamLimits, sink Sink) {
 	fetch := func(ctx context.Context, a *agent, at *position, wait bool) (*List, error) {
-		first := limits.First
+		first := limits.FirstByteTimeout
 		if at.from >= 0 {
 			first = listTime
 			if wait {
@@ -101,10 +101,10 @@
 		if status != http.StatusOK {
 			return fmt.Errorf("status %d", status)
 		}
-		in := &io.LimitedReader{R: &progressReader{from: body, progress: func() { silence.Reset(limits.Silence) }}, N: limits.Bytes}
+		in := &io.LimitedReader{R: &progressReader{from: body, progress: func() { silence.Reset(limits.IdleTimeout) }}, N: limits.MaxBytes}
 		err := r.read(jsontext.NewDecoder(in, streamOptions))
 		if err != nil && in.N <= 0 {
-			return fmt.Errorf("more than %d MiB", limits.Bytes>>20)
+			return fmt.Errorf("more than %d MiB", limits.MaxBytes>>20)
 		}
 		return err
 	})
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -67,7 +67,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				sink := &recordingSink{stopAt: strings.Count(c.want, "]"), stop: cancel}
 				p, over := answering(t, Fleet{}, func(n int, r *http.Request, conn net.Conn) { conn.Write([]byte(whole(c.answers[n-1]))) })
-				p.Stream(ctx, -1, StreamLimits{Bytes: 4096, First: time.Second, Silence: time.Second}, sink)
+				p.Stream(ctx, -1, StreamLimits{MaxBytes: 4096, FirstByteTimeout: time.Second, IdleTimeout: time.Second}, sink)
 				if got := sink.notes.String(); got != c.want {
 					t.Errorf("handed on %s, want %s", got, c.want)
 				}
@@ -93,7 +93,7 @@
 				}
 			}
 		})
-		p.Stream(ctx, -1, StreamLimits{Bytes: 4096, First: time.Minute * 2, Silence: time.Second}, sink)
+		p.Stream(ctx, -1, StreamLimits{MaxBytes: 4096, FirstByteTimeout: time.Minute * 2, IdleTimeout: time.Second}, sink)
 		if got := sink.notes.String(); got != "[4 true a[4 true a]" {
 			t.Errorf("handed on %s", got)
 		}
--- a/internal/agent/withdrawn.go
+++ b/internal/agent/withdrawn.go
@@ -22,8 +22,8 @@
 	mostWithdrawn = 3 << 9
 )
 
-// Withdrawn is that file. It is used by one goroutine at a time.
-type Withdrawn struct {
+// WithdrawnStore is that file. It is used by one goroutine at a time.
+type WithdrawnStore struct {
 	path  string
 	known *List // of the configuration: what a start without discovery would call
 	saved withdrawn
@@ -34,9 +34,9 @@
 	Names []string `json:"names"` // the newest last
 }
 
-// OpenWithdrawn reads the one in a folder. known is the list of the configuration. A file that can't be read is as good as none, and the log says so.
-func OpenWithdrawn(folder string, known *List) *Withdrawn {
-	w := &Withdrawn{path: filepath.Join(folder, withdrawnName), known: known}
+// OpenWithdrawnStore reads the one in a folder. known is the list of the configuration. A file that can't be read is as good as none, and the log says so.
+func OpenWithdrawnStore(folder string, known *List) *WithdrawnStore {
+	w := &WithdrawnStore{path: filepath.Join(folder, withdrawnName), known: known}
 	f, err := os.Open(w.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return w
@@ -55,8 +55,8 @@
 	return w
 }
 
-// Known is the list of the configuration as the process before would have it now: what it was told to drain by a later list drains.
-func (w *Withdrawn) Known() *List {
+// InitialList is the list of the configuration as the process before would have it now: what it was told to drain by a later list drains.
+func (w *WithdrawnStore) InitialList() *List {
 	if len(w.saved.Names) == 0 {
 		return w.known
 	}
@@ -75,8 +75,8 @@
 	return &l
 }
 
-// Tell takes a list that was told. What it withdraws is in the folder when it returns.
-func (w *Withdrawn) Tell(l *List) {
+// Update takes a list that was told. What it withdraws is in the folder when it returns.
+func (w *WithdrawnStore) Update(l *List) {
 	serves := make(map[string]bool, len(l.Endpoints)) // of those that the list names
 	for _, e := range l.Endpoints {
 		serves[e.Name] = e.serves()
@@ -130,7 +130,7 @@
 	return text, kept
 }
 
-func (w *Withdrawn) store(text []byte) error {
+func (w *WithdrawnStore) store(text []byte) error {
 	next := w.path + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		os.Remove(next)
--- a/internal/agent/withdrawn_test.go
+++ b/internal/agent/withdrawn_test.go
@@ -31,7 +31,7 @@
 		now := map[string]bool{"a": true, "b": true, "c": true} // as told
 		inForce := map[string]bool{"a": true, "b": true, "c": true}
 		index := int64(1)
-		w := OpenWithdrawn(folder, known)
+		w := OpenWithdrawnStore(folder, known)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"changes", "whole", "restart", "new configuration"}).Draw(t, "step") {
 			case "changes":
@@ -43,7 +43,7 @@
 						l.Endpoints, now[name] = append(l.Endpoints, e), e.serves()
 					}
 				}
-				w.Tell(l)
+				w.Update(l)
 			case "whole":
 				index++
 				l := &List{Index: index, Snapshot: true}
@@ -53,7 +53,7 @@
 						l.Endpoints, now[name] = append(l.Endpoints, e), e.serves()
 					}
 				}
-				w.Tell(l)
+				w.Update(l)
 			case "new configuration": // of now, which the process before may not have heard
 				if rapid.Bool().Draw(t, "changes") {
 					index++
@@ -67,11 +67,11 @@
 						known.Endpoints = append(known.Endpoints, entry(name, Serving))
 					}
 				}
-				w = OpenWithdrawn(folder, known)
+				w = OpenWithdrawnStore(folder, known)
 			case "restart":
-				w = OpenWithdrawn(folder, known)
+				w = OpenWithdrawnStore(folder, known)
 			}
-			for _, e := range OpenWithdrawn(folder, known).Known().Endpoints {
+			for _, e := range OpenWithdrawnStore(folder, known).InitialList().Endpoints {
 				if want := inForce[e.Name] && now[e.Name]; e.serves() != want {
 					t.Fatalf("%s: serves %t, and %t was told", e.Name, e.serves(), want)
 				}
@@ -88,15 +88,15 @@
 	for i := range 10000 {
 		known.Endpoints = append(known.Endpoints, entry(fmt.Sprintf("target-%05d\"", i), Serving))
 	}
-	w := OpenWithdrawn(folder, known)
-	w.Tell(&List{Index: 2, Snapshot: true}) // all are gone
+	w := OpenWithdrawnStore(folder, known)
+	w.Update(&List{Index: 2, Snapshot: true}) // all are gone
 	path := filepath.Join(folder, withdrawnName)
 	if info, err := os.Stat(path); err != nil || info.Size() > mostWithdrawn || info.Size() < mostWithdrawn/2 {
 		t.Fatalf("%v, %v", info, err)
 	}
 	last := &known.Endpoints[len(known.Endpoints)-1]
 	drains := func() (n int, newest bool) {
-		l := OpenWithdrawn(folder, known).Known()
+		l := OpenWithdrawnStore(folder, known).InitialList()
 		for _, e := range l.Endpoints {
 			if !e.serves() {
 				n, newest = n+1, newest || e.Name == last.Name
@@ -107,7 +107,7 @@
 	if n, newest := drains(); n < 50 || !newest {
 		t.Errorf("%d drain, the newest: %t", n, newest)
 	}
-	w.Tell(&List{Index: 3, Endpoints: []Endpoint{entry(strings.Repeat("x", mostWithdrawn), Draining)}}) // no room for that name
+	w.Update(&List{Index: 3, Endpoints: []Endpoint{entry(strings.Repeat("x", mostWithdrawn), Draining)}}) // no room for that name
 	if info, err := os.Stat(path); err != nil || info.Size() > mostWithdrawn {
 		t.Fatalf("%v, %v", info, err)
 	}
@@ -118,11 +118,11 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		w := OpenWithdrawn(folder, known)
-		if l := w.Known(); l != known {
+		w := OpenWithdrawnStore(folder, known)
+		if l := w.InitialList(); l != known {
 			t.Errorf("%q: another list", text)
 		}
-		w.Tell(&List{Index: 4, Endpoints: []Endpoint{entry(last.Name, Draining)}})
+		w.Update(&List{Index: 4, Endpoints: []Endpoint{entry(last.Name, Draining)}})
 		if n, newest := drains(); n != 1 || !newest {
 			t.Errorf("after %q: %d drain, the newest: %t", text, n, newest)
 		}
@@ -130,8 +130,8 @@
 	if err := os.Mkdir(path+".next", 0o700); err != nil { // nothing can be written
 		t.Fatal(err)
 	}
-	w = OpenWithdrawn(folder, known)
-	w.Tell(&List{Index: 5, Endpoints: []Endpoint{entry(last.Name, Serving), entry(known.Endpoints[0].Name, Draining)}})
+	w = OpenWithdrawnStore(folder, known)
+	w.Update(&List{Index: 5, Endpoints: []Endpoint{entry(last.Name, Serving), entry(known.Endpoints[0].Name, Draining)}})
 	if n, newest := drains(); n != 1 || !newest {
 		t.Errorf("not written: %d drain, the newest: %t", n, newest)
 	}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -116,7 +116,7 @@
 	if known && e.Status != agent.Deleted {
 		c.see(slot) // also where its new state is refused: then it stays as it was
 	}
-	if err := e.Check(); err != nil {
+	if err := e.Validate(); err != nil {
 		return err
 	}
 	if e.Status == agent.Deleted {
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -67,9 +67,9 @@
 	if o.Limits == (catalog.Limits{}) {
 		o.Limits = catalog.DefaultLimits
 	}
-	setDefault(&o.Stream.Bytes, 4<<30)
-	setDefault(&o.Stream.First, time.Minute)
-	setDefault(&o.Stream.Silence, 10*time.Second)
+	setDefault(&o.Stream.MaxBytes, 4<<30)
+	setDefault(&o.Stream.FirstByteTimeout, time.Minute)
+	setDefault(&o.Stream.IdleTimeout, 10*time.Second)
 }
 
 func setDefault[T comparable](setting *T, value T) {
--- a/internal/scale/node.go
+++ b/internal/scale/node.go
@@ -139,14 +139,14 @@
 // wholeList watches the whole list, as a forwarder without a scope does.
 type wholeList struct {
 	platform  *agent.Platform
-	withdrawn *agent.Withdrawn // what was withdrawn, in a file; nil: it is not kept
+	withdrawn *agent.WithdrawnStore // what was withdrawn, in a file; nil: it is not kept
 }
 
 // newWholeList makes one. A folder is where a forwarder would keep which endpoints were withdrawn; empty: that is not kept.
 func newWholeList(address, folder string) source {
 	w := &wholeList{platform: agent.New(address, agent.Fleet{})}
 	if folder != "" {
-		w.withdrawn = agent.OpenWithdrawn(folder, &agent.List{})
+		w.withdrawn = agent.OpenWithdrawnStore(folder, &agent.List{})
 	}
 	return w
 }
@@ -154,9 +154,9 @@
 func (w *wholeList) watch(ctx context.Context, to *Node) {
 	w.platform.Watch(ctx, nil, func(l *agent.List) {
 		if w.withdrawn != nil {
-			w.withdrawn.Tell(l)
+			w.withdrawn.Update(l)
 		}
-		to.apply(l.Index, l.Told())
+		to.apply(l.Index, l.EngineUpdate())
 	})
 }
 
--- a/internal/scale/partial.go
+++ b/internal/scale/partial.go
@@ -82,8 +82,8 @@
 // apply has a list in force, by way of what a forwarder keeps of each source and of the list's digest.
 func (p *partialList) apply(l *agent.List) {
 	p.mu.Lock()
-	merged := p.set.Update(membership.Agent, l.Told())
-	p.targets.Update(l.Index, l.Snapshot, l.Entries())
+	merged := p.set.Update(membership.Agent, l.EngineUpdate())
+	p.targets.Update(l.Index, l.Snapshot, l.VersionEntries())
 	p.mu.Unlock()
 	p.node.apply(l.Index, merged)
 }
