--- a/cmd/scaleroute/bundle.go
+++ b/cmd/scaleroute/bundle.go
@@ -21,7 +21,7 @@
 	list    *agent.List    // nil: none was told yet
 	part    *control.Saved // in place of it, where only a part of the list is known; nil: the whole list is
 	drained bool           // clients are sent away by hand
-	clients []resp2.Handed
+	clients []resp2.DetachedConn
 	stopped time.Time // nobody reads what clients send since then
 	idle    []httpcall.Idle
 
@@ -160,7 +160,7 @@
 		case kindClient:
 			var v clientParcel
 			read(&v)
-			b.clients = append(b.clients, resp2.Handed{Conn: p.Conn, Unread: v.Unread, Used: v.Used})
+			b.clients = append(b.clients, resp2.DetachedConn{Conn: p.Conn, Unread: v.Unread, Used: v.Used})
 		case kindIdle:
 			var v idleParcel
 			read(&v)
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -285,12 +285,12 @@
 			return nil, nil, fmt.Errorf("listening for clients: %w", err)
 		}
 	}
-	var intake resp2.Taker = l
+	var intake resp2.Acceptor = l
 	if f.operators.plugins != nil {
 		intake = router{f.operators, f.operators.plugins.Front(f.partial.front(l))}
 	}
 	clients := resp2.New(ln, f.c.Limits.Clients(), intake)
-	clients.HandsOver = f.inherited != nil
+	clients.HandoverEnabled = f.inherited != nil
 	if from != nil && from.drained {
 		clients.Drain()
 	}
@@ -385,7 +385,7 @@
 	for _, step := range []struct {
 		at time.Duration
 		do func()
-	}{{acceptOn, clients.StopAccepting}, {serveOn, clients.Close}, {serveOn + 2*resp2.LastLook, l.Finish}} {
+	}{{acceptOn, clients.StopAccepting}, {serveOn, clients.Close}, {serveOn + 2*resp2.FinalReadGrace, l.Finish}} {
 		select {
 		case err := <-failed:
 			return err
--- a/internal/front/resp2/drain.go
+++ b/internal/front/resp2/drain.go
@@ -70,7 +70,7 @@
 func (c *Server) closeIdle() {
 	for conn, s := range c.conns {
 		if s.idle {
-			conn.SetReadDeadline(time.Now().Add(LastLook))
+			conn.SetReadDeadline(time.Now().Add(FinalReadGrace))
 		}
 	}
 }
--- a/internal/front/resp2/gap_test.go
+++ b/internal/front/resp2/gap_test.go
@@ -45,7 +45,7 @@
 					return engine.Answer{}
 				}))
 				conn, r := dial(t, ln.Addr().String())
-				var list []Handed
+				var list []DetachedConn
 				text, read := request("a"), 0
 				if how != "not accepted" {
 					far, err := ln.Accept()
@@ -53,7 +53,7 @@
 						t.Fatal(err)
 					}
 					read = map[string]int{"read": len(text), "half read": 10, "not read": 0}[how]
-					list = []Handed{{Conn: far, Unread: []byte(text[:read])}}
+					list = []DetachedConn{{Conn: far, Unread: []byte(text[:read])}}
 				}
 				fmt.Fprint(conn, text[read:])
 				var stopped time.Time
--- a/internal/front/resp2/handover.go
+++ b/internal/front/resp2/handover.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Handed is a client's connection that goes from one server to another, in this process or the next one.
-type Handed struct {
+// DetachedConn is a client's connection that goes from one server to another, in this process or the next one.
+type DetachedConn struct {
 	Conn   net.Conn
 	Unread []byte // read from it, and not answered: a part of a request, or more
 	Used   bool   // a request was answered on it
@@ -16,12 +16,12 @@
 type handing struct {
 	on   bool
 	over bool // what comes now is too late, and closed
-	list []Handed
+	list []DetachedConn
 }
 
 // Detach ends the server without closing a connection: requests in hand are answered, and what was read of others goes along. The
 // listener stays open. A client that does not take its answer within the limit is closed, as when it is silent for too long.
-func (c *Server) Detach(limit time.Duration) []Handed {
+func (c *Server) Detach(limit time.Duration) []DetachedConn {
 	c.mu.Lock()
 	c.handing.on = true
 	c.closing = true // for good
@@ -56,7 +56,7 @@
 	if !c.handing.on || c.handing.over {
 		return false
 	}
-	c.handing.list = append(c.handing.list, Handed{conn, unread, used})
+	c.handing.list = append(c.handing.list, DetachedConn{conn, unread, used})
 	return true
 }
 
@@ -81,7 +81,7 @@
 }
 
 // Adopt serves connections of another server, which stopped reading at a time; it comes before Serve.
-func (c *Server) Adopt(list []Handed, stopped time.Time) {
+func (c *Server) Adopt(list []DetachedConn, stopped time.Time) {
 	c.gap = gap{stopped, time.Now()}
 	for _, h := range list {
 		h.Conn.SetDeadline(time.Time{})
--- a/internal/front/resp2/handover_test.go
+++ b/internal/front/resp2/handover_test.go
@@ -37,9 +37,9 @@
 			name := fmt.Sprintf("%s, cut at %d", steps, at)
 			taken.Store(0)
 			served := make(chan error, 1)
-			serve := func(list []Handed) *Server {
+			serve := func(list []DetachedConn) *Server {
 				c := New(ln, 100, take)
-				c.HandsOver = true
+				c.HandoverEnabled = true
 				c.Adopt(list, time.Now())
 				go func() { served <- c.Serve(t.Context()) }()
 				return c
@@ -125,13 +125,13 @@
 		<-finish
 		return engine.Answer{}
 	}))
-	first.HandsOver = true
+	first.HandoverEnabled = true
 	served := make(chan error, 1)
 	go func() { served <- first.Serve(t.Context()) }()
 	conn, r := dial(t, ln.Addr().String())
 	fmt.Fprint(conn, resp("ENQUEUE", "key", "id-1", "c=note,d=1500,dest=3", "body"))
 	<-asked
-	handed := make(chan []Handed)
+	handed := make(chan []DetachedConn)
 	go func() { handed <- first.Detach(time.Minute) }()
 	if err := <-served; err != nil {
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 	defer ln.Close()
 	for round := range 300 {
 		first := New(ln, 3, nil) // fewer than there are clients
-		first.HandsOver = true
+		first.HandoverEnabled = true
 		served := make(chan error, 2)
 		go func() { served <- first.Serve(t.Context()) }()
 		var conns []net.Conn
--- a/internal/front/resp2/room.go
+++ b/internal/front/resp2/room.go
@@ -69,7 +69,7 @@
 		c.endLongest(from.idle, now)
 		c.crowded = now.Add(crowdedFor)
 	case len(from.idle) == 0 && len(from.half) > 0 && waited >= roomHalf:
-		c.endLongest(from.half, now.Add(LastLook))
+		c.endLongest(from.half, now.Add(FinalReadGrace))
 		c.crowded = now.Add(crowdedFor)
 	}
 }
--- a/internal/front/resp2/server.go
+++ b/internal/front/resp2/server.go
@@ -30,9 +30,9 @@
 	maxIDLen   = 128
 	// Nobody holds a connection without a word, or stops in the middle of a request, for good.
 	requestTime = 2500 * time.Millisecond
-	// LastLook: a request that crosses the closing of its connection is still read.
-	LastLook    = 10 * time.Millisecond
-	acceptPause = 20 * time.Millisecond // after accepting failed
+	// FinalReadGrace: a request that crosses the closing of its connection is still read.
+	FinalReadGrace = 10 * time.Millisecond
+	acceptPause    = 20 * time.Millisecond // after accepting failed
 
 	// What a client still sends is read for so long after an error: to close on
 	// it at once would reset the connection, and might lose the error.
@@ -40,8 +40,8 @@
 	lingerBytes = 256 << 10
 )
 
-// Taker takes a message on or turns it away.
-type Taker interface {
+// Acceptor takes a message on or turns it away.
+type Acceptor interface {
 	Accept(*message.Message) engine.Answer
 }
 
@@ -52,10 +52,10 @@
 type Server struct {
 	ln   net.Listener
 	most int // connections
-	take Taker
+	take Acceptor
 
-	// HandsOver has what was read of requests kept, so that Detach can hand it over. It is set before Serve.
-	HandsOver bool
+	// HandoverEnabled has what was read of requests kept, so that Detach can hand it over. It is set before Serve.
+	HandoverEnabled bool
 
 	drained  atomic.Bool   // PING says no
 	stopping atomic.Bool   // no connection is taken on but what is queued
@@ -121,7 +121,7 @@
 		}
 	}
 	n, err := p.Conn.Read(b)
-	if p.server.HandsOver {
+	if p.server.HandoverEnabled {
 		p.seen = append(p.seen, b[:n]...)
 	}
 	return n, err
@@ -148,7 +148,7 @@
 }
 
 // New makes a Server with at most so many connections.
-func New(ln net.Listener, most int, take Taker) *Server {
+func New(ln net.Listener, most int, take Acceptor) *Server {
 	if l, ok := ln.(interface{ SetDeadline(time.Time) error }); ok { // another server may have ended it
 		l.SetDeadline(time.Time{})
 	}
@@ -169,7 +169,7 @@
 	for {
 		last := c.stopping.Load()
 		if last {
-			c.acceptFor(LastLook)
+			c.acceptFor(FinalReadGrace)
 		}
 		conn, err := c.ln.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) && !last && c.stopping.Load() {
@@ -300,7 +300,7 @@
 	} else if c.drain.closing {
 		raw.SetReadDeadline(time.Now().Add(drainNew))
 	} else if c.closing {
-		raw.SetReadDeadline(time.Now().Add(LastLook))
+		raw.SetReadDeadline(time.Now().Add(FinalReadGrace))
 	} else if !s.shed {
 		raw.SetReadDeadline(until)
 	}
--- a/internal/front/resp2/server_test.go
+++ b/internal/front/resp2/server_test.go
@@ -21,7 +21,7 @@
 func (f taker) Accept(m *message.Message) engine.Answer { return f(m) }
 
 // startClients serves an intake on a loopback port.
-func startClients(t *testing.T, most int, take Taker) (*Server, string) {
+func startClients(t *testing.T, most int, take Acceptor) (*Server, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
