--- a/internal/journal/append.go
+++ b/internal/journal/append.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// RecordAccepted records a message, in the room reserved for it.
+// RecordAccepted appends a newly accepted message, whose space has been reserved with Reserve. An open message with the
+// same ID is closed first.
 func (j *Journal) RecordAccepted(s *MessageState) error {
 	if old := j.live[s.ID]; old != nil {
 		j.RecordClosed(old.ID)
@@ -17,7 +18,7 @@
 	return j.appendState(s)
 }
 
-// appendState appends a message as it is now.
+// appendState appends the current state of a message, with its body.
 func (j *Journal) appendState(s *MessageState) error {
 	body, err := s.Body.Load()
 	if err != nil {
@@ -28,7 +29,7 @@
 	if j.err == nil {
 		s.unlink()
 		j.activeSegment().link(s, int64(size+maxIndexEntry))
-		j.pendingPositions = append(j.pendingPositions, pendingPosition{saved: s, position: position{j.activeSegment(), at, size}})
+		j.pendingPositions = append(j.pendingPositions, pendingPosition{state: s, position: position{j.activeSegment(), at, size}})
 	}
 	return j.err
 }
@@ -42,7 +43,7 @@
 	}
 }
 
-// RecordOutcome records how the attempt in flight ended.
+// RecordOutcome records the outcome of the attempt in flight.
 func (j *Journal) RecordOutcome(id string, mayHaveRun bool) {
 	if s := j.live[id]; s != nil {
 		s.InFlight, s.MayHaveRun = false, s.MayHaveRun || mayHaveRun
@@ -50,15 +51,15 @@
 	}
 }
 
-// RecordCompletion records the final answer; its completion notice is owed from then on.
-func (j *Journal) RecordCompletion(id string, end byte, wait time.Duration) {
+// RecordCompletion records the final outcome of a message. Its completion notice is pending from then on.
+func (j *Journal) RecordCompletion(id string, completion byte, retryAfter time.Duration) {
 	if s := j.live[id]; s != nil {
-		s.Completion, s.RetryAfter = end, wait
-		j.appendMessageRecord(kindEnd, s, binary.AppendUvarint([]byte{end}, uint64(wait.Milliseconds())))
+		s.Completion, s.RetryAfter = completion, retryAfter
+		j.appendMessageRecord(kindCompletion, s, binary.AppendUvarint([]byte{completion}, uint64(retryAfter.Milliseconds())))
 	}
 }
 
-// RecordClosed removes a message for which nothing is owed any more.
+// RecordClosed closes a message for which no work is left, and removes it.
 func (j *Journal) RecordClosed(id string) {
 	if s := j.live[id]; s != nil {
 		j.appendMessageRecord(kindClosed, s, nil)
@@ -66,7 +67,7 @@
 	}
 }
 
-// removeMessage removes a message from memory and returns its room.
+// removeMessage removes a message from memory and releases its reserved space.
 func (j *Journal) removeMessage(s *MessageState) {
 	s.unlink()
 	j.memory.release(s)
@@ -74,13 +75,14 @@
 	j.Release(s.Size())
 }
 
-// appendMessageRecord buffers a record of a message, and returns its offset and size.
+// appendMessageRecord buffers a record of a message and returns its offset and size. If the record does not fit into the
+// active segment, the next one is begun.
 func (j *Journal) appendMessageRecord(k kind, s *MessageState, rest []byte) (at int64, size int) {
 	if j.err != nil {
 		return 0, 0
 	}
-	var few [32]byte
-	payload := binary.AppendUvarint(few[:0], s.number)
+	var scratch [32]byte
+	payload := binary.AppendUvarint(scratch[:0], s.number)
 	payload = append(append(payload, s.recordCount), rest...)
 	n := recordHeaderBytes + len(payload)
 	if j.bytesLeft() < n+maxIndexEntry {
@@ -98,7 +100,8 @@
 	return at, n
 }
 
-// bytesLeft is the room in the active segment for records, without that for their index entries.
+// bytesLeft returns how many bytes of records fit into the active segment. The index of the records written so far and
+// the seal are already subtracted.
 func (j *Journal) bytesLeft() int {
 	index := recordHeaderBytes + 16 + len(j.unindexed)*maxIndexEntry
 	return int(j.segmentSize-j.writeOffset) - len(j.buffer) - index - sealBytes
@@ -109,8 +112,8 @@
 	j.buffer = appendRecord(j.buffer, j.activeSegment().nonce, j.writeOffset+int64(len(j.buffer)), k, payload)
 }
 
-// appendIndex appends an index of the records since the last one, by which replay can tell which messages damage
-// has hit.
+// appendIndex appends an index of the records since the previous index. Replay uses it to find out which messages a
+// damaged place affects.
 func (j *Journal) appendIndex() {
 	if len(j.unindexed) == 0 {
 		return
@@ -118,8 +121,8 @@
 	payload := binary.AppendUvarint(nil, j.indexCount)
 	payload = binary.AppendUvarint(payload, uint64(len(j.unindexed)))
 	j.indexCount++
-	for _, t := range j.unindexed {
-		payload = append(binary.AppendUvarint(payload, t.number), t.count)
+	for _, id := range j.unindexed {
+		payload = append(binary.AppendUvarint(payload, id.number), id.count)
 	}
 	j.appendToBuffer(kindIndex, payload)
 	j.unindexed, j.unindexedBytes = j.unindexed[:0], 0
@@ -142,13 +145,13 @@
 	return j.ensureSpare()
 }
 
-// Flush writes the buffer, and compacts a part of the oldest segment if room is short.
+// Flush writes the buffer. If space is short or a rebuild is under way, it also compacts a part of the oldest segment.
 func (j *Journal) Flush() error {
 	if j.err == nil && len(j.buffer) > 0 {
 		j.err = j.flush()
 	}
 	if j.err != nil {
-		j.abandonBuffer()
+		j.discardBuffer()
 		j.reported = true
 	}
 	return j.err
@@ -191,7 +194,7 @@
 	return nil
 }
 
-// flagByte is 1 if a flag is set, else 0.
+// flagByte returns 1 if a flag is set and 0 otherwise.
 func flagByte(b bool) byte {
 	if b {
 		return 1
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -8,7 +8,7 @@
 	"scaleroute/internal/message"
 )
 
-// BenchmarkRecovery opens a folder in which so many messages of 100 bytes are held.
+// BenchmarkRecovery measures opening a folder with the given number of queued messages of 100 bytes.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("held=%d", n), func(b *testing.B) {
@@ -20,8 +20,8 @@
 			body := message.Bytes(make([]byte, 100))
 			for i := range n {
 				s := &MessageState{ID: fmt.Sprintf("%016x", i), Class: "status-update", Body: body}
-				if room, err := j.Reserve(s.Size()); err != nil || !room {
-					b.Fatal(room, err)
+				if reserved, err := j.Reserve(s.Size()); err != nil || !reserved {
+					b.Fatal(reserved, err)
 				}
 				if err := j.RecordAccepted(s); err != nil {
 					b.Fatal(err)
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkWrite takes a message on, sends it, and closes it, with so much of the room in use by others. It tells how
-// many bytes are written for each byte of a body.
+// BenchmarkWrite accepts a message, records one attempt and closes it, while other messages use the given share of the
+// disk space. It reports how many bytes are written for each byte of a body.
 func BenchmarkWrite(b *testing.B) {
 	for _, share := range []float64{0.1, 0.5, 0.9} {
 		b.Run(fmt.Sprintf("used=%.0f%%", 100*share), func(b *testing.B) {
@@ -66,22 +66,22 @@
 				b.Fatal(err)
 			}
 			defer j.Close()
-			body, held := message.Bytes(make([]byte, 1000)), 0
+			body, queued := message.Bytes(make([]byte, 1000)), 0
 			accept := func(id string) bool {
 				s := &MessageState{ID: id, Class: "status-update", Body: body}
-				room, err := j.Reserve(s.Size())
-				if err == nil && room {
+				reserved, err := j.Reserve(s.Size())
+				if err == nil && reserved {
 					err = j.RecordAccepted(s)
 				}
 				if err != nil {
 					b.Fatal(err)
 				}
-				return room
+				return reserved
 			}
-			for accept(fmt.Sprint("h", held)) {
-				held++
+			for accept(fmt.Sprint("h", queued)) {
+				queued++
 			}
-			for i := int(share * float64(held)); i < held; i++ {
+			for i := int(share * float64(queued)); i < queued; i++ {
 				j.RecordClosed(fmt.Sprint("h", i))
 			}
 			if err := j.Flush(); err != nil {
@@ -92,7 +92,7 @@
 				id := fmt.Sprint("m", n)
 				n++
 				if !accept(id) {
-					b.Fatal("no room")
+					b.Fatal("no space")
 				}
 				j.RecordSending(id)
 				j.RecordClosed(id)
--- a/internal/journal/compaction.go
+++ b/internal/journal/compaction.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// compact appends so many bytes of the states that are still needed in the oldest segment again. When none is
-// needed there any more, it recycles the segment's file and returns true.
-func (j *Journal) compact(most int64) (done bool, err error) {
+// compact copies up to maxBytes of the states that are still needed from the oldest segment to the end of the log. When
+// none is left there, it recycles the segment's file and returns true.
+func (j *Journal) compact(maxBytes int64) (done bool, err error) {
 	if len(j.segments) < 2 {
 		return false, nil
 	}
 	old := j.segments[0]
-	for old.head != nil && most > 0 {
+	for old.head != nil && maxBytes > 0 {
 		s := old.head
 		if int64(j.bytesLeft()) < s.stateSize {
 			if len(j.spares) == 0 {
-				return false, nil // it would take the room that is to be freed
+				return false, nil // a new segment would take the space that compaction is to free
 			}
 			if err := j.rollSegment(); err != nil {
 				return false, err
@@ -27,7 +27,7 @@
 			}
 			continue
 		}
-		most -= s.stateSize
+		maxBytes -= s.stateSize
 		j.compactedBytes += s.stateSize
 		if err := j.appendState(s); err != nil {
 			return false, err
@@ -36,7 +36,7 @@
 	if old.head != nil {
 		return false, nil
 	}
-	if err := j.writeBuffer(); err != nil { // before what it replaces is gone
+	if err := j.writeBuffer(); err != nil { // the copies must be written before the originals are gone
 		return false, err
 	}
 	if err := j.syncNow(); err != nil {
@@ -45,20 +45,21 @@
 	return true, j.recycleSegment(old)
 }
 
-// recycleSegment makes the file of the oldest segment a spare one.
+// recycleSegment turns the file of the oldest segment into a spare one, or removes it if its size does not fit the
+// current limit.
 func (j *Journal) recycleSegment(old *segment) error {
 	if old.detached {
 		j.segments = j.segments[1:]
 		return closeSegment(old)
 	}
-	if old.size != j.segmentSize || j.allocatedBytes()+j.segmentSize > j.limit { // of another limit, or of an upgrade
+	if old.size != j.segmentSize || j.allocatedBytes()+j.segmentSize > j.limit { // begun under another limit, or by an upgrade
 		if err := j.fs.Remove(old.name); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
 		j.segments = j.segments[1:]
 		return errors.Join(closeSegment(old), j.syncFolder())
 	}
-	spare := strings.TrimSuffix(old.name, segmentEnd) + spareEnd
+	spare := strings.TrimSuffix(old.name, segmentSuffix) + spareSuffix
 	if err := j.fs.Rename(old.name, spare); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
@@ -67,7 +68,7 @@
 	return errors.Join(closeSegment(old), j.syncFolder())
 }
 
-// closeSegment closes the file of a segment that is not needed any more.
+// closeSegment closes the file of a segment that is no longer needed.
 func closeSegment(s *segment) error {
 	if err := s.file.Close(); err != nil {
 		return fmt.Errorf("journal: %s: %w", s.name, err)
--- a/internal/journal/extras_test.go
+++ b/internal/journal/extras_test.go
@@ -10,7 +10,8 @@
 	"scaleroute/internal/message"
 )
 
-// TestLargestExtras: a message of the longest body with as much besides as plug-ins and routes may add is read back after a kill.
+// TestLargestExtras guards against losing a message of the largest size: the longest body with as many extras as
+// plug-ins and routes may add is read back after a restart.
 func TestLargestExtras(t *testing.T) {
 	x := &message.Extras{Route: strings.Repeat("r", 255), Requested: -7}
 	for n := range 32 {
@@ -25,14 +26,14 @@
 			t.Fatal(err)
 		}
 		if n == 1 {
-			held := j.Queued()
-			if len(held) != 1 || !reflect.DeepEqual(held[0].Extras, x) || held[0].Body.Len() != MaxBody {
-				t.Fatalf("%d read back", len(held))
+			queued := j.Queued()
+			if len(queued) != 1 || !reflect.DeepEqual(queued[0].Extras, x) || queued[0].Body.Len() != MaxBody {
+				t.Fatalf("%d messages read back, or not the one that was written", len(queued))
 			}
 		} else {
 			s := &MessageState{ID: strings.Repeat("i", 255), Class: strings.Repeat("c", 255), Origin: strings.Repeat("o", 255), Body: message.Bytes(make([]byte, MaxBody)), Extras: x}
-			if room, err := j.Reserve(s.Size()); err != nil || !room {
-				t.Fatal(room, err)
+			if reserved, err := j.Reserve(s.Size()); err != nil || !reserved {
+				t.Fatal(reserved, err)
 			}
 			if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
 				t.Fatal(err)
@@ -42,26 +43,26 @@
 	}
 }
 
-// TestFormatFollowsWhatIsHeld: a folder is readable for older programs as long as no message in it has extras, and
-// again once none does.
-func TestFormatFollowsWhatIsHeld(t *testing.T) {
+// TestFormatFollowsQueuedExtras: older programs can read a folder as long as no message in it has extras, and again once
+// none has.
+func TestFormatFollowsQueuedExtras(t *testing.T) {
 	fs := newMemFS()
-	open := func(among bool, want uint16) *Journal {
+	open := func(allowExtras bool, want uint16) *Journal {
 		t.Helper()
-		j, err := OpenWith(Options{FS: fs, DiskLimit: smallLimit, AllowExtras: among})
+		j, err := OpenWith(Options{FS: fs, DiskLimit: smallLimit, AllowExtras: allowExtras})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := j.activeSegment().version; got != want {
-			t.Fatalf("format %d, want %d", got, want)
+			t.Fatalf("the format is %d, want %d", got, want)
 		}
 		return j
 	}
-	open(false, plainVersion).Close()
-	j := open(true, version)
+	open(false, formatWithoutExtras).Close()
+	j := open(true, formatVersion)
 	s := &MessageState{ID: "a", Class: "note", Body: message.Bytes("b"), Extras: &message.Extras{Only: []string{"s-1"}}}
-	if room, err := j.Reserve(s.Size()); err != nil || !room {
-		t.Fatal(room, err)
+	if reserved, err := j.Reserve(s.Size()); err != nil || !reserved {
+		t.Fatal(reserved, err)
 	}
 	if err := j.RecordAccepted(s); err != nil {
 		t.Fatal(err)
@@ -70,14 +71,14 @@
 		t.Fatal(err)
 	}
 	j.Close()
-	j = open(false, version) // it is still held
-	if got := named(j.Queued()[0].Extras); got != named(s.Extras) {
-		t.Fatalf("read back: %s", got)
+	j = open(false, formatVersion) // the message is still queued
+	if got := describeExtras(j.Queued()[0].Extras); got != describeExtras(s.Extras) {
+		t.Fatalf("extras read back: %s", got)
 	}
 	j.RecordClosed("a")
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
-	open(false, plainVersion).Close()
+	open(false, formatWithoutExtras).Close()
 }
--- a/internal/journal/failure.go
+++ b/internal/journal/failure.go
@@ -10,66 +10,69 @@
 	"time"
 )
 
-// A journal goes on in memory when its file system refuses: messages change, end and are removed as before, while no record is kept and
-// no message is accepted. Resume tries to keep records again, in a new segment. From then on each change is recorded as ever, and
-// Rebuild writes the messages of all older segments anew, since what changed meanwhile is not in them and a sync that failed may have
-// dropped any of it. Until that is done the older segments say less than is true, never more: a caller sends nothing that may not be
-// repeated unless Sending was recorded, and reports no end that was not.
-
-// folderCheckInterval is how often it is looked whether the folder is still the one that was locked.
+// When its file system fails, a journal continues in memory: messages change, complete and are removed as before, but no
+// record is written and no message is accepted. Resume tries to write records again, in a new segment. From then on each
+// change is recorded as usual, and Rebuild writes the messages of all older segments again, since changes made in the
+// meantime are missing there and a failed sync may have dropped any part of them. Until that is done, the older segments
+// may lack changes, but they contain none that was not made: a caller makes no attempt that must not be repeated unless
+// RecordSending has been written, and reports no completion that has not been.
+
+// folderCheckInterval is the minimum time between two checks whether the folder is still the one that was locked.
 const folderCheckInterval = 100 * time.Millisecond
 
-var errFolderReplaced = errors.New("journal: its folder was replaced by another one")
+var errFolderReplaced = errors.New("journal: the folder was replaced by another one")
 
-// Failure returns why no records are kept now; nil if they are.
+// Failure returns why no records can be written at present; nil if they can.
 func (j *Journal) Failure() error { return j.err }
 
-// MayBeOnDisk reports, after a failure, whether a message that was to be accepted may be on disk all the same: a restart would find it.
+// MayBeOnDisk reports, after a failure, whether a message that could not be accepted may be on disk nevertheless, so
+// that a restart would find it.
 func (j *Journal) MayBeOnDisk(s *MessageState) bool {
-	return s.isWritten || s.segment != nil && j.survived
+	return s.isWritten || s.segment != nil && j.bufferMayBeOnDisk
 }
 
-// abandonBuffer drops the records that could not be written, and what of them is on disk.
-func (j *Journal) abandonBuffer() {
+// discardBuffer drops the records that could not be written, and erases what has reached the disk of them.
+func (j *Journal) discardBuffer() {
 	if len(j.buffer) > 0 {
-		j.survived = !j.erase(len(j.buffer))
+		j.bufferMayBeOnDisk = !j.erase(len(j.buffer))
 	}
 	j.buffer = j.buffer[:0]
 	dropPositions(j.pendingPositions)
 	j.pendingPositions = j.pendingPositions[:0]
 }
 
-// erase clears so many bytes behind the end of the log, and reports whether no record stands there any more.
+// erase overwrites size bytes after the end of the log with zeros, and reports whether no valid record is left there.
 func (j *Journal) erase(size int) bool {
 	s := j.activeSegment()
-	text := make([]byte, size)
-	if _, err := s.file.WriteAt(text, j.writeOffset); err == nil {
+	data := make([]byte, size)
+	if _, err := s.file.WriteAt(data, j.writeOffset); err == nil {
 		return true
 	}
-	if n, _ := s.file.ReadAt(text, j.writeOffset); n < size {
+	if n, _ := s.file.ReadAt(data, j.writeOffset); n < size {
 		return false
 	}
-	for i := range text {
-		if _, _, ok := checkRecord(text[i:], s.nonce, j.writeOffset+int64(i)); ok {
+	for i := range data {
+		if _, _, ok := verifyRecord(data[i:], s.nonce, j.writeOffset+int64(i)); ok {
 			return false
 		}
 	}
 	return true
 }
 
-// Resume tries to keep records again after a failure. When it returns nil they are, and Rebuild has work.
+// Resume tries to write records again after a failure. If it returns nil they are written again, and Rebuild has work to
+// do.
 func (j *Journal) Resume() error {
-	if j.err == nil || !j.reported { // what was appended last counts as recorded until its Flush says otherwise
+	if j.err == nil || !j.reported { // records that were appended last count as written until Flush reports that they are not
 		return j.err
 	}
-	j.abandonBuffer()
+	j.discardBuffer()
 	j.err = j.resume()
-	j.reported = j.err != nil // nothing was appended since
+	j.reported = j.err != nil // nothing has been appended since
 	return j.err
 }
 
 func (j *Journal) resume() error {
-	if err := j.adoptFolder(); err != nil {
+	if err := j.switchFolder(); err != nil {
 		return err
 	}
 	if err := j.removeOrphans(); err != nil {
@@ -78,15 +81,15 @@
 	j.err, j.reported, j.allocationFailedUntil = nil, false, time.Time{}
 	if len(j.spares) == 0 && !j.allocateSpare() {
 		if len(j.segments) == 0 {
-			return j.err // nothing is open: all messages are rejected until there is room
+			return j.err // no message is open: all new ones are refused until there is space
 		}
-		if err := j.makeRoom(); err != nil {
+		if err := j.freeSegment(); err != nil {
 			return err
 		}
 	}
-	j.flags |= afterFailure
+	j.flags |= flagAfterFailure
 	err := j.beginSegment()
-	j.flags &^= afterFailure
+	j.flags &^= flagAfterFailure
 	if err != nil {
 		return err
 	}
@@ -99,15 +102,15 @@
 	return j.err
 }
 
-// makeRoom frees a segment by compaction into the active one, if that can still be written to.
-func (j *Journal) makeRoom() error {
+// freeSegment frees a segment by compaction into the active one, if that can still be written to.
+func (j *Journal) freeSegment() error {
 	if j.sealed || j.activeSegment().detached {
 		return errNoRoom
 	}
 	if err := j.clearTornTail(); err != nil {
 		return err
 	}
-	const clearedBytes = 4 << 10 // what a write that was cut off may have left
+	const clearedBytes = 4 << 10 // what an interrupted write may have left
 	if !j.erase(int(min(clearedBytes, j.segmentSize-j.writeOffset))) {
 		return errNoRoom
 	}
@@ -120,30 +123,30 @@
 	return j.Flush()
 }
 
-// Rebuilding reports whether older segments are still to be written anew.
+// Rebuilding reports whether messages of older segments are still to be written again.
 func (j *Journal) Rebuilding() bool {
 	return j.err == nil && len(j.segments) > 0 && j.segments[0].seq < j.rebuildBefore
 }
 
-// Rebuild writes so many bytes of the older segments' messages anew.
-func (j *Journal) Rebuild(most int64) error {
+// Rebuild writes up to maxBytes of the older segments' messages again.
+func (j *Journal) Rebuild(maxBytes int64) error {
 	if !j.Rebuilding() {
 		return j.err
 	}
 	if j.err = j.ensureSpare(); j.err == nil && j.Rebuilding() {
-		_, j.err = j.compact(most)
+		_, j.err = j.compact(maxBytes)
 	}
 	if j.err == nil {
 		j.err = j.writeBuffer()
 	}
 	if j.err != nil {
-		j.abandonBuffer()
+		j.discardBuffer()
 		j.reported = true
 	}
 	return j.err
 }
 
-// removeOrphans removes files that an operation which failed has left.
+// removeOrphans removes files that a failed operation has left behind.
 func (j *Journal) removeOrphans() error {
 	for len(j.orphans) > 0 {
 		if err := j.fs.Remove(j.orphans[0]); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -154,7 +157,7 @@
 	return nil
 }
 
-// CheckFolder fails the journal if its folder is not the one that was locked any more.
+// CheckFolder makes the journal fail if its folder is no longer the one that was locked.
 func (j *Journal) CheckFolder() error {
 	j.folderChecked = time.Now()
 	if j.err == nil && j.isFolderReplaced() {
@@ -163,7 +166,7 @@
 	return j.err
 }
 
-// checkFolderIfDue does so now and then.
+// checkFolderIfDue calls CheckFolder if folderCheckInterval has passed since the last check.
 func (j *Journal) checkFolderIfDue() error {
 	if j.lock == nil || time.Since(j.folderChecked) < folderCheckInterval {
 		return nil
@@ -171,24 +174,25 @@
 	return j.CheckFolder()
 }
 
-// isFolderReplaced reports whether the folder's name leads to another one, or to none.
+// isFolderReplaced reports whether the folder's path leads to another folder, or to none.
 func (j *Journal) isFolderReplaced() bool {
 	if j.lock == nil {
 		return false
 	}
-	ours, err := j.lock.Stat()
+	locked, err := j.lock.Stat()
 	if err != nil {
 		return false
 	}
-	there, err := os.Stat(filepath.Join(j.dir, lockName))
+	current, err := os.Stat(filepath.Join(j.dir, lockName))
 	if errors.Is(err, os.ErrNotExist) {
 		return true
 	}
-	return err == nil && !os.SameFile(ours, there)
+	return err == nil && !os.SameFile(locked, current)
 }
 
-// adoptFolder goes on in the folder that has replaced the one before, if one has. The segments of that can still be read.
-func (j *Journal) adoptFolder() error {
+// switchFolder continues in the folder that has replaced the previous one, if one has. The segments of the previous
+// folder can still be read through their open files.
+func (j *Journal) switchFolder() error {
 	if !j.isFolderReplaced() {
 		return nil
 	}
@@ -196,12 +200,12 @@
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	ours := func(name string) bool { // begun there before it was noticed
+	isOwn := func(name string) bool { // whether it was begun in the new folder before the replacement was noticed
 		return slices.ContainsFunc(j.segments, func(s *segment) bool { return s.name == name }) || slices.Contains(j.orphans, name)
 	}
 	for _, name := range names {
-		if _, _, isSegment := parseName(name); isSegment && !ours(name) || name == legacyName {
-			return fmt.Errorf("%w, which has a journal (%s): move that away, or put the former folder back", errFolderReplaced, name)
+		if _, _, isSegment := parseSegmentName(name); isSegment && !isOwn(name) || name == legacyName {
+			return fmt.Errorf("%w, which already has a journal (%s): move that journal away, or restore the previous folder", errFolderReplaced, name)
 		}
 	}
 	lock, err := lockFolder(j.dir)
@@ -210,15 +214,15 @@
 	}
 	j.lock.Close()
 	j.lock = lock
-	isGone := func(name string) bool { return !slices.Contains(names, name) }
+	isMissing := func(name string) bool { return !slices.Contains(names, name) }
 	for _, s := range j.segments {
-		s.detached = s.detached || isGone(s.name)
+		s.detached = s.detached || isMissing(s.name)
 	}
-	j.spares, j.orphans = slices.DeleteFunc(j.spares, isGone), slices.DeleteFunc(j.orphans, isGone)
+	j.spares, j.orphans = slices.DeleteFunc(j.spares, isMissing), slices.DeleteFunc(j.orphans, isMissing)
 	j.damagedBytes = 0
 	if err := j.clock.Save(filepath.Join(j.dir, clockName)); err != nil {
-		slog.Warn("a wall clock that is set while no forwarder runs moves deadlines", "err", err)
+		slog.Warn("the clock file can't be used: deadlines shift if the wall clock is set while no forwarder runs", "err", err)
 	}
-	slog.Warn("the journal goes on in another folder: what it holds is written anew there", "folder", j.dir, "messages", len(j.live))
+	slog.Warn("the journal continues in a new folder: the open messages are written again there", "folder", j.dir, "messages", len(j.live))
 	return nil
 }
--- a/internal/journal/failure_test.go
+++ b/internal/journal/failure_test.go
@@ -13,99 +13,100 @@
 	"scaleroute/internal/message"
 )
 
-// host drives a journal through failures as the engine does, beside a model of what it holds.
-type host struct {
-	options  Options
-	journal  *Journal
-	now      map[string]known
-	accepted []string // since the last flush: nobody was told of them
-	flushed  map[string]known
-	mayHold  map[string]bool // rejected, though a restart may find them
-	rng      *rand.Rand
-	failures int
-	number   int
+// driver takes a journal through failures in the way the engine does, beside a model of what the journal contains.
+type driver struct {
+	options     Options
+	journal     *Journal
+	current     map[string]modelMessage
+	unflushed   []string // since the last flush: their acceptance has not been reported
+	flushed     map[string]modelMessage
+	mayBeOnDisk map[string]bool // not accepted, though a restart may find them
+	rng         *rand.Rand
+	failures    int
+	lastNumber  int
 }
 
-func newHost(o Options, seed uint64) (*host, error) {
-	h := &host{options: o, now: map[string]known{}, flushed: map[string]known{}, mayHold: map[string]bool{}, rng: rand.New(rand.NewPCG(seed, 42))}
+func newDriver(o Options, seed uint64) (*driver, error) {
+	d := &driver{options: o, current: map[string]modelMessage{}, flushed: map[string]modelMessage{}, mayBeOnDisk: map[string]bool{}, rng: rand.New(rand.NewPCG(seed, 42))}
 	var err error
-	h.journal, err = OpenWith(o)
-	return h, err
+	d.journal, err = OpenWith(o)
+	return d, err
 }
 
-// accept accepts a message if there is room and the journal keeps records.
-func (h *host) accept() {
-	h.number++
-	k := known{class: "note", dest: h.rng.IntN(9), body: strings.Repeat("b", h.rng.IntN(1500))}
-	s := &MessageState{ID: fmt.Sprint("m", h.number), Class: k.class, Dest: k.dest, Body: message.Bytes(k.body)}
-	if room, err := h.journal.Reserve(s.Size()); err != nil || !room {
+// accept accepts a message if there is space and the journal writes records.
+func (d *driver) accept() {
+	d.lastNumber++
+	k := modelMessage{class: "note", dest: d.rng.IntN(9), body: strings.Repeat("b", d.rng.IntN(1500))}
+	s := &MessageState{ID: fmt.Sprint("m", d.lastNumber), Class: k.class, Dest: k.dest, Body: message.Bytes(k.body)}
+	if reserved, err := d.journal.Reserve(s.Size()); err != nil || !reserved {
 		return
 	}
-	h.journal.RecordAccepted(s)
-	h.now[s.ID] = k
-	h.accepted = append(h.accepted, s.ID)
+	d.journal.RecordAccepted(s)
+	d.current[s.ID] = k
+	d.unflushed = append(d.unflushed, s.ID)
 }
 
-// change carries a message that was told of one step on. What a restart must know of is not begun while no records are kept.
-func (h *host) change(id string) {
-	k := h.now[id]
-	fails := h.journal.Failure() != nil
-	switch begun := h.flushed[id]; {
-	case k.open && begun.attempts < k.attempts: // it is made once it is recorded
+// advance takes an acknowledged message one step further. While no records are written, it begins no step that a restart
+// must know of.
+func (d *driver) advance(id string) {
+	k := d.current[id]
+	fails := d.journal.Failure() != nil
+	switch begun := d.flushed[id]; {
+	case k.inFlight && begun.attempts < k.attempts: // the attempt is made only once it is recorded
 		return
-	case k.open && h.rng.IntN(2) == 0: // delivered
-		h.journal.RecordClosed(id)
-		delete(h.now, id)
+	case k.inFlight && d.rng.IntN(2) == 0: // delivered
+		d.journal.RecordClosed(id)
+		delete(d.current, id)
 		return
-	case k.open:
-		ran := h.rng.IntN(2) == 0
-		h.journal.RecordOutcome(id, ran)
-		k.open, k.ran = false, k.ran || ran
-	case fails || k.end != 0:
+	case k.inFlight:
+		ran := d.rng.IntN(2) == 0
+		d.journal.RecordOutcome(id, ran)
+		k.inFlight, k.mayHaveRun = false, k.mayHaveRun || ran
+	case fails || k.completion != 0:
 		return
 	case k.attempts > 2:
-		h.journal.RecordCompletion(id, 'd', 0)
-		k.end = 'd'
+		d.journal.RecordCompletion(id, 'd', 0)
+		k.completion = 'd'
 	default:
-		h.journal.RecordSending(id)
-		k.ran = k.ran || k.open
-		k.attempts, k.open = k.attempts+1, true
+		d.journal.RecordSending(id)
+		k.mayHaveRun = k.mayHaveRun || k.inFlight
+		k.attempts, k.inFlight = k.attempts+1, true
 	}
-	h.now[id] = k
+	d.current[id] = k
 }
 
-// flush makes what happened durable, or drops what could not be accepted.
-func (h *host) flush() {
-	if err := h.journal.Flush(); err == nil {
-		h.accepted = h.accepted[:0]
-		clear(h.flushed)
-		for id, k := range h.now {
-			h.flushed[id] = k
+// flush makes the steps so far durable, or drops the messages that could not be accepted.
+func (d *driver) flush() {
+	if err := d.journal.Flush(); err == nil {
+		d.unflushed = d.unflushed[:0]
+		clear(d.flushed)
+		for id, k := range d.current {
+			d.flushed[id] = k
 		}
 		return
 	}
-	h.failures++
-	for _, id := range h.accepted {
-		if s := h.journal.live[id]; h.journal.MayBeOnDisk(s) {
-			h.mayHold[id] = true
+	d.failures++
+	for _, id := range d.unflushed {
+		if s := d.journal.live[id]; d.journal.MayBeOnDisk(s) {
+			d.mayBeOnDisk[id] = true
 		}
-		h.journal.RecordClosed(id)
-		delete(h.now, id)
+		d.journal.RecordClosed(id)
+		delete(d.current, id)
 	}
-	h.accepted = h.accepted[:0]
-	for id, k := range h.now { // attempts that are not recorded are not made
-		if k.open && h.flushed[id].attempts < k.attempts {
-			h.journal.RecordOutcome(id, false)
-			k.open = false
-			h.now[id] = k
+	d.unflushed = d.unflushed[:0]
+	for id, k := range d.current { // attempts that could not be recorded are not made
+		if k.inFlight && d.flushed[id].attempts < k.attempts {
+			d.journal.RecordOutcome(id, false)
+			k.inFlight = false
+			d.current[id] = k
 		}
 	}
 }
 
-// told are the messages whose acceptance was told, in a fixed order.
-func (h *host) told() (ids []string) {
-	for id := range h.now {
-		if !slices.Contains(h.accepted, id) {
+// acknowledged returns the messages whose acceptance was reported, in a fixed order.
+func (d *driver) acknowledged() (ids []string) {
+	for id := range d.current {
+		if !slices.Contains(d.unflushed, id) {
 			ids = append(ids, id)
 		}
 	}
@@ -113,60 +114,61 @@
 	return ids
 }
 
-// run drives the journal for so many steps.
-func (h *host) run(steps int) {
+// run takes the journal through the given number of steps.
+func (d *driver) run(steps int) {
 	for range steps {
-		switch x := h.rng.IntN(10); {
-		case x < 3 && len(h.now) < 20:
-			h.accept()
+		switch x := d.rng.IntN(10); {
+		case x < 3 && len(d.current) < 20:
+			d.accept()
 		case x < 8:
-			if ids := h.told(); len(ids) > 0 {
-				h.change(ids[h.rng.IntN(len(ids))])
+			if ids := d.acknowledged(); len(ids) > 0 {
+				d.advance(ids[d.rng.IntN(len(ids))])
 			}
-		case x < 9 && h.journal.Failure() != nil:
-			h.journal.Resume()
+		case x < 9 && d.journal.Failure() != nil:
+			d.journal.Resume()
 		case x < 9:
-			h.journal.Rebuild(int64(1 + h.rng.IntN(4096)))
+			d.journal.Rebuild(int64(1 + d.rng.IntN(4096)))
 		}
-		if h.rng.IntN(3) == 0 {
-			h.flush()
+		if d.rng.IntN(3) == 0 {
+			d.flush()
 		}
 	}
 }
 
-// recover has the journal keep records again, and all of them be on disk.
-func (h *host) recover() error {
+// recover makes the journal write records again until all messages are on disk.
+func (d *driver) recover() error {
 	for range 100 {
-		if h.journal.Resume() != nil {
+		if d.journal.Resume() != nil {
 			continue
 		}
-		for h.journal.Rebuilding() && h.journal.Rebuild(1<<20) == nil {
+		for d.journal.Rebuilding() && d.journal.Rebuild(1<<20) == nil {
 		}
-		if h.flush(); h.journal.Failure() == nil {
+		if d.flush(); d.journal.Failure() == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("it does not recover: %w", h.journal.Failure())
+	return fmt.Errorf("the journal does not recover: %w", d.journal.Failure())
 }
 
-// checkRestart holds what a restart finds after a kill against what was told: nothing is missing, and what may not be sent again is known to have been.
-func (h *host) checkRestart(found map[string]known) error {
-	for id, k := range h.flushed {
-		current, isOpen := h.now[id]
+// checkRestart compares what a restart finds after a kill with what was reported: no message is missing, and one that
+// may have run and must not be repeated is known as such.
+func (d *driver) checkRestart(found map[string]modelMessage) error {
+	for id, k := range d.flushed {
+		current, isOpen := d.current[id]
 		got, isFound := found[id]
 		switch {
 		case isOpen && !isFound:
-			return fmt.Errorf("%s is lost: %v", id, current)
-		case isFound && (k.open || k.ran) && !got.open && !got.ran && (!isOpen || current.attempts == k.attempts && (current.open || current.ran)):
-			return fmt.Errorf("%s may have run, and the restart does not know: %v, was %v", id, got, k)
+			return fmt.Errorf("message %s is lost: %v", id, current)
+		case isFound && (k.inFlight || k.mayHaveRun) && !got.inFlight && !got.mayHaveRun && (!isOpen || current.attempts == k.attempts && (current.inFlight || current.mayHaveRun)):
+			return fmt.Errorf("message %s may have run, and the restart does not know it: got %v, was %v", id, got, k)
 		}
 	}
 	return nil
 }
 
-// TestEveryPassingFailure has all operations fail for a while from each change of the file system on: nothing that was accepted is lost, and all of it is as
-// it should be on disk afterwards.
-func TestEveryPassingFailure(t *testing.T) {
+// TestTransientFailureAtEveryOperation makes all operations fail for a while, beginning at each change of the file
+// system in turn: no accepted message is lost, and afterwards all of them are on disk in their current state.
+func TestTransientFailureAtEveryOperation(t *testing.T) {
 	const steps, seed = 1500, 5
 	for _, c := range []struct {
 		name       string
@@ -176,35 +178,35 @@
 	}{{"ENOSPC", Process, syscall.ENOSPC, false}, {"short", Process, syscall.ENOSPC, true}, {"EIO with group commit", Group, syscall.EIO, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			dry := newMemFS()
-			h, err := newHost(durable(dry, c.durability), seed)
+			d, err := newDriver(optionsWithDurability(dry, c.durability), seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			h.run(steps)
+			d.run(steps)
 			failures := 0
 			for at := 1; at <= dry.ops; at += 5 {
 				for _, lasts := range []int{1, 2, 5, 40} {
 					fs := newMemFS()
-					fs.failAt, fs.healAt, fs.err, fs.short = at, at+lasts, c.errno, c.short
-					h, err := newHost(durable(fs, c.durability), seed)
+					fs.failAt, fs.healAt, fs.err, fs.shortWrites = at, at+lasts, c.errno, c.short
+					d, err := newDriver(optionsWithDurability(fs, c.durability), seed)
 					if errors.Is(err, c.errno) {
-						continue // nothing was begun: the start is tried again
+						continue // nothing was begun: a forwarder would try to start again
 					}
 					if err != nil {
 						t.Fatal(err)
 					}
-					h.run(steps)
-					failures += h.failures
+					d.run(steps)
+					failures += d.failures
 					fs.healAt = min(fs.healAt, fs.ops+1)
-					if err := h.recover(); err != nil {
-						t.Fatalf("op %d, %d of them: %v", at, lasts, err)
+					if err := d.recover(); err != nil {
+						t.Fatalf("from operation %d on %d operations fail: %v", at, lasts, err)
 					}
-					again, err := OpenWith(durable(fs.after(), c.durability))
+					again, err := OpenWith(optionsWithDurability(fs.afterKill(), c.durability))
 					if err != nil {
 						t.Fatal(err)
 					}
-					if got := heldIn(again); len(differ(got, h.now)) > 0 || len(realDamage(again)) > 0 {
-						t.Fatalf("op %d, %d of them: %v; damage %v", at, lasts, differ(got, h.now), again.Damage())
+					if got := queuedIn(again); len(differences(got, d.current)) > 0 || len(damageWithoutRepairs(again)) > 0 {
+						t.Fatalf("from operation %d on %d operations fail: differences %v; damage %v", at, lasts, differences(got, d.current), again.Damage())
 					}
 				}
 			}
@@ -213,7 +215,8 @@
 	}
 }
 
-// TestKilledWhileRecovering kills the process at each change of the file system that follows a failure.
+// TestKilledWhileRecovering kills the process at many of the changes of the file system that follow a failure, and
+// checks that a restart finds every acknowledged message.
 func TestKilledWhileRecovering(t *testing.T) {
 	const steps, seed, follows = 1500, 6, 60
 	kills := 0
@@ -221,15 +224,15 @@
 		lasts := []int{1, 12}[failsAt%2]
 		for kill := failsAt + lasts; kill < failsAt+follows; kill += 2 {
 			fs := newMemFS()
-			fs.failAt, fs.healAt, fs.err, fs.short = failsAt, failsAt+lasts, syscall.ENOSPC, kill%4 == 0
-			fs.crashAt, fs.part = kill, 0.6
-			h, err := newHost(durable(fs, Process), seed+uint64(failsAt))
+			fs.failAt, fs.healAt, fs.err, fs.shortWrites = failsAt, failsAt+lasts, syscall.ENOSPC, kill%4 == 0
+			fs.crashAt, fs.crashFraction = kill, 0.6
+			d, err := newDriver(optionsWithDurability(fs, Process), seed+uint64(failsAt))
 			if err != nil {
 				t.Fatal(err)
 			}
-			isKilled := killed(func() {
-				h.run(steps)
-				err = h.recover()
+			isKilled := wasKilled(func() {
+				d.run(steps)
+				err = d.recover()
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -237,19 +240,20 @@
 			if isKilled {
 				kills++
 			}
-			again, err := OpenWith(durable(fs.after(), Process))
+			again, err := OpenWith(optionsWithDurability(fs.afterKill(), Process))
 			if err != nil {
-				t.Fatalf("fails at %d, killed %v at %d: %v", failsAt, isKilled, kill, err)
+				t.Fatalf("failure at operation %d, killed %v at %d: %v", failsAt, isKilled, kill, err)
 			}
-			if err := h.checkRestart(heldIn(again)); err != nil || len(realDamage(again)) > 0 {
-				t.Fatalf("fails at %d, killed %v at %d: %v; damage %v", failsAt, isKilled, kill, err, again.Damage())
+			if err := d.checkRestart(queuedIn(again)); err != nil || len(damageWithoutRepairs(again)) > 0 {
+				t.Fatalf("failure at operation %d, killed %v at %d: %v; damage %v", failsAt, isKilled, kill, err, again.Damage())
 			}
 		}
 	}
 	t.Logf("%d kills", kills)
 }
 
-// TestFolderReplaced replaces the folder under an open journal: it goes on in the new one with all that it held, and a second time, too.
+// TestFolderReplaced replaces the folder of an open journal twice: each time the journal continues in the new folder
+// with all of its messages.
 func TestFolderReplaced(t *testing.T) {
 	dir := t.TempDir() + "/state"
 	replaceFolder(t, dir)
@@ -261,8 +265,8 @@
 	body := message.Bytes(strings.Repeat("x", 10_000))
 	for i := range 40 {
 		s := &MessageState{ID: fmt.Sprint("m", i), Class: "note", Body: body}
-		if room, err := j.Reserve(s.Size()); err != nil || !room {
-			t.Fatal(i, room, err)
+		if reserved, err := j.Reserve(s.Size()); err != nil || !reserved {
+			t.Fatal(i, reserved, err)
 		}
 		if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
 			t.Fatal(err)
@@ -283,19 +287,19 @@
 			}
 		}
 	}
-	want := heldIn(j)
+	want := queuedIn(j)
 	j.Close()
 	again, err := Open(dir, Options{DiskLimit: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer again.Close()
-	if diff := differ(heldIn(again), want); len(want) != 40 || len(diff) > 0 || len(again.Damage()) > 0 {
-		t.Errorf("%d held; %v; %v", len(want), diff, again.Damage())
+	if diff := differences(queuedIn(again), want); len(want) != 40 || len(diff) > 0 || len(again.Damage()) > 0 {
+		t.Errorf("%d messages queued; differences %v; damage %v", len(want), diff, again.Damage())
 	}
 }
 
-// replaceFolder puts an empty folder in the place of one.
+// replaceFolder replaces a folder by an empty one.
 func replaceFolder(t *testing.T, dir string) {
 	t.Helper()
 	if err := errors.Join(os.RemoveAll(dir), os.Mkdir(dir, 0o700)); err != nil {
--- a/internal/journal/fs.go
+++ b/internal/journal/fs.go
@@ -9,15 +9,15 @@
 	"syscall"
 )
 
-// FS is what the journal needs of a file system. Names have no folder: all files are in one. Tests inject faults
-// here.
+// FS is the part of a file system that the journal uses. All files are in one folder, so names have no directory part.
+// Tests inject faults here.
 type FS interface {
 	List() ([]string, error)
 	Open(name string, create bool) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	Free() (int64, error) // bytes that the disk has left
-	Sync() error          // what was created, renamed and removed outlasts the machine
+	Free() (int64, error) // bytes left on the disk
+	Sync() error          // makes created, renamed and removed names survive a failure of the machine
 }
 
 // File is one file of an FS.
@@ -26,11 +26,11 @@
 	io.WriterAt
 	io.Closer
 	Size() (int64, error)
-	Allocate(size int64) error // sets room aside, so that writes below size find it
-	Sync() error               // what was written outlasts the machine
+	Allocate(size int64) error // reserves disk space, so that writes below size do not run out of it
+	Sync() error               // makes written data survive a failure of the machine
 }
 
-// DirFS is a folder of the operating system.
+// DirFS returns a folder of the operating system as an FS.
 func DirFS(dir string) FS { return osFS{dir: dir} }
 
 // osFS is a folder of the operating system.
@@ -74,7 +74,7 @@
 func (o osFS) Free() (int64, error) {
 	var s syscall.Statfs_t
 	if err := syscall.Statfs(o.dir, &s); err != nil {
-		return 0, fmt.Errorf("asking what the disk of %s has left: %w", o.dir, err)
+		return 0, fmt.Errorf("querying the free space of the disk of %s: %w", o.dir, err)
 	}
 	return int64(min(s.Bavail, math.MaxInt64/4/uint64(s.Bsize))) * s.Bsize, nil
 }
--- a/internal/journal/legacy.go
+++ b/internal/journal/legacy.go
@@ -12,21 +12,21 @@
 	"scaleroute/internal/steadyclock"
 )
 
-// The legacy journal was one file. It is read and upgraded at the first start; nothing writes it any
-// more. Its records had a header of 8 bytes - length of the payload and its CRC-32C, both
-// little-endian - and a payload: a byte for the type, the length of the id in one byte, the id, and then by type:
+// The legacy journal was a single file. It is read and upgraded at the first start; nothing writes it any more. A record
+// had a header of 8 bytes - the length of the payload and its CRC-32C, both little-endian - and a payload: a byte for
+// the type, the length of the ID in one byte, the ID, and then by type:
 //
 //	A accepted   deadline (Unix ms, 8 bytes), destination (4), length of the class (1), class, body
-//	F front      its name, where there is more than one
-//	S about to be sent
+//	F front      the name of the front that accepted it, where there is more than one
+//	S sending    an attempt is about to be made
 //	O outcome    1 byte: 1 if the attempt may have run, 0 if it never did
-//	E end        1 byte: d (dead) or b (bounced), and the wait advised (ms, 4); a notice is owed
-//	C closed     nothing is owed any more
-//	M attempts   3 bytes: made, 1 if the last has no outcome, 1 if one may have run (by compaction)
+//	E end        1 byte: d (dead) or b (bounced), and the advised retry-after (ms, 4); a completion notice is pending
+//	C closed     no work is left for the message
+//	M attempts   3 bytes: number made, 1 if the last has no outcome, 1 if one may have run (written by compaction)
 const (
-	legacyName      = "journal"
-	legacyHeader    = 8
-	maxLegacyRecord = MaxBody + 1024
+	legacyName        = "journal"
+	legacyHeaderBytes = 8
+	maxLegacyRecord   = MaxBody + 1024
 
 	// MaxBody is the longest body of a message, in bytes.
 	MaxBody = 64 << 10
@@ -36,22 +36,22 @@
 
 func millis(ms uint64) time.Duration { return time.Duration(min(ms, 1<<40)) * time.Millisecond }
 
-// abandonUpgrade removes what an interrupted upgrade has written: while the legacy file is there it has
-// everything. Segments that come from anywhere else are an error.
-func (j *Journal) abandonUpgrade(readOnly bool) error {
+// discardPartialUpgrade removes the segments that an interrupted upgrade has written: as long as the legacy file exists,
+// it is complete. Segments of any other origin are an error.
+func (j *Journal) discardPartialUpgrade(readOnly bool) error {
 	for _, s := range j.segments {
 		f, err := j.fs.Open(s.name, false)
 		if err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
-		text := make([]byte, segmentHeaderBytes)
-		n, _ := f.ReadAt(text, 0)
+		data := make([]byte, segmentHeaderBytes)
+		n, _ := f.ReadAt(data, 0)
 		f.Close()
-		if _, err := s.readHeader(text[:n]); err != nil {
+		if _, err := s.readHeader(data[:n]); err != nil {
 			return err
 		}
-		if s.flags&upgrading == 0 {
-			return fmt.Errorf("journal: the folder has a journal of the old form beside segments: an older program has run on it since. Move %q away, or the files *%s and *%s, whichever is not wanted", legacyName, segmentEnd, spareEnd)
+		if s.flags&flagUpgrading == 0 {
+			return fmt.Errorf("journal: the folder has a legacy journal beside segments: an older program has used it since the upgrade. Move %q away, or the files *%s and *%s, whichever is not needed", legacyName, segmentSuffix, spareSuffix)
 		}
 	}
 	if !readOnly {
@@ -65,18 +65,19 @@
 	return nil
 }
 
-// upgradeLegacy writes the messages of the legacy file into segments that are marked as such, and removes it.
+// upgradeLegacy writes the messages of the legacy file into segments that are marked as part of an upgrade, and then
+// removes the file.
 func (j *Journal) upgradeLegacy() error {
-	if j.flags&upgrading == 0 {
+	if j.flags&flagUpgrading == 0 {
 		return nil
 	}
-	text, err := j.readLegacyFile()
+	data, err := j.readLegacyFile()
 	if err != nil {
 		return err
 	}
-	for _, s := range readLegacy(text, j.clock) {
+	for _, s := range readLegacy(data, j.clock) {
 		j.reservedBytes += cost(s.Size())
-		j.largestState = max(j.largestState, stateBytes(s.Size()))
+		j.largestStateBytes = max(j.largestStateBytes, stateBytes(s.Size()))
 		if err := j.RecordAccepted(s); err != nil {
 			return err
 		}
@@ -88,7 +89,7 @@
 		return fmt.Errorf("journal: %w", err)
 	}
 	j.flags = 0
-	for _, name := range j.spares { // they have no room set aside
+	for _, name := range j.spares { // no space is allocated for them
 		if err := j.fs.Remove(name); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
@@ -97,21 +98,21 @@
 	return nil
 }
 
-// finishUpgrade ends an upgrade, also one that a kill interrupted after the legacy file was removed: from then
-// on the segments are the journal, and the last one is allocated in full.
+// finishUpgrade completes an upgrade, including one that was killed after the legacy file was removed: it removes the
+// mark of the upgrade from the segments, and allocates the last one in full.
 func (j *Journal) finishUpgrade() error {
 	for _, s := range j.segments {
-		if s.flags&upgrading == 0 {
+		if s.flags&flagUpgrading == 0 {
 			continue
 		}
-		s.flags &^= upgrading
+		s.flags &^= flagUpgrading
 		if _, err := s.file.WriteAt(s.header(), 0); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
 	}
 	if last := j.activeSegment(); last.size < j.segmentSize {
 		if err := last.file.Allocate(j.segmentSize); err != nil {
-			slog.Warn("no room for the rest of a segment", "file", last.name, "err", err)
+			slog.Warn("no disk space to allocate the rest of a segment", "file", last.name, "err", err)
 			return nil
 		}
 		last.size = j.segmentSize
@@ -119,19 +120,19 @@
 	return nil
 }
 
-// showLegacy loads the messages of a folder that is not upgraded yet, for reading.
-func (j *Journal) showLegacy() error {
-	if j.flags&upgrading == 0 {
+// loadLegacy loads the messages of a folder that is not upgraded yet, for a journal that is only read.
+func (j *Journal) loadLegacy() error {
+	if j.flags&flagUpgrading == 0 {
 		return nil
 	}
-	text, err := j.readLegacyFile()
-	for _, s := range readLegacy(text, j.clock) {
+	data, err := j.readLegacyFile()
+	for _, s := range readLegacy(data, j.clock) {
 		j.live[s.ID] = s
 	}
 	return err
 }
 
-// readLegacyFile reads the legacy file.
+// readLegacyFile returns the content of the legacy file.
 func (j *Journal) readLegacyFile() ([]byte, error) {
 	f, err := j.fs.Open(legacyName, false)
 	if err != nil {
@@ -139,25 +140,25 @@
 	}
 	defer f.Close()
 	size, err := f.Size()
-	text := make([]byte, max(0, size))
+	data := make([]byte, max(0, size))
 	if err == nil && size > 0 {
-		_, err = f.ReadAt(text, 0)
+		_, err = f.ReadAt(data, 0)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("journal: reading %s: %w", legacyName, err)
 	}
-	return text, nil
+	return data, nil
 }
 
-// readLegacy replays the legacy file, up to the first invalid record: a kill cut that off.
-func readLegacy(text []byte, clock steadyclock.Clock) []*MessageState {
+// readLegacy replays the content of the legacy file up to the first invalid record, which a kill has cut off.
+func readLegacy(data []byte, clock steadyclock.Clock) []*MessageState {
 	r := legacyReader{clock: clock, live: map[string]*MessageState{}}
 	for {
-		payload, ok := nextLegacyRecord(text)
+		payload, ok := nextLegacyRecord(data)
 		if !ok || !r.applyRecord(payload) {
 			break
 		}
-		text = text[legacyHeader+len(payload):]
+		data = data[legacyHeaderBytes+len(payload):]
 	}
 	var open []*MessageState
 	for _, s := range r.live {
@@ -173,20 +174,20 @@
 	clock      steadyclock.Clock
 }
 
-// nextLegacyRecord returns the payload at the start of text, if it is complete.
-func nextLegacyRecord(text []byte) ([]byte, bool) {
-	if len(text) < legacyHeader {
+// nextLegacyRecord returns the payload of the record at the start of data, if that is complete and valid.
+func nextLegacyRecord(data []byte) ([]byte, bool) {
+	if len(data) < legacyHeaderBytes {
 		return nil, false
 	}
-	n := binary.LittleEndian.Uint32(text)
-	if n < 2 || n > maxLegacyRecord || int(n) > len(text)-legacyHeader {
+	n := binary.LittleEndian.Uint32(data)
+	if n < 2 || n > maxLegacyRecord || int(n) > len(data)-legacyHeaderBytes {
 		return nil, false
 	}
-	payload := text[legacyHeader : legacyHeader+int(n)]
-	return payload, crc32.Checksum(payload, castagnoli) == binary.LittleEndian.Uint32(text[4:])
+	payload := data[legacyHeaderBytes : legacyHeaderBytes+int(n)]
+	return payload, crc32.Checksum(payload, castagnoli) == binary.LittleEndian.Uint32(data[4:])
 }
 
-// applyRecord replays one record, and reports whether it is valid.
+// applyRecord applies one record, and reports whether it is valid.
 func (r *legacyReader) applyRecord(p []byte) bool {
 	kind, n := p[0], int(p[1])
 	if len(p) < 2+n {
@@ -206,11 +207,11 @@
 	}
 	s := r.live[id]
 	if s == nil {
-		return true // closed before
+		return true // already closed
 	}
 	switch {
 	case kind == 'S':
-		s.MayHaveRun = s.PossiblyRan() // an earlier one without an outcome may have run
+		s.MayHaveRun = s.PossiblyRan() // an earlier attempt without an outcome may have run
 		s.Attempts, s.InFlight = s.Attempts+1, true
 	case kind == 'O' && len(rest) == 1:
 		s.InFlight, s.MayHaveRun = false, s.MayHaveRun || rest[0] == 1
--- a/internal/journal/lifecycle.go
+++ b/internal/journal/lifecycle.go
@@ -12,8 +12,8 @@
 	"scaleroute/internal/steadyclock"
 )
 
-// Open replays the journal in a folder, or begins one, and locks the folder. A journal in the legacy format is
-// upgraded. The options name a file system only where its operations are to be made to fail.
+// Open replays the journal in a folder, or creates one, and locks the folder. A legacy journal is upgraded. Options.FS
+// needs to be set only where file operations are to fail on purpose.
 func Open(dir string, o Options) (*Journal, error) {
 	lock, err := lockFolder(dir)
 	if err != nil {
@@ -24,7 +24,7 @@
 	}
 	o.DiskLimit -= diskMargin
 	if o.Clock, err = steadyclock.Open(filepath.Join(dir, clockName)); err != nil {
-		slog.Warn("a wall clock that is set while no forwarder runs moves deadlines", "err", err)
+		slog.Warn("the clock file can't be used: deadlines shift if the wall clock is set while no forwarder runs", "err", err)
 	}
 	j, err := OpenWith(o)
 	if err != nil {
@@ -40,7 +40,7 @@
 	clockName = "clock"
 )
 
-// lockFolder keeps two forwarders from one folder. The lock ends with the process.
+// lockFolder locks a folder against use by a second forwarder. The lock ends with the process.
 func lockFolder(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -53,13 +53,13 @@
 	return f, nil
 }
 
-// OpenWith replays the journal of a file system, or begins one.
+// OpenWith replays the journal of a file system, or creates one.
 func OpenWith(o Options) (*Journal, error) {
-	j := &Journal{fs: o.FS, live: map[string]*MessageState{}, nextNumber: 1, durability: o.Durability, version: plainVersion, memory: bodyMemory{limit: o.MemoryLimit}}
+	j := &Journal{fs: o.FS, live: map[string]*MessageState{}, nextNumber: 1, durability: o.Durability, version: formatWithoutExtras, memory: bodyMemory{limit: o.MemoryLimit}}
 	if j.clock = o.Clock; j.clock == (steadyclock.Clock{}) {
 		j.clock = steadyclock.New()
 	}
-	if o.DiskLimit >= minLimit {
+	if o.DiskLimit >= minDiskLimit {
 		j.limit = o.DiskLimit
 		j.segmentSize = min(max(o.DiskLimit/minSegments, minSegmentSize), maxSegmentSize, o.DiskLimit/5) / 512 * 512
 	}
@@ -68,18 +68,18 @@
 		return nil, err
 	}
 	if o.ReadOnly {
-		return j, j.showLegacy()
+		return j, j.loadLegacy()
 	}
 	if j.limit == 0 {
 		return j, nil
 	}
 	if err := j.startAppending(o.AllowExtras); err != nil {
-		if j.flags&upgrading != 0 || !IsDiskError(err) {
+		if j.flags&flagUpgrading != 0 || !IsDiskError(err) {
 			j.Close()
 			return nil, err
 		}
-		j.err = err // what is held is known: it goes on as after a failure later
-		j.abandonBuffer()
+		j.err = err // the open messages are known: the journal continues in memory as after a later failure
+		j.discardBuffer()
 	}
 	return j, nil
 }
@@ -90,26 +90,26 @@
 		extras = extras || s.Extras != nil
 	}
 	if extras {
-		j.version = version
+		j.version = formatVersion
 	}
 	if err := j.clearTornTail(); err != nil {
 		return err
 	}
 	if len(j.segments) == 0 || j.sealed {
 		err := j.beginSegment()
-		if errors.Is(err, errNoRoom) && len(j.segments) == 0 && j.flags&upgrading == 0 {
-			return nil // nothing is open: all messages are rejected until there is room
+		if errors.Is(err, errNoRoom) && len(j.segments) == 0 && j.flags&flagUpgrading == 0 {
+			return nil // no message is open: all new ones are refused until there is space
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if j.activeSegment().flags&grouped != j.groupFlag() || j.activeSegment().version != j.version { // a segment is of one kind
+	if j.activeSegment().flags&flagSyncedOffsets != j.syncedOffsetsFlag() || j.activeSegment().version != j.version { // all records of a segment are in one format
 		if err := j.rollSegment(); err != nil {
 			return err
 		}
 	}
-	for _, step := range []func() error{j.upgradeLegacy, j.finishUpgrade, j.allocateReserved, j.rewriteDamaged} {
+	for _, step := range []func() error{j.upgradeLegacy, j.finishUpgrade, j.allocateReserved, j.rewriteAffected} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -117,14 +117,14 @@
 	return nil
 }
 
-// allocateReserved allocates the segments that must always be free, as far as there is room.
+// allocateReserved allocates the segments that must always be free, as far as there is space.
 func (j *Journal) allocateReserved() error {
 	for j.allocatedSegments() < reservedSegments && j.allocateSpare() {
 	}
 	return j.ensureSpare()
 }
 
-// Close closes the files; what is buffered is not written.
+// Close closes the files. It does not write the buffer.
 func (j *Journal) Close() error {
 	var errs []error
 	for _, s := range j.segments {
--- a/internal/journal/memfs_test.go
+++ b/internal/journal/memfs_test.go
@@ -10,25 +10,26 @@
 	"syscall"
 )
 
-// memFS is a file system in memory that crashes or fails where a test says. It counts what changes it.
+// memFS is a file system in memory that crashes or fails at an operation that the test chooses. It counts the operations
+// that change it.
 type memFS struct {
-	files map[string]*memFile
-	ops   int
-	limit int64 // bytes of all files together; 0 for none
-	most  int64 // that there ever were
+	files   map[string]*memFile
+	ops     int
+	limit   int64 // bytes of all files together; 0 for no limit
+	maxUsed int64 // the most bytes that were ever used
 
-	crashAt int     // the op in which the process is killed, from 1 on; 0 for none
-	part    float64 // of that op that is still carried out
-	failAt  int     // the op that fails, and all that write behind it
-	healAt  int     // from this op on they succeed again; 0 for never
-	short   bool    // half of a write that fails is carried out
-	err     error
+	crashAt       int     // the operation in which the process is killed, counted from 1; 0 for none
+	crashFraction float64 // the part of that operation that is still carried out
+	failAt        int     // the first operation that fails; later ones that write fail, too
+	healAt        int     // from this operation on they succeed again; 0 for never
+	shortWrites   bool    // half of a failing write is carried out
+	err           error
 
-	synced map[string]*memFile // the folder as of its last sync
-	moves  []move              // of it since
+	synced        map[string]*memFile // the folder as of its last sync
+	unsyncedMoves []move              // changes of the folder since its last sync
 }
 
-// move is one change of the folder: a name that is given to a file, or taken from it.
+// move is one change of the folder: a file gets a name, loses its name, or both.
 type move struct {
 	from, to string // one may be empty
 	file     *memFile
@@ -36,25 +37,26 @@
 
 type memFile struct {
 	fs     *memFS
-	text   []byte
+	data   []byte
 	synced []byte // as of its last sync
-	dirty  []span // written since
+	dirty  []span // written since its last sync
 }
 
 type span struct{ from, to int64 }
 
-// crash is the panic of a process that is killed.
+// crash is the panic by which a killed process ends.
 type crash struct{}
 
 func newMemFS() *memFS { return &memFS{files: map[string]*memFile{}, synced: map[string]*memFile{}} }
 
-// afterPower is what a new process finds when the machine has failed: of the changes of the folder since its last sync
-// any, and of each file any beginning of what was written since its own, or any of the blocks.
-func (m *memFS) afterPower(rng *rand.Rand) *memFS {
+// afterPowerFailure returns what a new process finds after a failure of the machine: an arbitrary selection of the
+// changes that the folder had since its last sync, and of each file an arbitrary beginning, or arbitrary blocks, of what
+// was written since the file's last sync.
+func (m *memFS) afterPowerFailure(rng *rand.Rand) *memFS {
 	n := newMemFS()
 	n.limit = m.limit
 	folder := maps.Clone(m.synced)
-	for _, c := range m.moves {
+	for _, c := range m.unsyncedMoves {
 		if rng.IntN(2) == 0 || c.from != "" && folder[c.from] == nil {
 			continue
 		}
@@ -66,29 +68,29 @@
 	const block = 512
 	for _, name := range slices.Sorted(maps.Keys(folder)) {
 		f := folder[name]
-		text := make([]byte, len(f.text)) // its length is kept, as by Allocate
-		copy(text, f.synced)
+		data := make([]byte, len(f.data)) // the length is kept, as by Allocate
+		copy(data, f.synced)
 		beginning, some, stop := rng.IntN(len(f.dirty)+1), rng.IntN(3), false
 		for i, d := range f.dirty {
 			for at := d.from; at < d.to && !stop; at = at/block*block + block {
 				to := min(d.to, at/block*block+block)
 				if stop = some == 0 && i == beginning && rng.IntN(2) == 0; !stop && (some == 0 || rng.IntN(1+some) > 0) {
-					copy(text[at:to], f.text[at:to])
+					copy(data[at:to], f.data[at:to])
 				}
 			}
 		}
-		n.files[name] = &memFile{fs: n, text: text, synced: bytes.Clone(text)}
+		n.files[name] = &memFile{fs: n, data: data, synced: bytes.Clone(data)}
 		n.synced[name] = n.files[name]
 	}
 	return n
 }
 
-// after is what a new process finds.
-func (m *memFS) after() *memFS {
+// afterKill returns what a new process finds after this one was killed.
+func (m *memFS) afterKill() *memFS {
 	n := newMemFS()
 	n.limit = m.limit
 	for name, f := range m.files {
-		n.files[name] = &memFile{fs: n, text: bytes.Clone(f.text)}
+		n.files[name] = &memFile{fs: n, data: bytes.Clone(f.data)}
 		n.synced[name] = n.files[name]
 	}
 	return n
@@ -102,31 +104,31 @@
 }
 
 func (m *memFS) Sync() error {
-	_, err := m.step()
+	_, err := m.countOp()
 	if err != nil {
 		return err
 	}
-	m.die()
-	m.synced, m.moves = maps.Clone(m.files), nil
+	m.crashIfDue()
+	m.synced, m.unsyncedMoves = maps.Clone(m.files), nil
 	return nil
 }
 
 func (f *memFile) Sync() error {
-	_, err := f.fs.step()
+	_, err := f.fs.countOp()
 	if err != nil {
-		f.text, f.dirty = bytes.Clone(f.synced), nil // the dirty pages are dropped: a second try would find nothing to do
+		f.data, f.dirty = bytes.Clone(f.synced), nil // the dirty pages are dropped: a second sync would find nothing to do
 		return err
 	}
-	f.fs.die()
-	f.synced, f.dirty = bytes.Clone(f.text), nil
+	f.fs.crashIfDue()
+	f.synced, f.dirty = bytes.Clone(f.data), nil
 	return nil
 }
 
-// step counts one op, and tells what part of it is carried out before the process is killed.
-func (m *memFS) step() (part float64, err error) {
+// countOp counts one operation, and returns which part of it is carried out before the process is killed.
+func (m *memFS) countOp() (part float64, err error) {
 	m.ops++
 	if m.ops == m.crashAt {
-		return m.part, nil
+		return m.crashFraction, nil
 	}
 	if m.failAt > 0 && m.ops >= m.failAt && (m.healAt == 0 || m.ops < m.healAt) {
 		return 0, m.err
@@ -134,7 +136,7 @@
 	return 1, nil
 }
 
-func (m *memFS) die() {
+func (m *memFS) crashIfDue() {
 	if m.ops == m.crashAt {
 		panic(crash{})
 	}
@@ -142,7 +144,7 @@
 
 func (m *memFS) used() (n int64) {
 	for _, f := range m.files {
-		n += int64(len(f.text)+511) / 512 * 512
+		n += int64(len(f.data)+511) / 512 * 512
 	}
 	return n
 }
@@ -155,52 +157,52 @@
 		if !create {
 			return nil, fs.ErrNotExist
 		}
-		part, err := m.step()
+		part, err := m.countOp()
 		if err != nil {
 			return nil, err
 		}
 		f = &memFile{fs: m}
 		if part > 0.5 {
 			m.files[name] = f
-			m.moves = append(m.moves, move{"", name, f})
+			m.unsyncedMoves = append(m.unsyncedMoves, move{"", name, f})
 		}
-		m.die()
+		m.crashIfDue()
 	}
 	return f, nil
 }
 
 func (m *memFS) Rename(from, to string) error {
-	part, err := m.step()
+	part, err := m.countOp()
 	if err != nil {
 		return err
 	}
 	if part > 0.5 {
 		m.files[to] = m.files[from]
 		delete(m.files, from)
-		m.moves = append(m.moves, move{from, to, m.files[to]})
+		m.unsyncedMoves = append(m.unsyncedMoves, move{from, to, m.files[to]})
 	}
-	m.die()
+	m.crashIfDue()
 	return nil
 }
 
 func (m *memFS) Remove(name string) error {
-	part, err := m.step()
+	part, err := m.countOp()
 	if err != nil {
 		return err
 	}
 	if part > 0.5 {
 		delete(m.files, name)
-		m.moves = append(m.moves, move{name, "", nil})
+		m.unsyncedMoves = append(m.unsyncedMoves, move{name, "", nil})
 	}
-	m.die()
+	m.crashIfDue()
 	return nil
 }
 
 func (f *memFile) ReadAt(b []byte, at int64) (int, error) {
-	if at >= int64(len(f.text)) {
+	if at >= int64(len(f.data)) {
 		return 0, errors.New("EOF")
 	}
-	n := copy(b, f.text[at:])
+	n := copy(b, f.data[at:])
 	if n < len(b) {
 		return n, errors.New("EOF")
 	}
@@ -208,11 +210,11 @@
 }
 
 func (f *memFile) WriteAt(b []byte, at int64) (int, error) {
-	part, err := f.fs.step()
+	part, err := f.fs.countOp()
 	if err != nil {
 		n := 0
-		if f.fs.short && f.grow(at+int64(len(b)/2)) == nil {
-			n = copy(f.text[at:], b[:len(b)/2])
+		if f.fs.shortWrites && f.grow(at+int64(len(b)/2)) == nil {
+			n = copy(f.data[at:], b[:len(b)/2])
 			f.dirty = append(f.dirty, span{at, at + int64(n)})
 		}
 		return n, err
@@ -221,34 +223,34 @@
 	if err := f.grow(at + int64(n)); err != nil {
 		return 0, err
 	}
-	copy(f.text[at:], b[:n])
+	copy(f.data[at:], b[:n])
 	f.dirty = append(f.dirty, span{at, at + int64(n)})
-	f.fs.die()
+	f.fs.crashIfDue()
 	return n, nil
 }
 
 func (f *memFile) grow(size int64) error {
-	more := size - int64(len(f.text))
+	more := size - int64(len(f.data))
 	if more <= 0 {
 		return nil
 	}
 	if f.fs.limit > 0 && f.fs.used()+more > f.fs.limit {
 		return syscall.ENOSPC
 	}
-	f.text = append(f.text, make([]byte, more)...)
-	f.fs.most = max(f.fs.most, f.fs.used())
+	f.data = append(f.data, make([]byte, more)...)
+	f.fs.maxUsed = max(f.fs.maxUsed, f.fs.used())
 	return nil
 }
 
 func (f *memFile) Allocate(size int64) error {
-	part, err := f.fs.step()
+	part, err := f.fs.countOp()
 	if err != nil {
 		return err
 	}
 	err = f.grow(int64(part * float64(size)))
-	f.fs.die()
+	f.fs.crashIfDue()
 	return err
 }
 
-func (f *memFile) Size() (int64, error) { return int64(len(f.text)), nil }
+func (f *memFile) Size() (int64, error) { return int64(len(f.data)), nil }
 func (f *memFile) Close() error         { return nil }
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -14,53 +14,55 @@
 	"scaleroute/internal/message"
 )
 
-// known is what the model holds of one message.
-type known struct {
-	class, origin, body string
-	dest, attempts      int
-	open, ran           bool
-	end                 byte
-	wait                time.Duration
-	among               string
+// modelMessage is the model's state of one message.
+type modelMessage struct {
+	class, origin, body  string
+	dest, attempts       int
+	inFlight, mayHaveRun bool
+	completion           byte
+	retryAfter           time.Duration
+	extras               string
 }
 
-func (k known) String() string {
-	return fmt.Sprintf("{%s %s %d, %d bytes, %d attempts, open %v, ran %v, end %q, %v}", k.class, k.origin, k.dest, len(k.body), k.attempts, k.open, k.ran, k.end, k.wait)
+func (k modelMessage) String() string {
+	return fmt.Sprintf("{%s %s %d, %d bytes, %d attempts, in flight %v, may have run %v, completion %q, %v}", k.class, k.origin, k.dest, len(k.body), k.attempts, k.inFlight, k.mayHaveRun, k.completion, k.retryAfter)
 }
 
-// model is the journal without a disk: what is held after each record.
+// model is the journal without a disk: the open messages after each record.
 type model struct {
-	now     map[string]known
-	history []map[string]known
-	flushed int // of the history
+	current map[string]modelMessage
+	history []map[string]modelMessage
+	flushed int // index in history of the last state that was flushed
 }
 
-func newModel() *model { return &model{now: map[string]known{}, history: []map[string]known{{}}} }
+func newModel() *model {
+	return &model{current: map[string]modelMessage{}, history: []map[string]modelMessage{{}}}
+}
 
-func (m *model) change(id string, f func(*known)) {
-	k := m.now[id]
+func (m *model) change(id string, f func(*modelMessage)) {
+	k := m.current[id]
 	f(&k)
-	m.now[id] = k
-	m.history = append(m.history, maps.Clone(m.now))
+	m.current[id] = k
+	m.history = append(m.history, maps.Clone(m.current))
 }
 
-func (m *model) drop(id string) {
-	delete(m.now, id)
-	m.history = append(m.history, maps.Clone(m.now))
+func (m *model) remove(id string) {
+	delete(m.current, id)
+	m.history = append(m.history, maps.Clone(m.current))
 }
 
-// heldIn is what a journal holds, in the model's terms.
-func heldIn(j *Journal) map[string]known {
-	held := map[string]known{}
+// queuedIn returns the messages of a journal in the model's terms.
+func queuedIn(j *Journal) map[string]modelMessage {
+	queued := map[string]modelMessage{}
 	for _, s := range j.Queued() {
 		body, _ := s.Body.Load()
-		held[s.ID] = known{s.Class, s.Origin, string(body), s.Dest, s.Attempts, s.InFlight, s.MayHaveRun, s.Completion, s.RetryAfter, named(s.Extras)}
+		queued[s.ID] = modelMessage{s.Class, s.Origin, string(body), s.Dest, s.Attempts, s.InFlight, s.MayHaveRun, s.Completion, s.RetryAfter, describeExtras(s.Extras)}
 	}
-	return held
+	return queued
 }
 
-// named is what a message is told of endpoints.
-func named(a *message.Extras) string {
+// describeExtras returns the extras of a message as text.
+func describeExtras(a *message.Extras) string {
 	if a == nil {
 		return ""
 	}
@@ -69,27 +71,28 @@
 
 const smallLimit = 70_000
 
-// small is a folder in which some bodies stay in memory and some do not.
-func small(fs FS) Options {
+// smallOptions are for a small folder, of whose bodies some stay in memory and some do not.
+func smallOptions(fs FS) Options {
 	return Options{FS: fs, DiskLimit: smallLimit, MemoryLimit: 40_000, AllowExtras: true}
 }
 
-func durable(fs FS, d Durability) Options {
-	o := small(fs)
+func optionsWithDurability(fs FS, d Durability) Options {
+	o := smallOptions(fs)
 	o.Durability = d
 	return o
 }
 
-// dryRun runs the workload without a fault: how often it changes the file system, and how many of those to try.
+// dryRun runs the workload without a fault. It returns how many operations change the file system, and in what steps a
+// test is to go through them.
 func dryRun(t *testing.T, d Durability, steps int, segments uint64) (j *Journal, ops, every int) {
 	t.Helper()
 	dry := newMemFS()
-	j, err := work(durable(dry, d), newModel(), 1, steps)
+	j, err := runWorkload(optionsWithDurability(dry, d), newModel(), 1, steps)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if j.compactedBytes == 0 || j.activeSegment().seq < segments {
-		t.Fatalf("%d bytes moved, %d segments: the workload does too little", j.compactedBytes, j.activeSegment().seq)
+		t.Fatalf("%d bytes copied by compaction, %d segments: the workload does too little", j.compactedBytes, j.activeSegment().seq)
 	}
 	if testing.Short() || raceEnabled {
 		return j, dry.ops, 7
@@ -97,7 +100,7 @@
 	return j, dry.ops, 1
 }
 
-// flush flushes and, where that is asked for, syncs: the model may then rely on what is there.
+// flush flushes and, if requested, syncs, and then marks the model's current state as durable.
 func (m *model) flush(j *Journal, sync bool) error {
 	if err := j.Flush(); err != nil {
 		return err
@@ -119,9 +122,9 @@
 	return nil
 }
 
-// work drives a journal and its model with a workload that is the same for a seed, and returns when it is over or
-// the journal fails. In the middle of it the journal is opened anew.
-func work(o Options, m *model, seed uint64, steps int) (j *Journal, err error) {
+// runWorkload applies a workload that depends only on the seed to a journal and its model, and returns when it is
+// complete or the journal fails. In the middle of it the journal is closed and opened again.
+func runWorkload(o Options, m *model, seed uint64, steps int) (j *Journal, err error) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	if j, err = OpenWith(o); err != nil {
 		return nil, err
@@ -137,11 +140,11 @@
 			if j, err = OpenWith(o); err != nil {
 				return nil, err
 			}
-			if got := heldIn(j); !maps.Equal(got, m.now) {
-				return nil, fmt.Errorf("opened anew in order: got %v, want %v", got, m.now)
+			if got := queuedIn(j); !maps.Equal(got, m.current) {
+				return nil, fmt.Errorf("opened again after an orderly close: got %v, want %v", got, m.current)
 			}
 		case x < 3 && len(ids) < 18:
-			k := known{class: "note", dest: rng.IntN(1000), body: strings.Repeat("b", rng.IntN(1200))}
+			k := modelMessage{class: "note", dest: rng.IntN(1000), body: strings.Repeat("b", rng.IntN(1200))}
 			if rng.IntN(4) == 0 {
 				k.origin = "smtp"
 			}
@@ -149,19 +152,19 @@
 			if rng.IntN(4) == 0 {
 				s.Extras = &message.Extras{Only: []string{"s-1", strings.Repeat("e", rng.IntN(256))}[:rng.IntN(3)], Prefer: []string{"s-2", ""}[:rng.IntN(3)],
 					Header: []message.Field{{Name: "X-Council", Value: strings.Repeat("v", rng.IntN(300))}}[:rng.IntN(2)]}
-				k.among = named(s.Extras)
+				k.extras = describeExtras(s.Extras)
 			}
-			if _, there := m.now[s.ID]; there {
+			if _, there := m.current[s.ID]; there {
 				continue
 			}
-			room, err := j.Reserve(s.Size())
+			reserved, err := j.Reserve(s.Size())
 			if err != nil {
 				return j, err
 			}
-			if !room {
+			if !reserved {
 				continue
 			}
-			m.change(s.ID, func(n *known) { *n = k })
+			m.change(s.ID, func(n *modelMessage) { *n = k })
 			ids = append(ids, s.ID)
 			if err := j.RecordAccepted(s); err != nil {
 				return j, err
@@ -170,22 +173,22 @@
 			i := rng.IntN(len(ids))
 			id := ids[i]
 			if i < 6 && rng.IntN(40) > 0 {
-				continue // some live through many compactions
+				continue // some messages stay open through many compactions
 			}
-			switch k := m.now[id]; {
-			case k.end != 0:
-				m.drop(id)
+			switch k := m.current[id]; {
+			case k.completion != 0:
+				m.remove(id)
 				ids = append(ids[:i], ids[i+1:]...)
 				j.RecordClosed(id)
-			case k.open:
+			case k.inFlight:
 				ran := rng.IntN(2) == 0
-				m.change(id, func(n *known) { n.open, n.ran = false, n.ran || ran })
+				m.change(id, func(n *modelMessage) { n.inFlight, n.mayHaveRun = false, n.mayHaveRun || ran })
 				j.RecordOutcome(id, ran)
 			case k.attempts > 3:
-				m.change(id, func(n *known) { n.end, n.wait = 'b', 5*time.Second })
+				m.change(id, func(n *modelMessage) { n.completion, n.retryAfter = 'b', 5*time.Second })
 				j.RecordCompletion(id, 'b', 5*time.Second)
 			default:
-				m.change(id, func(n *known) { n.ran = n.ran || n.open; n.attempts++; n.open = true })
+				m.change(id, func(n *modelMessage) { n.mayHaveRun = n.mayHaveRun || n.inFlight; n.attempts++; n.inFlight = true })
 				j.RecordSending(id)
 			}
 		default:
@@ -197,9 +200,8 @@
 	return j, nil
 }
 
-// allowed tells whether a state is one that a crash may leave: what was flushed is there, and of the
-// rest any beginning.
-func (m *model) allowed(got map[string]known) bool {
+// allows reports whether a crash may leave the given state: all that was flushed, and any beginning of the rest.
+func (m *model) allows(got map[string]modelMessage) bool {
 	for i := len(m.history) - 1; i >= m.flushed; i-- {
 		if maps.Equal(got, m.history[i]) {
 			return true
@@ -208,10 +210,10 @@
 	return false
 }
 
-// TestEveryFaultPoint kills the process in each change of the file system that a workload makes, before, within and
-// after it, and opens the journal again: what was flushed is there, nothing that ended comes back, no attempt is
-// forgotten. The journal then takes the same workload on from there.
-func TestEveryFaultPoint(t *testing.T) {
+// TestKillAtEveryOperation kills the process before, within and after each change of the file system that a workload
+// makes, and opens the journal again: what was flushed is there, no closed message comes back, and no attempt is
+// forgotten.
+func TestKillAtEveryOperation(t *testing.T) {
 	const steps = 5000
 	j, ops, every := dryRun(t, Process, steps, 20)
 	points, err := 0, error(nil)
@@ -219,24 +221,24 @@
 		for _, part := range []float64{0, 0.4, 0.99, 1} {
 			points++
 			fs, m := newMemFS(), newModel()
-			fs.crashAt, fs.part = at, part
-			if !killed(func() { _, err = work(small(fs), m, 1, steps) }) {
-				t.Fatalf("op %d: not reached (%v)", at, err)
+			fs.crashAt, fs.crashFraction = at, part
+			if !wasKilled(func() { _, err = runWorkload(smallOptions(fs), m, 1, steps) }) {
+				t.Fatalf("operation %d was not reached (%v)", at, err)
 			}
-			j, err := OpenWith(small(fs.after()))
+			j, err := OpenWith(smallOptions(fs.afterKill()))
 			if err != nil {
-				t.Fatalf("killed in op %d, %v of it done: %v", at, part, err)
+				t.Fatalf("killed in operation %d, %v of it done: %v", at, part, err)
 			}
-			if got := heldIn(j); !m.allowed(got) || len(realDamage(j)) > 0 {
-				t.Fatalf("killed in op %d, %v of it done: recovered %v, damage %+v; flushed was %v", at, part, got, j.Damage(), m.history[m.flushed])
+			if got := queuedIn(j); !m.allows(got) || len(damageWithoutRepairs(j)) > 0 {
+				t.Fatalf("killed in operation %d, %v of it done: recovered %v, damage %+v; flushed was %v", at, part, got, j.Damage(), m.history[m.flushed])
 			}
 		}
 	}
 	t.Logf("%d fault points; %d segments, %d of %d bytes written by compaction", points, j.activeSegment().seq, j.compactedBytes, j.writtenBytes)
 }
 
-// differ lists what two states have not in common.
-func differ(a, b map[string]known) (list []string) {
+// differences lists the messages that differ between two states.
+func differences(a, b map[string]modelMessage) (list []string) {
 	for id := range a {
 		if a[id] != b[id] {
 			list = append(list, fmt.Sprintf("%s: %v, %v", id, a[id], b[id]))
@@ -250,13 +252,14 @@
 	return list
 }
 
-// realDamage leaves out a record that was cut off where only one bit of it was not nought.
-func realDamage(j *Journal) []Damage {
+// damageWithoutRepairs returns the damage but for corrected bits: an incomplete record of which only one bit was not
+// zero is corrected, too.
+func damageWithoutRepairs(j *Journal) []Damage {
 	return slices.DeleteFunc(slices.Clone(j.Damage()), func(d Damage) bool { return strings.HasPrefix(d.Description, "one bit") })
 }
 
-// killed runs f and tells whether it was killed.
-func killed(f func()) (yes bool) {
+// wasKilled runs f, and reports whether it was ended by a crash of the file system.
+func wasKilled(f func()) (yes bool) {
 	defer func() {
 		if r := recover(); r != nil {
 			if _, yes = r.(crash); !yes {
@@ -268,126 +271,126 @@
 	return false
 }
 
-// TestEveryPowerFailure has the machine fail in each change of the file system, with what it kept drawn anew: what was
-// synced is there, and of the rest a beginning.
-func TestEveryPowerFailure(t *testing.T) {
+// TestPowerFailureAtEveryOperation makes the machine fail in each change of the file system, and draws at random what of
+// the unsynced data survives: what was synced is there, and of the rest a beginning.
+func TestPowerFailureAtEveryOperation(t *testing.T) {
 	const steps = 2500
-	group := func(fs FS) Options { return durable(fs, Group) }
+	group := func(fs FS) Options { return optionsWithDurability(fs, Group) }
 	_, ops, every := dryRun(t, Group, steps, 8)
 	points, err := 0, error(nil)
 	rng := rand.New(rand.NewPCG(6, 6))
 	for at := 1; at <= ops; at += every {
 		fs, m := newMemFS(), newModel()
-		fs.crashAt, fs.part = at, rng.Float64()
-		if !killed(func() { _, err = work(group(fs), m, 1, steps) }) {
-			t.Fatalf("op %d: not reached (%v)", at, err)
+		fs.crashAt, fs.crashFraction = at, rng.Float64()
+		if !wasKilled(func() { _, err = runWorkload(group(fs), m, 1, steps) }) {
+			t.Fatalf("operation %d was not reached (%v)", at, err)
 		}
 		for range 3 {
 			points++
-			after := fs.afterPower(rng)
+			after := fs.afterPowerFailure(rng)
 			j, err := OpenWith(group(after))
 			if err != nil {
-				t.Fatalf("the machine fails in op %d: %v", at, err)
+				t.Fatalf("the machine fails in operation %d: %v", at, err)
 			}
-			got := heldIn(j)
-			if !m.allowed(got) || len(realDamage(j)) > 0 {
-				t.Fatalf("the machine fails in op %d: %d held, damage %+v; differs from what was synced in %v", at, len(got), j.Damage(), differ(got, m.history[m.flushed]))
+			got := queuedIn(j)
+			if !m.allows(got) || len(damageWithoutRepairs(j)) > 0 {
+				t.Fatalf("the machine fails in operation %d: %d messages queued, damage %+v; differences from what was synced: %v", at, len(got), j.Damage(), differences(got, m.history[m.flushed]))
 			}
-			// What is written behind the end is not mixed with what stood there before.
+			// Records that are written after the end are not mixed with what was there before.
 			s := &MessageState{ID: "new", Class: "note", Body: message.Bytes("b")}
-			if room, err := j.Reserve(s.Size()); err != nil {
+			if reserved, err := j.Reserve(s.Size()); err != nil {
 				t.Fatal(err)
-			} else if room {
+			} else if reserved {
 				if err := errors.Join(j.RecordAccepted(s), newModel().flush(j, true)); err != nil {
 					t.Fatal(err)
 				}
-				got["new"] = known{class: "note", body: "b"}
+				got["new"] = modelMessage{class: "note", body: "b"}
 			}
-			if j, err = OpenWith(group(after.afterPower(rng))); err != nil || !maps.Equal(heldIn(j), got) || len(realDamage(j)) > 0 {
-				t.Fatalf("op %d, opened again: %v, %v, want %v; damage %+v", at, err, heldIn(j), got, j.Damage())
+			if j, err = OpenWith(group(after.afterPowerFailure(rng))); err != nil || !maps.Equal(queuedIn(j), got) || len(damageWithoutRepairs(j)) > 0 {
+				t.Fatalf("operation %d, opened again: %v, %v, want %v; damage %+v", at, err, queuedIn(j), got, j.Damage())
 			}
 		}
 	}
 	t.Logf("%d failures of the machine", points)
 }
 
-// TestFailedWrites has each write fail from some op on: the journal says so, takes nothing more on, and what it had
-// flushed is there when it is opened again.
+// TestFailedWrites makes all writes fail from some operation on: the journal reports it and accepts nothing more, and
+// what was flushed is there when it is opened again.
 func TestFailedWrites(t *testing.T) {
-	failWrites(t, Process, syscall.EIO)
-	failWrites(t, Group, syscall.EROFS) // a folder that becomes read-only
+	testFailedWrites(t, Process, syscall.EIO)
+	testFailedWrites(t, Group, syscall.EROFS) // a folder that becomes read-only
 }
 
-func failWrites(t *testing.T, d Durability, why syscall.Errno) {
-	on := func(fs FS) Options { return durable(fs, d) }
+func testFailedWrites(t *testing.T, d Durability, why syscall.Errno) {
+	on := func(fs FS) Options { return optionsWithDurability(fs, d) }
 	dry := newMemFS()
-	if _, err := work(on(dry), newModel(), 2, 3000); err != nil {
+	if _, err := runWorkload(on(dry), newModel(), 2, 3000); err != nil {
 		t.Fatal(err)
 	}
 	for at := 9; at <= dry.ops; at += 3 {
 		fs, m := newMemFS(), newModel()
 		fs.failAt, fs.err = at, why
-		j, err := work(on(fs), m, 2, 3000)
+		j, err := runWorkload(on(fs), m, 2, 3000)
 		if err == nil && len(m.history) == 1 {
-			continue // no room from the beginning: all was turned away
+			continue // no space from the beginning: all messages were refused
 		}
 		if !errors.Is(err, why) {
-			t.Fatalf("op %d fails: %v", at, err)
+			t.Fatalf("operation %d fails: %v", at, err)
 		}
 		if j != nil {
 			if _, err := j.Reserve(10); err == nil {
 				if err := j.Flush(); err == nil {
-					t.Fatalf("op %d fails, and the journal goes on", at)
+					t.Fatalf("operation %d fails, and the journal continues", at)
 				}
 			}
 		}
 		if !IsDiskError(err) {
-			t.Fatalf("not known as the disk's: %v", err)
+			t.Fatalf("not recognized as an error of the disk: %v", err)
 		}
-		again, err := OpenWith(on(fs.after()))
+		again, err := OpenWith(on(fs.afterKill()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := heldIn(again); !m.allowed(got) {
-			t.Fatalf("op %d failed: recovered %v; flushed was %v", at, got, m.history[m.flushed])
+		if got := queuedIn(again); !m.allows(got) {
+			t.Fatalf("operation %d failed: recovered %v; flushed was %v", at, got, m.history[m.flushed])
 		}
 	}
 }
 
-// TestDiskFull: with the disk full at any time, what is held goes on to its end, and new messages are turned away
-// until there is room again.
+// TestDiskFull: when the disk is full, the queued messages proceed to their completion, and new messages are refused
+// until there is space again.
 func TestDiskFull(t *testing.T) {
 	fs := newMemFS()
-	j, err := OpenWith(small(fs))
+	j, err := OpenWith(smallOptions(fs))
 	if err != nil {
 		t.Fatal(err)
 	}
 	accept := func(id string) bool {
 		s := &MessageState{ID: id, Class: "note", Body: message.Bytes(strings.Repeat("b", 900)), Deadline: time.UnixMilli(1)}
-		room, err := j.Reserve(s.Size())
+		reserved, err := j.Reserve(s.Size())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if room {
+		if reserved {
 			if err := j.RecordAccepted(s); err != nil {
 				t.Fatal(err)
 			}
 		}
-		return room
+		return reserved
 	}
 	if !accept("first") {
-		t.Fatal("no room in an empty folder")
+		t.Fatal("no space in an empty folder")
 	}
-	fs.limit = fs.used() // nothing more
+	fs.limit = fs.used() // the disk is full from now on
 	n := 1
 	for accept(fmt.Sprint("m", n)) {
 		n++
 	}
 	if n > 30 {
-		t.Fatalf("%d messages taken on", n)
+		t.Fatalf("%d messages accepted", n)
 	}
-	// Each goes through six attempts and its end, one after the other, the first one last of all.
-	for range 20 { // and new ones come in the place of those that ended
+	// Each message goes through six attempts and its completion, one message after the other; the first one stays open.
+	for range 20 { // new messages take the place of those that were closed
 		for i := 1; i < n; i++ {
 			id := fmt.Sprint("m", i)
 			for range 6 {
@@ -404,113 +407,113 @@
 			}
 			j.allocationFailedUntil = time.Time{}
 			if !accept(id) {
-				t.Fatal("what ended gives no room")
+				t.Fatal("closed messages give back no space")
 			}
 		}
 	}
 	j.allocationFailedUntil = time.Time{}
 	if accept("more") {
-		t.Error("taken on without room")
+		t.Error("accepted without space")
 	}
 	fs.limit = 0
 	j.allocationFailedUntil = time.Time{}
 	if !accept("more") {
-		t.Error("turned away though there is room again")
+		t.Error("refused though there is space again")
 	}
-	if got := heldIn(j)["first"]; len(got.body) != 900 {
-		t.Errorf("the first one: %v", got)
+	if got := queuedIn(j)["first"]; len(got.body) != 900 {
+		t.Errorf("the first message: %v", got)
 	}
 }
 
-// TestFolderStaysInItsLimit: whatever is held, the files together never take more than the folder may hold.
-func TestFolderStaysInItsLimit(t *testing.T) {
+// TestDiskLimitIsKept: whatever messages are queued, the files together never take more than the folder's limit.
+func TestDiskLimitIsKept(t *testing.T) {
 	for seed := range uint64(20) {
 		fs := newMemFS()
-		if _, err := work(small(fs), newModel(), seed, 4000); err != nil {
+		if _, err := runWorkload(smallOptions(fs), newModel(), seed, 4000); err != nil {
 			t.Fatal(err)
 		}
-		if fs.most > smallLimit {
-			t.Errorf("%d bytes, %d allowed", fs.most, smallLimit)
+		if fs.maxUsed > smallLimit {
+			t.Errorf("%d bytes in the folder, %d allowed", fs.maxUsed, smallLimit)
 		}
 	}
 }
 
-// filled is a folder with several segments, and what is in it.
-func filled(t *testing.T) (*memFS, map[string]known) {
+// filledFolder returns a folder with several segments, and the messages in it.
+func filledFolder(t *testing.T) (*memFS, map[string]modelMessage) {
 	t.Helper()
 	fs, m := newMemFS(), newModel()
-	j, err := work(small(fs), m, 5, 1500)
+	j, err := runWorkload(smallOptions(fs), m, 5, 1500)
 	if err == nil {
 		err = j.Flush()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fs, maps.Clone(m.now)
+	return fs, maps.Clone(m.current)
 }
 
-// TestOneBitFlipped flips one bit at a time, anywhere in the folder: nothing is lost or changed, but
-// where the very end of the log is hit: then at most the last record.
+// TestOneBitFlipped flips one bit at a time, anywhere in the folder: no message is lost or changed, except that a bit at
+// the very end of the log may cost the last record.
 func TestOneBitFlipped(t *testing.T) {
-	whole, want := filled(t)
+	whole, want := filledFolder(t)
 	rng := rand.New(rand.NewPCG(9, 9))
-	mended, changed := 0, 0
+	corrected, changed := 0, 0
 	for range 1500 {
-		fs := whole.after()
+		fs := whole.afterKill()
 		var name string
-		var text []byte
+		var data []byte
 		for n, f := range fs.files {
-			if strings.HasSuffix(n, segmentEnd) && (name == "" || rng.IntN(2) == 0) {
-				name, text = n, f.text
+			if strings.HasSuffix(n, segmentSuffix) && (name == "" || rng.IntN(2) == 0) {
+				name, data = n, f.data
 			}
 		}
-		at := rng.IntN(len(text))
-		text[at] ^= 1 << rng.IntN(8)
-		j, err := OpenWith(small(fs))
+		at := rng.IntN(len(data))
+		data[at] ^= 1 << rng.IntN(8)
+		j, err := OpenWith(smallOptions(fs))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(j.Damage()) > 0 {
-			mended++
+			corrected++
 		}
-		if got := heldIn(j); !maps.Equal(got, want) {
+		if got := queuedIn(j); !maps.Equal(got, want) {
 			changed++
-			differ := 0
+			differing := 0
 			for id := range want {
 				if got[id] != want[id] {
-					differ++
+					differing++
 				}
 			}
-			if differ > 1 || len(got) < len(want)-1 {
-				t.Fatalf("a bit flipped at %d of %s: %d messages differ, %d held; damage %+v", at, name, differ, len(got), j.Damage())
+			if differing > 1 || len(got) < len(want)-1 {
+				t.Fatalf("a bit flipped at %d of %s: %d messages differ, %d queued; damage %+v", at, name, differing, len(got), j.Damage())
 			}
 		}
 	}
-	if mended < 200 || changed > 5 {
-		t.Errorf("%d of 1,500 were noted, %d changed a message", mended, changed)
+	if corrected < 200 || changed > 5 {
+		t.Errorf("%d of 1,500 flipped bits were reported, %d changed a message", corrected, changed)
 	}
 }
 
-// TestBlockOverwritten destroys blocks of the log: the messages of the records that stood there are reported, count as
-// ones that may have run, or are gone with their state; all others are as they were.
+// TestBlockOverwritten overwrites blocks of the log with random bytes: the messages whose records were there are
+// reported, and count as ones that may have run or are gone with their state; all others are unchanged.
 func TestBlockOverwritten(t *testing.T) {
-	whole, want := filled(t)
+	whole, want := filledFolder(t)
 	rng := rand.New(rand.NewPCG(4, 4))
-	hits := 0
+	affectedCount := 0
 	for range 400 {
-		fs := whole.after()
+		fs := whole.afterKill()
 		names := []string{}
 		for n := range fs.files {
-			if strings.HasSuffix(n, segmentEnd) {
+			if strings.HasSuffix(n, segmentSuffix) {
 				names = append(names, n)
 			}
 		}
-		text := fs.files[names[rng.IntN(len(names))]].text
-		at, size := rng.IntN(len(text)-300), 2+rng.IntN(300)
+		data := fs.files[names[rng.IntN(len(names))]].data
+		at, size := rng.IntN(len(data)-300), 2+rng.IntN(300)
 		for i := range size {
-			text[at+i] = byte(rng.Uint32())
+			data[at+i] = byte(rng.Uint32())
 		}
-		j, err := OpenWith(small(fs))
+		j, err := OpenWith(smallOptions(fs))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -520,7 +523,7 @@
 				named[id] = true
 			}
 		}
-		got := heldIn(j)
+		got := queuedIn(j)
 		missing := 0
 		for id, w := range want {
 			g, there := got[id]
@@ -528,99 +531,99 @@
 			case !there:
 				missing++
 			case named[id]:
-				hits++
-				if !g.ran && g != w { // but for one whose state was written again behind it
-					t.Errorf("%s was hit and does not count as one that may have run: %v", id, g)
+				affectedCount++
+				if !g.mayHaveRun && g != w { // except a message whose state was written again after the damage
+					t.Errorf("message %s is affected and does not count as one that may have run: %v", id, g)
 				}
 			case g != w && len(j.Damage()) > 0:
-				t.Errorf("%s was not hit and differs: %v, want %v", id, g, w)
+				t.Errorf("message %s is not affected and differs: %v, want %v", id, g, w)
 			}
 		}
 		if missing > 0 && len(j.Damage()) == 0 && missing > 3 {
-			t.Errorf("%d messages are gone without a word", missing)
+			t.Errorf("%d messages are missing, and no damage is reported", missing)
 		}
 	}
-	if hits == 0 {
-		t.Error("no message was hit: the test says nothing")
+	if affectedCount == 0 {
+		t.Error("no message was affected: the test proves nothing")
 	}
 }
 
-// TestSegmentMissing: without one of its segments the journal opens, says so, and believes nothing of sends that may
-// have stood there.
+// TestSegmentMissing: a journal without one of its segments opens, reports the gap, and counts every message that may
+// have been sent in the missing segment as one that may have run.
 func TestSegmentMissing(t *testing.T) {
-	fs, _ := filled(t)
+	fs, _ := filledFolder(t)
 	names := []string{}
 	for n := range fs.files {
-		if strings.HasSuffix(n, segmentEnd) {
+		if strings.HasSuffix(n, segmentSuffix) {
 			names = append(names, n)
 		}
 	}
 	if len(names) < 3 {
-		t.Fatalf("only %v", names)
+		t.Fatalf("too few segments: %v", names)
 	}
-	j0, err := OpenWith(Options{FS: fs.after(), DiskLimit: smallLimit, ReadOnly: true})
+	intact, err := OpenWith(Options{FS: fs.afterKill(), DiskLimit: smallLimit, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := j0.segments[1].name
-	delete(fs.files, gone)
-	as, err := OpenWith(Options{FS: fs.after(), DiskLimit: smallLimit, ReadOnly: true})
+	removed := intact.segments[1].name
+	delete(fs.files, removed)
+	reader, err := OpenWith(Options{FS: fs.afterKill(), DiskLimit: smallLimit, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	j, err := OpenWith(small(fs))
+	j, err := OpenWith(smallOptions(fs))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(j.Damage()) == 0 {
-		t.Fatal("a missing segment is not noticed")
+		t.Fatal("a missing segment is not reported")
 	}
-	missing, _, _ := parseName(gone)
-	got, before := heldIn(j), 0
-	for id, m := range as.live { // where their states stood as it was opened
+	missing, _, _ := parseSegmentName(removed)
+	got, before := queuedIn(j), 0
+	for id, m := range reader.live { // their positions just after opening
 		if m.segment.seq < missing {
-			if before++; !got[id].ran {
-				t.Errorf("%s may have been sent in what is missing, and counts as never run", id)
+			if before++; !got[id].mayHaveRun {
+				t.Errorf("message %s may have been sent in the missing segment, and counts as one that never ran", id)
 			}
 		}
 	}
 	if before == 0 {
-		t.Error("no message stood before what is missing: the test says nothing")
+		t.Error("no message had its state before the missing segment: the test proves nothing")
 	}
 }
 
-// TestNewerFormat: a folder of a newer program is refused and left as it is.
+// TestNewerFormat: a folder that a newer program has written is refused and left unchanged.
 func TestNewerFormat(t *testing.T) {
-	fs, _ := filled(t)
+	fs, _ := filledFolder(t)
 	for n, f := range fs.files {
-		if strings.HasSuffix(n, segmentEnd) {
-			seq, nonce, _ := parseName(n)
+		if strings.HasSuffix(n, segmentSuffix) {
+			seq, nonce, _ := parseSegmentName(n)
 			s := &segment{seq: seq, nonce: nonce}
 			h := s.header()
-			h[4] = version + 1
-			copy(f.text, checkedHeader(h))
+			h[4] = formatVersion + 1
+			copy(f.data, withChecksum(h))
 		}
 	}
-	before := fs.after()
-	if _, err := OpenWith(small(fs)); err == nil || !strings.Contains(err.Error(), "newer program") {
-		t.Fatalf("opened: %v", err)
+	before := fs.afterKill()
+	if _, err := OpenWith(smallOptions(fs)); err == nil || !strings.Contains(err.Error(), "newer program") {
+		t.Fatalf("opened a folder of a newer program: %v", err)
 	}
 	for n, f := range before.files {
-		if strings.HasSuffix(n, segmentEnd) && string(fs.files[n].text) != string(f.text) {
+		if strings.HasSuffix(n, segmentSuffix) && string(fs.files[n].data) != string(f.data) {
 			t.Errorf("%s was changed", n)
 		}
 	}
 }
 
-// TestLocked: two forwarders can't use one folder, and the second is told so.
-func TestLocked(t *testing.T) {
+// TestFolderLocked: two forwarders can't use one folder, and the second one reports why.
+func TestFolderLocked(t *testing.T) {
 	dir := t.TempDir()
 	j, err := Open(dir, Options{DiskLimit: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(dir, Options{DiskLimit: 3e6}); err == nil || !strings.Contains(err.Error(), "in use by another forwarder") {
-		t.Errorf("the second one: %v", err)
+		t.Errorf("the second forwarder: %v", err)
 	}
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
@@ -632,10 +635,10 @@
 	j.Close()
 }
 
-// TestHoldsMoreThanHalf: on a folder of 3 MB the longest messages find as much room as when the journal was rewritten
-// whole (22 of them), and small ones far more (486 of 2 kB).
-func TestHoldsMoreThanHalf(t *testing.T) {
-	for _, c := range []struct{ body, least int }{{MaxBody, 22}, {2000, 700}, {100, 2500}} {
+// TestFolderCapacity: a folder of 3 MB has space for as many of the longest messages as when the journal was a single
+// file that was rewritten whole (22), and for more small ones (it was 486 of 2 kB).
+func TestFolderCapacity(t *testing.T) {
+	for _, c := range []struct{ body, minimum int }{{MaxBody, 22}, {2000, 700}, {100, 2500}} {
 		fs := newMemFS()
 		j, err := OpenWith(Options{FS: fs, DiskLimit: 3e6 - diskMargin})
 		if err != nil {
@@ -644,11 +647,11 @@
 		body, n := message.Bytes(make([]byte, c.body)), 0
 		for {
 			s := &MessageState{ID: fmt.Sprintf("%016x", n), Class: "signature-handover", Body: body}
-			room, err := j.Reserve(s.Size())
+			reserved, err := j.Reserve(s.Size())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !room {
+			if !reserved {
 				break
 			}
 			if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
@@ -657,17 +660,17 @@
 			n++
 		}
 		t.Logf("%d messages of %d bytes", n, c.body)
-		if n < c.least {
-			t.Errorf("%d messages of %d bytes, %d before", n, c.body, c.least)
+		if n < c.minimum {
+			t.Errorf("%d messages of %d bytes, want at least %d", n, c.body, c.minimum)
 		}
-		// All of them go on to their ends, in the worst order for compaction.
+		// All of them proceed to their completion, in the worst order for compaction.
 		for round := range 6 {
 			for i := range n {
 				id := fmt.Sprintf("%016x", i)
 				j.RecordSending(id)
 				j.RecordOutcome(id, round == 5)
 				if err := j.Flush(); err != nil {
-					t.Fatalf("with %d held, attempt %d of %s: %v", n, round, id, err)
+					t.Fatalf("with %d messages queued, attempt %d of %s: %v", n, round, id, err)
 				}
 			}
 		}
@@ -679,21 +682,21 @@
 				t.Fatal(err)
 			}
 		}
-		if fs.most > 3e6-diskMargin {
-			t.Errorf("%d bytes in the folder", fs.most)
+		if fs.maxUsed > 3e6-diskMargin {
+			t.Errorf("%d bytes in the folder", fs.maxUsed)
 		}
-		if again, err := OpenWith(Options{FS: fs.after(), DiskLimit: 3e6 - diskMargin}); err != nil || len(again.live) > 0 || len(again.Damage()) > 0 {
-			t.Errorf("opened again: %v, %d held, damage %v", err, len(again.live), again.Damage())
+		if again, err := OpenWith(Options{FS: fs.afterKill(), DiskLimit: 3e6 - diskMargin}); err != nil || len(again.live) > 0 || len(again.Damage()) > 0 {
+			t.Errorf("opened again: %v, %d messages queued, damage %v", err, len(again.live), again.Damage())
 		}
 	}
 }
 
-// TestDamagedCopiesCount: what was kept aside for inspection counts towards what the folder may hold, also at the
-// next starts.
-func TestDamagedCopiesCount(t *testing.T) {
+// TestDamagedCopiesCountTowardsLimit: copies of damaged segments that are kept for inspection count towards the folder's
+// limit, also at later starts.
+func TestDamagedCopiesCountTowardsLimit(t *testing.T) {
 	fs, limit := newMemFS(), int64(3e6-diskMargin)
 	for i := range 5 {
-		fs.files[fmt.Sprintf("%016x-00000001.seg.damaged", i)] = &memFile{fs: fs, text: make([]byte, limit/minSegments/512*512)}
+		fs.files[fmt.Sprintf("%016x-00000001.seg.damaged", i)] = &memFile{fs: fs, data: make([]byte, limit/minSegments/512*512)}
 	}
 	j, err := OpenWith(Options{FS: fs, DiskLimit: limit})
 	if err != nil {
@@ -702,11 +705,11 @@
 	n := 0
 	for {
 		s := &MessageState{ID: fmt.Sprint("m", n), Class: "note", Body: message.Bytes(make([]byte, 5000))}
-		room, err := j.Reserve(s.Size())
+		reserved, err := j.Reserve(s.Size())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !room {
+		if !reserved {
 			break
 		}
 		if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
@@ -714,18 +717,19 @@
 		}
 		n++
 	}
-	if fs.most > limit || n < 100 {
-		t.Errorf("%d messages; %d bytes in the folder, %d allowed", n, fs.most, limit)
+	if fs.maxUsed > limit || n < 100 {
+		t.Errorf("%d messages; %d bytes in the folder, %d allowed", n, fs.maxUsed, limit)
 	}
 }
 
-// TestMarksOutlastTheNextStart: messages that damage in the part without an index has hit count as ones that may have
-// run at each start from then on, whatever is written behind the damage.
-func TestMarksOutlastTheNextStart(t *testing.T) {
+// TestMayHaveRunSurvivesRestarts guards against a message that is sent twice: if damage without an index after it hits
+// the record of an attempt, the message counts as one that may have run at each later start, whatever is written after
+// the damage.
+func TestMayHaveRunSurvivesRestarts(t *testing.T) {
 	fs := newMemFS()
 	open := func() *Journal {
 		t.Helper()
-		j, err := OpenWith(small(fs))
+		j, err := OpenWith(smallOptions(fs))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -734,9 +738,9 @@
 	accept := func(j *Journal, id string) {
 		t.Helper()
 		s := &MessageState{ID: id, Class: "note", Body: message.Bytes(make([]byte, 900))}
-		room, err := j.Reserve(s.Size())
-		if err != nil || !room {
-			t.Fatal(room, err)
+		reserved, err := j.Reserve(s.Size())
+		if err != nil || !reserved {
+			t.Fatal(reserved, err)
 		}
 		if err := errors.Join(j.RecordAccepted(s), j.Flush()); err != nil {
 			t.Fatal(err)
@@ -751,16 +755,16 @@
 	}
 	to := j.writeOffset
 	accept(j, "behind")
-	text := fs.files[j.activeSegment().name].text
+	data := fs.files[j.activeSegment().name].data
 	for i := from; i < to; i++ {
-		text[i] = 0x55
+		data[i] = 0x55
 	}
-	fs = fs.after()
+	fs = fs.afterKill()
 	j = open()
-	if !heldIn(j)["hit"].ran {
-		t.Fatal("the record of its send is gone, and it counts as never run")
+	if !queuedIn(j)["hit"].mayHaveRun {
+		t.Fatal("the record of its attempt is gone, and it counts as one that never ran")
 	}
-	for i := range 20 { // past the next index
+	for i := range 20 { // until after the next index
 		id := fmt.Sprint("later", i)
 		accept(j, id)
 		j.RecordClosed(id)
@@ -768,8 +772,8 @@
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	fs = fs.after()
-	if j = open(); !heldIn(j)["hit"].ran {
-		t.Error("at the next start it counts as never run")
+	fs = fs.afterKill()
+	if j = open(); !queuedIn(j)["hit"].mayHaveRun {
+		t.Error("at the next start it counts as one that never ran")
 	}
 }
--- a/internal/journal/tool.go
+++ b/internal/journal/offline.go
@@ -7,27 +7,27 @@
 	"math"
 )
 
-// Read replays the journal in a folder and changes nothing there; the folder may be in use.
+// Read replays the journal in a folder without changing anything there; the folder may be in use.
 func Read(dir string) (*Journal, error) {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		j, err := OpenWith(Options{FS: osFS{dir: dir, readOnly: true}, ReadOnly: true, MemoryLimit: readMemory})
-		if !errors.Is(err, fs.ErrNotExist) || try == readAttempts {
+		if !errors.Is(err, fs.ErrNotExist) || attempt == readAttempts {
 			return j, err
 		}
-		// A segment was recycled after the listing.
+		// A segment was recycled after the folder was listed.
 	}
 }
 
 const (
 	readAttempts = 10
-	readMemory   = 3 * maxBodyMemory // for bodies; a reader accepts nothing, so the rest does not apply
+	readMemory   = 3 * maxBodyMemory // for bodies; a journal that is only read accepts no messages, so that the rest does not apply
 )
 
-// Copy writes the open messages of a journal into an empty folder, and returns how many there are.
+// Copy writes the open messages of a journal into an empty folder, and returns how many it has written.
 func Copy(from *Journal, dir string) (n int, err error) {
-	held := from.Queued()
+	queued := from.Queued()
 	o := Options{}
-	for _, s := range held {
+	for _, s := range queued {
 		o.DiskLimit += 4 * cost(s.Size())
 		o.AllowExtras = o.AllowExtras || s.Extras != nil
 	}
@@ -38,11 +38,11 @@
 	}
 	defer j.Close()
 	if len(j.live) > 0 {
-		return 0, fmt.Errorf("journal: %s holds messages", dir)
+		return 0, fmt.Errorf("journal: %s already contains messages", dir)
 	}
-	for _, s := range held {
-		if room, err := j.Reserve(s.Size()); err != nil || !room {
-			return n, fmt.Errorf("journal: no room for %s (%w)", s.ID, err)
+	for _, s := range queued {
+		if reserved, err := j.Reserve(s.Size()); err != nil || !reserved {
+			return n, fmt.Errorf("journal: no space for message %s (%w)", s.ID, err)
 		}
 		copied := *s
 		copied.segment, copied.previous, copied.next, copied.position, copied.residentBytes = nil, nil, nil, position{}, 0
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -9,48 +9,48 @@
 	"strings"
 )
 
-// Damage is a place in the journal that could not be read as it was written.
+// Damage is a part of the journal that could not be read as it was written.
 type Damage struct {
 	File        string   `json:"file"`
 	Offset      int64    `json:"offset"`
 	Bytes       int64    `json:"bytes"`
 	Description string   `json:"what"`
-	IDs         []string `json:"ids,omitempty"` // open messages that it hit: they may have run
+	IDs         []string `json:"ids,omitempty"` // open messages that it affects: they may have run
 }
 
-// Damage lists what replay found.
+// Damage returns the damage that replay found.
 func (j *Journal) Damage() []Damage { return j.damage }
 
-// replayer reads segments in their order.
+// replayer reads the segments in order.
 type replayer struct {
-	journal    *Journal
-	byNumber   map[uint64]*MessageState
-	seen       map[recordID]bool // records since the last index, if something was passed over there
-	openDamage int               // the damage that the next index will tell of, as an index into the list plus one
-	nextIndex  uint64            // number of the next index
-	text       []byte            // of the segment
-	// endsUnsealed tells that the segment was left after a failure: it ends at its first unreadable record.
+	journal       *Journal
+	byNumber      map[uint64]*MessageState
+	seen          map[recordID]bool // records read since the last index
+	pendingDamage int               // index in the list of damage, plus one, of the damage whose messages the next index identifies; 0 for none
+	nextIndex     uint64            // number that the next index must have
+	data          []byte            // buffer for the content of a segment
+	// endsUnsealed says that the segment was abandoned after a failure: it ends at its first unreadable record.
 	endsUnsealed bool
 }
 
-// followsFailure reports whether a segment says that the one before it was left after a failure.
+// followsFailure reports whether the header of a segment says that the previous one was abandoned after a failure.
 func (r *replayer) followsFailure(s *segment) bool {
 	f, err := r.journal.fs.Open(s.name, false)
 	if err != nil {
 		return false
 	}
 	defer f.Close()
-	text := make([]byte, segmentHeaderBytes)
-	if n, _ := f.ReadAt(text, 0); n < len(text) {
+	data := make([]byte, segmentHeaderBytes)
+	if n, _ := f.ReadAt(data, 0); n < len(data) {
 		return false
 	}
 	next := segment{name: s.name, seq: s.seq, nonce: s.nonce}
-	damaged, err := next.readHeader(text)
-	return err == nil && !damaged && next.flags&afterFailure != 0
+	damaged, err := next.readHeader(data)
+	return err == nil && !damaged && next.flags&flagAfterFailure != 0
 }
 
-// replay reads all segments. What a kill cut off at the end of the last one is ignored; damage anywhere else
-// costs what it hit.
+// replay reads all segments. An incomplete record that a kill has left at the end of the last one is ignored; damage
+// anywhere else costs only the records that it hit.
 func (j *Journal) replay(readOnly bool) error {
 	if err := j.findFiles(readOnly); err != nil {
 		return err
@@ -59,7 +59,7 @@
 		if err := j.fitSegmentSize(); err != nil {
 			return err
 		}
-		if err := j.removeWrongSpares(); err != nil {
+		if err := j.removeInvalidSpares(); err != nil {
 			return err
 		}
 	}
@@ -67,9 +67,9 @@
 	for i, s := range j.segments {
 		if i > 0 && s.seq != j.segments[i-1].seq+1 {
 			missing := s.seq - j.segments[i-1].seq - 1
-			j.addDamage(Damage{File: j.segments[i-1].name, Description: fmt.Sprintf("%d segments behind it are missing", missing)})
-			r.openDamage = len(j.damage)
-			r.markAllHit()
+			j.addDamage(Damage{File: j.segments[i-1].name, Description: fmt.Sprintf("%d segments after this one are missing", missing)})
+			r.pendingDamage = len(j.damage)
+			r.markAllAffected()
 		}
 		r.endsUnsealed = i+1 < len(j.segments) && r.followsFailure(j.segments[i+1])
 		if err := r.replaySegment(s, i == len(j.segments)-1); err != nil {
@@ -79,7 +79,7 @@
 	for _, s := range j.live {
 		s.journal = j
 		j.reservedBytes += cost(s.Size())
-		j.largestState = max(j.largestState, stateBytes(s.Size()))
+		j.largestStateBytes = max(j.largestStateBytes, stateBytes(s.Size()))
 	}
 	for _, d := range j.damage {
 		slog.Error("the journal is damaged", "file", d.File, "offset", d.Offset, "bytes", d.Bytes, "what", d.Description, "hit", d.IDs)
@@ -87,18 +87,18 @@
 	return nil
 }
 
-// findFiles lists the segments in their order, the spares and the copies of damaged segments.
+// findFiles lists the segments in order, the spare files, and the copies of damaged segments.
 func (j *Journal) findFiles(readOnly bool) error {
 	names, err := j.fs.List()
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
 	for _, name := range names {
-		if seq, nonce, ok := parseName(name); ok {
+		if seq, nonce, ok := parseSegmentName(name); ok {
 			j.segments = append(j.segments, &segment{name: name, seq: seq, nonce: nonce})
-		} else if strings.HasSuffix(name, spareEnd) {
+		} else if strings.HasSuffix(name, spareSuffix) {
 			j.spares = append(j.spares, name)
-		} else if strings.HasSuffix(name, damagedEnd) {
+		} else if strings.HasSuffix(name, damagedSuffix) {
 			size, err := j.fileSize(name)
 			if err != nil {
 				return err
@@ -107,7 +107,7 @@
 		}
 	}
 	if j.damagedBytes > j.limit/2 && !readOnly {
-		slog.Warn("copies of damaged segments take more than half of what the folder may hold: remove them", "bytes", j.damagedBytes)
+		slog.Warn("copies of damaged segments take more than half of the folder's limit: remove them", "bytes", j.damagedBytes)
 		j.damagedBytes = j.limit / 2
 	}
 	slices.SortFunc(j.segments, func(a, b *segment) int {
@@ -117,16 +117,16 @@
 		return 1
 	})
 	if slices.Contains(names, legacyName) {
-		if err := j.abandonUpgrade(readOnly); err != nil {
+		if err := j.discardPartialUpgrade(readOnly); err != nil {
 			return err
 		}
-		j.flags = upgrading
+		j.flags = flagUpgrading
 	}
 	return nil
 }
 
-// removeWrongSpares removes spare files of a wrong size: their allocation was cut off.
-func (j *Journal) removeWrongSpares() error {
+// removeInvalidSpares removes spare files of a wrong size, whose allocation was interrupted, and those beyond the limit.
+func (j *Journal) removeInvalidSpares() error {
 	kept := j.spares[:0]
 	for _, name := range j.spares {
 		f, err := j.fs.Open(name, false)
@@ -147,42 +147,42 @@
 	return nil
 }
 
-// addDamage adds to the damage found.
+// addDamage adds an entry to the list of damage.
 func (j *Journal) addDamage(d Damage) { j.damage = append(j.damage, d) }
 
 // replaySegment replays one segment.
 func (r *replayer) replaySegment(s *segment, last bool) error {
 	j := r.journal
-	text, err := r.loadSegment(s)
+	data, err := r.loadSegment(s)
 	if err != nil {
 		return err
 	}
-	damaged, err := s.readHeader(text)
+	damaged, err := s.readHeader(data)
 	if err != nil {
 		return err
 	}
 	if damaged {
-		j.addDamage(Damage{File: s.name, Bytes: segmentHeaderBytes, Description: "the header does not check; nothing is lost by that"})
+		j.addDamage(Damage{File: s.name, Bytes: segmentHeaderBytes, Description: "the header is damaged; nothing is lost by that"})
 	}
 	j.nextNumber = max(j.nextNumber, s.firstNumber)
 	clear(r.seen)
 	r.nextIndex = 0
 	before := len(j.damage)
-	end, sealed := r.applyRecords(s, text, last)
-	if r.openDamage > 0 { // no index tells what it hit
-		r.markAllHit()
+	end, sealed := r.applyRecords(s, data, last)
+	if r.pendingDamage > 0 { // no index identifies the messages that it affects
+		r.markAllAffected()
 	}
 	if last {
 		r.resumeAt(end, sealed)
 	}
 	if len(j.damage) > before {
-		j.copyDamagedSegment(s, text)
+		j.copyDamagedSegment(s, data)
 	}
 	return nil
 }
 
-// loadSegment opens a segment and reads all of it. The text is valid until the next call.
-func (r *replayer) loadSegment(s *segment) (text []byte, err error) {
+// loadSegment opens a segment and reads all of it. The result is valid until the next call.
+func (r *replayer) loadSegment(s *segment) (data []byte, err error) {
 	f, err := r.journal.fs.Open(s.name, false)
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
@@ -191,25 +191,26 @@
 	if s.size, err = f.Size(); err != nil {
 		return nil, fmt.Errorf("journal: %s: %w", s.name, err)
 	}
-	if int64(cap(r.text)) < s.size {
-		r.text = make([]byte, s.size)
+	if int64(cap(r.data)) < s.size {
+		r.data = make([]byte, s.size)
 	}
-	text = r.text[:s.size]
-	if n, err := f.ReadAt(text, 0); err != nil && n < len(text) {
+	data = r.data[:s.size]
+	if n, err := f.ReadAt(data, 0); err != nil && n < len(data) {
 		return nil, fmt.Errorf("journal: reading %s: %w", s.name, err)
 	}
-	return text, nil
+	return data, nil
 }
 
-// applyRecords applies the records of a segment, and returns where they end and whether the segment is sealed.
-func (r *replayer) applyRecords(s *segment, text []byte, last bool) (offset int64, sealed bool) {
+// applyRecords applies the records of a segment. It returns the offset at which they end, and whether the segment is
+// sealed.
+func (r *replayer) applyRecords(s *segment, data []byte, last bool) (offset int64, sealed bool) {
 	offset = segmentHeaderBytes
-	for offset < int64(len(text)) {
-		k, payload, _, ok := readRecord(text[offset:], s.nonce, offset, false)
+	for offset < int64(len(data)) {
+		k, payload, _, ok := readRecord(data[offset:], s.nonce, offset, false)
 		if !ok {
-			next := findRecord(text, s.nonce, offset+1)
-			k, payload, ok = r.repairRecord(s, text, offset, next < 0 && (last || r.endsUnsealed))
-			if !ok && (r.endsUnsealed || last && r.isEnd(s, text, offset, next)) {
+			next := findRecord(data, s.nonce, offset+1)
+			k, payload, ok = r.repairRecord(s, data, offset, next < 0 && (last || r.endsUnsealed))
+			if !ok && (r.endsUnsealed || last && r.isLogEnd(s, data, offset, next)) {
 				return offset, false
 			}
 			if !ok {
@@ -224,51 +225,52 @@
 		}
 		if err := r.applyRecord(at, k, payload); err != nil {
 			r.journal.addDamage(Damage{File: s.name, Offset: offset, Description: err.Error()})
-			r.openDamage = len(r.journal.damage)
+			r.pendingDamage = len(r.journal.damage)
 		}
 	}
 	return offset, false
 }
 
-// repairRecord reads a damaged record by repairing one flipped bit, if that is its damage. At the end of the
-// log only a small record is repaired.
-func (r *replayer) repairRecord(s *segment, text []byte, offset int64, atEnd bool) (k kind, payload []byte, ok bool) {
-	if atEnd && !isSmallRecord(text[offset:]) {
+// repairRecord reads a damaged record by correcting one flipped bit, if that is the damage. At the end of the log only
+// small records are corrected.
+func (r *replayer) repairRecord(s *segment, data []byte, offset int64, atEnd bool) (k kind, payload []byte, ok bool) {
+	if atEnd && !isSmallRecord(data[offset:]) {
 		return 0, nil, false
 	}
-	k, payload, repaired, ok := readRecord(text[offset:], s.nonce, offset, true)
+	k, payload, repaired, ok := readRecord(data[offset:], s.nonce, offset, true)
 	if ok && repaired {
 		bytes := int64(recordHeaderBytes + len(payload))
-		r.journal.addDamage(Damage{File: s.name, Offset: offset, Bytes: bytes, Description: "one bit was flipped, and is put right"})
+		r.journal.addDamage(Damage{File: s.name, Offset: offset, Bytes: bytes, Description: "one bit was flipped; the record is read with the bit put right"})
 	}
 	return k, payload, ok
 }
 
-// isEnd reports whether the log ends at an unreadable record of the last segment: no record follows, or
-// none that was synced. The latter is what a failing machine kept of unsynced writes, which nobody relies on.
-func (r *replayer) isEnd(s *segment, text []byte, offset, next int64) bool {
+// isLogEnd reports whether the log ends at an unreadable record of the last segment: either no valid record follows, or
+// none that was synced. In the second case the records that follow are unsynced writes that survived a failure of the
+// machine, and nothing relies on them.
+func (r *replayer) isLogEnd(s *segment, data []byte, offset, next int64) bool {
 	if next < 0 {
 		return true
 	}
-	if s.flags&grouped != 0 && syncedBefore(text, s.nonce, next) <= offset {
+	if s.flags&flagSyncedOffsets != 0 && syncedBefore(data, s.nonce, next) <= offset {
 		r.journal.tornTail = true
 		return true
 	}
 	return false
 }
 
-// skipDamage notes what can't be read up to the next record, or to the end of the segment if there is none.
+// skipDamage adds damage for the bytes up to the next valid record, or up to the end of the segment if there is none.
 func (r *replayer) skipDamage(s *segment, offset, next int64) int64 {
 	if next < 0 {
 		next = s.size
 	}
-	r.journal.addDamage(Damage{File: s.name, Offset: offset, Bytes: next - offset, Description: "what stood here can't be read"})
-	r.openDamage = len(r.journal.damage)
+	r.journal.addDamage(Damage{File: s.name, Offset: offset, Bytes: next - offset, Description: "the records here can't be read"})
+	r.pendingDamage = len(r.journal.damage)
 	return next
 }
 
-// resumeAt prepares the last segment for new records. It is sealed if a kill came between its end and the
-// beginning of the next one.
+// resumeAt prepares the last segment for new records. The segment is sealed if the process was killed after that and
+// before the next segment was begun.
 func (r *replayer) resumeAt(offset int64, sealed bool) {
 	j := r.journal
 	j.writeOffset, j.syncedOffset, j.sealed = offset, offset, sealed
@@ -284,25 +286,25 @@
 	})
 }
 
-// isSmallRecord reports whether text begins with the header of a small record: only such a one is repaired at
-// the end of the log, where half a record is nothing unusual.
-func isSmallRecord(text []byte) bool {
-	if len(text) < recordHeaderBytes {
+// isSmallRecord reports whether data begins with the header of a small record. Only small records are repaired at the
+// end of the log, where an incomplete record is normal.
+func isSmallRecord(data []byte) bool {
+	if len(data) < recordHeaderBytes {
 		return false
 	}
-	n, plausible := payloadLength(text)
+	n, plausible := payloadLength(data)
 	return plausible && n <= 1024
 }
 
-// findRecord finds the next record with a valid check.
-func findRecord(text []byte, nonce uint32, from int64) int64 {
-	for from < int64(len(text)) {
-		i := bytes.IndexByte(text[from:], recordMark)
+// findRecord returns the offset of the next record with a valid checksum, or -1.
+func findRecord(data []byte, nonce uint32, from int64) int64 {
+	for from < int64(len(data)) {
+		i := bytes.IndexByte(data[from:], recordMark)
 		if i < 0 {
 			return -1
 		}
 		from += int64(i)
-		if _, _, ok := checkRecord(text[from:], nonce, from); ok {
+		if _, _, ok := verifyRecord(data[from:], nonce, from); ok {
 			return from
 		}
 		from++
@@ -321,7 +323,7 @@
 	}
 	n, count, rest, ok := splitNumber(p)
 	if !ok {
-		return errShort
+		return errTruncated
 	}
 	r.seen[recordID{n, count}] = true
 	j.nextNumber = max(j.nextNumber, n+1)
@@ -330,7 +332,7 @@
 		return r.applyState(at, recordID{n, count}, rest)
 	}
 	if s == nil {
-		return nil // its state can't be read, or it is closed
+		return nil // its state could not be read, or it is closed
 	}
 	s.recordCount = count + 1
 	return r.applyChange(s, k, rest)
@@ -348,7 +350,7 @@
 	if s := r.byNumber[id.number]; s != nil {
 		r.remove(s)
 	}
-	if old := j.live[m.ID]; old != nil { // the record of its end was lost
+	if old := j.live[m.ID]; old != nil { // the record that closed it was lost
 		r.remove(old)
 	}
 	j.live[m.ID], r.byNumber[id.number] = m, m
@@ -356,7 +358,7 @@
 	return nil
 }
 
-// applyChange applies a record of a change of a message.
+// applyChange applies a record that changes an open message.
 func (r *replayer) applyChange(s *MessageState, k kind, rest []byte) error {
 	switch k {
 	case kindSending:
@@ -364,13 +366,13 @@
 		s.Attempts, s.InFlight = s.Attempts+1, true
 	case kindOutcome:
 		if len(rest) != 1 {
-			return errShort
+			return errTruncated
 		}
 		s.InFlight, s.MayHaveRun = false, s.MayHaveRun || rest[0] == 1
-	case kindEnd:
+	case kindCompletion:
 		ms, w := binary.Uvarint(rest[min(1, len(rest)):])
 		if w <= 0 {
-			return errShort
+			return errTruncated
 		}
 		s.Completion, s.RetryAfter = rest[0], millis(ms)
 	case kindClosed:
@@ -389,7 +391,7 @@
 	return n, p[w], p[w+1:], true
 }
 
-// remove removes a message.
+// remove removes a message from memory.
 func (r *replayer) remove(s *MessageState) {
 	s.unlink()
 	r.journal.memory.release(s)
@@ -399,60 +401,60 @@
 	}
 }
 
-// applyIndex compares what was read with what was written, where something could not be read.
+// applyIndex compares the records that were read with those that an index lists, if something could not be read.
 func (r *replayer) applyIndex(p []byte) error {
 	defer clear(r.seen)
 	number, w := binary.Uvarint(p)
 	if w <= 0 {
-		return errShort
+		return errTruncated
 	}
 	p = p[w:]
-	missed := number != r.nextIndex // one before it was lost with all that it named
+	indexLost := number != r.nextIndex // the index before it was lost with all that it lists
 	r.nextIndex = number + 1
-	if r.openDamage == 0 {
+	if r.pendingDamage == 0 {
 		return nil
 	}
-	if missed {
-		r.markAllHit()
+	if indexLost {
+		r.markAllAffected()
 		return nil
 	}
 	return r.compareIndex(p)
 }
 
-// compareIndex marks the messages of which an index names a record that was not read.
+// compareIndex marks the messages of which an index lists a record that was not read.
 func (r *replayer) compareIndex(p []byte) error {
-	d := &r.journal.damage[r.openDamage-1]
-	r.openDamage = 0
+	d := &r.journal.damage[r.pendingDamage-1]
+	r.pendingDamage = 0
 	count, w := binary.Uvarint(p)
 	if w <= 0 || count > uint64(len(p)) {
-		return errShort
+		return errTruncated
 	}
 	p = p[w:]
 	lost := 0
 	for range count {
 		n, w := binary.Uvarint(p)
 		if w <= 0 || len(p) < w+1 {
-			return errShort
+			return errTruncated
 		}
-		t := recordID{n, p[w]}
+		id := recordID{n, p[w]}
 		p = p[w+1:]
-		if r.seen[t] {
+		if r.seen[id] {
 			continue
 		}
 		if s := r.byNumber[n]; s != nil {
-			r.markHit(s, d)
+			r.markAffected(s, d)
 		} else {
 			lost++
 		}
 	}
 	if lost > 0 {
-		d.Description += fmt.Sprintf("; %d records of messages that are not held, or whose state stood here", lost)
+		d.Description += fmt.Sprintf("; %d records of messages that are closed, or whose state was here", lost)
 	}
 	return nil
 }
 
-// markHit counts a message as one that may have run: the lost record may have said that it was sent.
-func (r *replayer) markHit(s *MessageState, d *Damage) {
+// markAffected marks a message as one that may have run: the lost record may have announced an attempt.
+func (r *replayer) markAffected(s *MessageState, d *Damage) {
 	if !slices.Contains(d.IDs, s.ID) {
 		d.IDs = append(d.IDs, s.ID)
 		s.MayHaveRun = true
@@ -460,41 +462,41 @@
 	}
 }
 
-// markAllHit does so for all open messages, where no index tells which were hit.
-func (r *replayer) markAllHit() {
-	d := &r.journal.damage[r.openDamage-1]
-	r.openDamage = 0
+// markAllAffected marks all open messages, where no index identifies those that are affected.
+func (r *replayer) markAllAffected() {
+	d := &r.journal.damage[r.pendingDamage-1]
+	r.pendingDamage = 0
 	for _, s := range r.journal.Queued() {
-		r.markHit(s, d)
+		r.markAffected(s, d)
 	}
 }
 
-const damagedEnd = ".damaged"
+const damagedSuffix = ".damaged"
 
-// copyDamagedSegment copies a damaged segment, if there is room, before its file is used again.
-func (j *Journal) copyDamagedSegment(s *segment, text []byte) {
+// copyDamagedSegment copies a damaged segment for inspection, if there is space, before its file is reused.
+func (j *Journal) copyDamagedSegment(s *segment, data []byte) {
 	if j.allocatedBytes()+s.size+reservedSegments*j.segmentSize > j.limit {
 		return
 	}
-	f, err := j.fs.Open(s.name+damagedEnd, true)
+	f, err := j.fs.Open(s.name+damagedSuffix, true)
 	if err != nil {
 		return
 	}
 	defer f.Close()
-	if _, err := f.WriteAt(text, 0); err == nil {
+	if _, err := f.WriteAt(data, 0); err == nil {
 		j.damagedBytes += s.size
 	}
 }
 
-// fitSegmentSize halves the segment size until the segments fit the free disk space, so that the same disk gives
-// the same size at the next start.
+// fitSegmentSize halves the segment size until the segments fit into the disk space that is free or taken by the
+// journal's own files, so that the same disk gives the same size at the next start.
 func (j *Journal) fitSegmentSize() error {
 	if j.limit == 0 {
 		return nil
 	}
-	left, err := j.fs.Free()
-	if err != nil { // a file system that doesn't say: the limit has to do
-		slog.Warn("the size of segments follows the limit alone", "err", err)
+	available, err := j.fs.Free()
+	if err != nil { // the file system does not report its free space: only the limit applies
+		slog.Warn("the free disk space is unknown: the segment size depends on the limit alone", "err", err)
 		return nil
 	}
 	for _, s := range j.segments {
@@ -503,22 +505,22 @@
 			return err
 		}
 		s.size = size
-		left += size
+		available += size
 	}
 	for _, name := range j.spares {
 		size, err := j.fileSize(name)
 		if err != nil {
 			return err
 		}
-		left += size
+		available += size
 	}
-	for j.segmentSize > minSegmentSize && j.segmentSize*minSegments > left {
+	for j.segmentSize > minSegmentSize && j.segmentSize*minSegments > available {
 		j.segmentSize = max(j.segmentSize/2/512*512, minSegmentSize)
 	}
 	return nil
 }
 
-// fileSize is the size of a file.
+// fileSize returns the size of a file.
 func (j *Journal) fileSize(name string) (int64, error) {
 	f, err := j.fs.Open(name, false)
 	if err != nil {
@@ -532,9 +534,9 @@
 	return size, nil
 }
 
-// rewriteDamaged appends the messages that damage has hit again, as they count now: records behind the damage
-// must not hide at the next start that something is missing there.
-func (j *Journal) rewriteDamaged() error {
+// rewriteAffected appends the current state of the messages that damage has affected. Otherwise valid records after the
+// damage would hide at the next start that something is missing.
+func (j *Journal) rewriteAffected() error {
 	for _, d := range j.damage {
 		for _, id := range d.IDs {
 			if s := j.live[id]; s != nil && s.MayHaveRun {
--- a/internal/journal/segment.go
+++ b/internal/journal/segment.go
@@ -8,33 +8,33 @@
 	"strings"
 )
 
-// A segment is a file of records. Its name, and its header again, tell its place and its nonce:
+// A segment is a file of records. Its sequence number and its nonce are in its name and again in its header:
 //
 //	0   "SRJL"
-//	4   version (2 bytes, little-endian), now 5; 4 has no routes, 3 has no extras, 2 had no synced offsets, the legacy file was 1
+//	4   version (2 bytes, little-endian), now 5; 4 has no routes, 3 has no extras, 2 has no synced offsets, the legacy file was 1
 //	6   flags (2): 1 during the upgrade of a legacy journal; 2 if synced offsets are recorded (sync.go);
-//	    4 if the segment before it was left after a failure (failure.go)
+//	    4 if the segment before it was abandoned after a failure (failure.go)
 //	8   sequence number (8)
 //	16  nonce (4)
-//	20  the first message number that was not given yet (8)
+//	20  the lowest message number that was not assigned yet (8)
 //	28  CRC-32C of all that
 const (
-	segmentHeaderBytes = 32
-	version            = 5
-	plainVersion       = 3 // where no message has extras
-	upgrading          = 1
-	grouped            = 2
-	afterFailure       = 4 // the segment before it ends at its first unreadable record, without a seal
+	segmentHeaderBytes  = 32
+	formatVersion       = 5
+	formatWithoutExtras = 3 // used where no message has extras
+	flagUpgrading       = 1
+	flagSyncedOffsets   = 2
+	flagAfterFailure    = 4 // the segment before it ends at its first unreadable record, without a seal
 
-	segmentEnd = ".seg"
-	spareEnd   = ".spare"
+	segmentSuffix = ".seg"
+	spareSuffix   = ".spare"
 )
 
 type segment struct {
 	name        string
 	seq         uint64
 	nonce       uint32
-	firstNumber uint64 // message number not given when it was begun
+	firstNumber uint64 // lowest message number that was not assigned when it was begun
 	flags       uint16
 	version     uint16
 	file        File
@@ -43,21 +43,21 @@
 
 	liveCount int // messages whose state is here
 	liveBytes int64
-	head      *MessageState // those, in the order written
+	head      *MessageState // list of those messages, in the order written
 	tail      *MessageState
 }
 
 func segmentName(seq uint64, nonce uint32) string {
-	return fmt.Sprintf("%016x-%08x%s", seq, nonce, segmentEnd)
+	return fmt.Sprintf("%016x-%08x%s", seq, nonce, segmentSuffix)
 }
 
-func parseName(name string) (seq uint64, nonce uint32, ok bool) {
-	text, isSegment := strings.CutSuffix(name, segmentEnd)
-	if !isSegment || len(text) != 25 || text[16] != '-' {
+func parseSegmentName(name string) (seq uint64, nonce uint32, ok bool) {
+	data, isSegment := strings.CutSuffix(name, segmentSuffix)
+	if !isSegment || len(data) != 25 || data[16] != '-' {
 		return 0, 0, false
 	}
-	seq, err := strconv.ParseUint(text[:16], 16, 64)
-	n, err2 := strconv.ParseUint(text[17:], 16, 32)
+	seq, err := strconv.ParseUint(data[:16], 16, 64)
+	n, err2 := strconv.ParseUint(data[17:], 16, 32)
 	return seq, uint32(n), err == nil && err2 == nil
 }
 
@@ -72,25 +72,25 @@
 	return binary.LittleEndian.AppendUint32(h, crc32.Checksum(h, castagnoli))
 }
 
-// readHeader parses the header of a segment. One with an invalid check loses no more than its flags and first
-// number: the name has the rest. A newer version is an error.
-func (s *segment) readHeader(text []byte) (damaged bool, err error) {
-	if len(text) < segmentHeaderBytes {
+// readHeader parses the header of a segment. If its checksum does not match, only the flags and the first number are
+// lost, since the file's name has the rest. A newer version is an error.
+func (s *segment) readHeader(data []byte) (damaged bool, err error) {
+	if len(data) < segmentHeaderBytes {
 		return true, nil
 	}
-	if crc32.Checksum(text[:28], castagnoli) != binary.LittleEndian.Uint32(text[28:]) {
+	if crc32.Checksum(data[:28], castagnoli) != binary.LittleEndian.Uint32(data[28:]) {
 		return true, nil
 	}
-	if v := binary.LittleEndian.Uint16(text[4:]); v > version {
-		return false, fmt.Errorf("journal: %s has format %d, and this program knows %d at most: use a newer program, or keep the folder and start with an empty one", s.name, v, version)
+	if v := binary.LittleEndian.Uint16(data[4:]); v > formatVersion {
+		return false, fmt.Errorf("journal: %s has format %d, and this program reads formats up to %d: use a newer program, or keep the folder and start with an empty one", s.name, v, formatVersion)
 	}
-	s.version = binary.LittleEndian.Uint16(text[4:])
-	s.flags = binary.LittleEndian.Uint16(text[6:])
-	s.firstNumber = binary.LittleEndian.Uint64(text[20:])
-	return binary.LittleEndian.Uint64(text[8:]) != s.seq || binary.LittleEndian.Uint32(text[16:]) != s.nonce, nil
+	s.version = binary.LittleEndian.Uint16(data[4:])
+	s.flags = binary.LittleEndian.Uint16(data[6:])
+	s.firstNumber = binary.LittleEndian.Uint64(data[20:])
+	return binary.LittleEndian.Uint64(data[8:]) != s.seq || binary.LittleEndian.Uint32(data[16:]) != s.nonce, nil
 }
 
-// link appends a message to those whose state is in this segment.
+// link appends a message to the list of those whose state is in this segment.
 func (s *segment) link(m *MessageState, size int64) {
 	m.segment, m.stateSize = s, size
 	m.previous, m.next = s.tail, nil
@@ -104,7 +104,7 @@
 	s.liveBytes += size
 }
 
-// unlink removes a message from those of its segment.
+// unlink removes a message from the list of its segment.
 func (m *MessageState) unlink() {
 	s := m.segment
 	if s == nil {
--- a/internal/journal/space.go
+++ b/internal/journal/space.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// allocatedSegments is how many segments have room on the disk, spares included.
+// allocatedSegments returns how many segments have disk space allocated, spares included.
 func (j *Journal) allocatedSegments() int {
 	n := len(j.spares)
 	for _, s := range j.segments {
@@ -20,7 +20,7 @@
 	return n
 }
 
-// allocatedBytes is the size of all files.
+// allocatedBytes returns the size of all files.
 func (j *Journal) allocatedBytes() (n int64) {
 	for _, s := range j.segments {
 		if !s.detached {
@@ -30,29 +30,29 @@
 	return n + int64(len(j.spares))*j.segmentSize + j.damagedBytes
 }
 
-// availableBytes is how many bytes of states and the records that follow them fit into the allocated segments,
-// without the reserved ones. With more segments than the limit allows it counts what the limit allows.
+// availableBytes returns how many bytes of states, and of the records that follow them, fit into the allocated segments
+// without the reserved ones. If more segments are allocated than the limit allows, only the limit counts.
 func (j *Journal) availableBytes(largest int64) int64 {
-	lost := segmentHeaderBytes + sealBytes + largest // of each segment, at most
-	return min(j.allocatedBytes(), j.limit) - j.damagedBytes - int64(j.allocatedSegments())*lost - reservedSegments*(j.segmentSize-lost)
+	overhead := segmentHeaderBytes + sealBytes + largest // the unusable part of each segment, at most
+	return min(j.allocatedBytes(), j.limit) - j.damagedBytes - int64(j.allocatedSegments())*overhead - reservedSegments*(j.segmentSize-overhead)
 }
 
-// allocateSpare allocates one more segment, if the limit and the disk have room.
+// allocateSpare allocates one more segment, if the limit and the disk have space for it.
 func (j *Journal) allocateSpare() bool {
 	return j.allocatedBytes()+j.segmentSize <= j.limit && time.Now().After(j.allocationFailedUntil) && j.createSpare()
 }
 
-// createSpare does so whatever the limit is.
+// createSpare allocates one more segment, whatever the limit is.
 func (j *Journal) createSpare() bool {
-	name := fmt.Sprintf("%016x%s", rand.Uint64(), spareEnd)
+	name := fmt.Sprintf("%016x%s", rand.Uint64(), spareSuffix)
 	f, err := j.fs.Open(name, true)
 	if err == nil {
-		if j.flags&upgrading == 0 { // the legacy file takes the room while it is there
+		if j.flags&flagUpgrading == 0 { // as long as the legacy file exists it takes the space
 			err = f.Allocate(j.segmentSize)
 		}
 		err = errors.Join(err, f.Close())
 	}
-	if errors.Is(err, fs.ErrNotExist) && len(j.segments) > 0 { // the folder was removed: no start would find what is written from now on
+	if errors.Is(err, fs.ErrNotExist) && len(j.segments) > 0 { // the folder was removed: the next start would not find what is written from now on
 		j.err = fmt.Errorf("%w: %w", errFolderReplaced, err)
 		return false
 	}
@@ -61,22 +61,22 @@
 		if j.fs.Remove(name) != nil {
 			j.orphans = append(j.orphans, name)
 		}
-		slog.Warn("the journal gets no more room: new messages are turned away", "held", len(j.live), "err", err)
+		slog.Warn("the journal can't allocate more disk space: new messages are refused", "held", len(j.live), "err", err)
 		return false
 	}
 	j.spares = append(j.spares, name)
 	return true
 }
 
-var errNoRoom = errors.New("journal: no room for a segment: free some space on its disk")
+var errNoRoom = errors.New("journal: no disk space for a segment: free some space on the disk")
 
-// beginSegment makes a spare file the active segment.
+// beginSegment turns a spare file into the active segment.
 func (j *Journal) beginSegment() error {
 	if len(j.spares) == 0 && !j.allocateSpare() {
 		return errNoRoom
 	}
-	s := &segment{seq: 1, nonce: rand.Uint32(), firstNumber: j.nextNumber, version: j.version, flags: j.flags | j.groupFlag(), size: j.segmentSize}
-	if j.flags&upgrading != 0 {
+	s := &segment{seq: 1, nonce: rand.Uint32(), firstNumber: j.nextNumber, version: j.version, flags: j.flags | j.syncedOffsetsFlag(), size: j.segmentSize}
+	if j.flags&flagUpgrading != 0 {
 		s.size = 0
 	}
 	if n := len(j.segments); n > 0 {
@@ -90,8 +90,8 @@
 	}
 	s.file = f
 	renamed := false
-	if _, err = f.WriteAt(s.header(), 0); err == nil { // before its name says what it is
-		if j.durability != Process { // no record may be where a lost rename would hide it
+	if _, err = f.WriteAt(s.header(), 0); err == nil { // the header must be there before the name says that the file is a segment
+		if j.durability != Process { // otherwise a rename that is lost would hide records
 			err = f.Sync()
 		}
 		if err == nil {
@@ -104,7 +104,7 @@
 	}
 	if err != nil {
 		f.Close()
-		if renamed { // a segment that is begun later has its sequence number
+		if renamed { // the next segment to be begun takes the same sequence number
 			j.spares, j.orphans = j.spares[:len(j.spares)-1], append(j.orphans, s.name)
 		}
 		return fmt.Errorf("journal: beginning a segment: %w", err)
@@ -115,11 +115,11 @@
 	return nil
 }
 
-// ensureSpare provides a spare segment for the next roll, by compaction if need be.
+// ensureSpare provides a spare file for the next segment, by compaction if necessary.
 func (j *Journal) ensureSpare() error {
 	for len(j.spares) == 0 && !j.allocateSpare() {
 		if (j.allocatedBytes() > j.limit || j.segments[0].size > j.segmentSize) && j.createSpare() {
-			break // the limit was lowered: larger segments must be compacted before it is met
+			break // the limit was lowered: the larger segments must be compacted before it can be met
 		}
 		if done, err := j.compact(j.segmentSize); err != nil || !done {
 			return err
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Reserve reserves room for one more message of a size, if there is any. All of it is allocated on the disk
-// then, so that an accepted message can be completed even if the disk fills up.
+// Reserve reserves space for one more message of the given size, and reports whether there was any. All of the space is
+// allocated on the disk at once, so that an accepted message can be completed even if the disk fills up.
 func (j *Journal) Reserve(size int) (bool, error) {
 	if j.err != nil {
 		return false, j.err
@@ -146,38 +146,38 @@
 			return false, err
 		}
 	}
-	largest := max(j.largestState, state)
+	largest := max(j.largestStateBytes, state)
 	for j.reservedBytes+cost(size) > j.availableBytes(largest) {
 		if !j.allocateSpare() {
 			return false, nil
 		}
 	}
-	j.largestState = largest
+	j.largestStateBytes = largest
 	j.reservedBytes += cost(size)
 	return true, nil
 }
 
-// Usage is the share of the room that is in use, on disk or in memory, whichever is scarcer.
+// Usage returns the used part of the disk space or of the memory, from 0 to 1, whichever is greater.
 func (j *Journal) Usage() float64 {
 	if j.limit == 0 {
 		return 1
 	}
-	lost := segmentHeaderBytes + sealBytes + j.largestState
-	room := ((j.limit-j.damagedBytes)/j.segmentSize - reservedSegments) * (j.segmentSize - lost)
-	if time.Now().Before(j.allocationFailedUntil) { // the disk has less
-		room = j.availableBytes(j.largestState)
+	overhead := segmentHeaderBytes + sealBytes + j.largestStateBytes
+	capacity := ((j.limit-j.damagedBytes)/j.segmentSize - reservedSegments) * (j.segmentSize - overhead)
+	if time.Now().Before(j.allocationFailedUntil) { // the disk has less space than the limit allows
+		capacity = j.availableBytes(j.largestStateBytes)
 	}
-	full := float64(j.reservedBytes) / float64(max(1, room))
+	used := float64(j.reservedBytes) / float64(max(1, capacity))
 	if m := j.memory.limit - j.memory.limit/bodyMemoryShare; m > 0 {
-		full = max(full, float64(len(j.live)*messageMemoryBytes)/float64(m))
+		used = max(used, float64(len(j.live)*messageMemoryBytes)/float64(m))
 	}
-	return min(full, 1)
+	return min(used, 1)
 }
 
-// Release returns what Reserve reserved for a message that was rejected.
+// Release gives back the space that Reserve has reserved for a message.
 func (j *Journal) Release(size int) {
 	j.reservedBytes -= cost(size)
 	if j.reservedBytes == 0 {
-		j.largestState = 0
+		j.largestStateBytes = 0
 	}
 }
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -9,17 +9,17 @@
 	"scaleroute/internal/steadyclock"
 )
 
-// The payload of a state, behind number and count. Its length depends on nothing that changes, so that a
-// segment's states always fit where compaction moves them:
+// The payload of a state record, after number and count. Its length depends on nothing that changes, so that a segment's
+// states always fit where compaction copies them:
 //
-//	deadline (ms by the steady clock, which began as Unix time; 8 bytes), destination (4), attempts (1), flags (1), end (1), wait (ms, 4),
+//	deadline (ms on the steady clock, which began as Unix time; 8 bytes), destination (4), attempts (1), flags (1), completion (1), retry-after (ms, 4),
 //	lengths of id, class and origin (1 each), id, class, origin, body
 const (
 	flagOpen = 1 << iota
 	flagMayHaveRun
-	flagLost   // its body could not be read when it was to be moved
-	flagExtras // behind the origin stand two lists of names and one of fields: a count (1), then lengths (1, of a value 2) and texts
-	flagRoute  // behind those the length of a route's name (1), the name, and the destination asked for (4)
+	flagLost   // its body could not be read when compaction copied it
+	flagExtras // after the origin come two lists of names and one of fields: a count (1), then for each item its lengths (1; 2 for a value) and texts
+	flagRoute  // after those come the length of a route's name (1), the name, and the destination that the client named (4)
 )
 
 func encodeState(s *MessageState, body []byte, clock steadyclock.Clock) []byte {
@@ -50,67 +50,67 @@
 	return append(p, body...)
 }
 
-// extrasBytes is the encoded size of extras.
-func extrasBytes(a *message.Extras) (n int) {
-	if a == nil {
+// extrasBytes returns the encoded size of extras.
+func extrasBytes(extras *message.Extras) (n int) {
+	if extras == nil {
 		return 0
 	}
-	for _, list := range [][]string{a.Only, a.Prefer} {
+	for _, list := range [][]string{extras.Only, extras.Prefer} {
 		n++
 		for _, name := range list {
 			n += 1 + len(name)
 		}
 	}
 	n++
-	for _, f := range a.Header {
+	for _, f := range extras.Header {
 		n += 3 + len(f.Name) + len(f.Value)
 	}
-	if a.Route != "" {
-		n += 5 + len(a.Route)
+	if extras.Route != "" {
+		n += 5 + len(extras.Route)
 	}
 	return n
 }
 
 // decodeExtras decodes extras and returns the rest of p.
-func decodeExtras(p []byte, routed bool) (a *message.Extras, rest []byte, err error) {
-	a = &message.Extras{}
-	short := false
-	take := func(n int) (text []byte) {
-		if short = short || len(p) < n; !short {
-			text, p = p[:n], p[n:]
+func decodeExtras(p []byte, routed bool) (extras *message.Extras, rest []byte, err error) {
+	extras = &message.Extras{}
+	truncated := false
+	next := func(n int) (data []byte) {
+		if truncated = truncated || len(p) < n; !truncated {
+			data, p = p[:n], p[n:]
 		}
-		return text
+		return data
 	}
 	length := func(bytes int) (n int) {
-		for i, b := range take(bytes) {
+		for i, b := range next(bytes) {
 			n |= int(b) << (8 * i)
 		}
 		return n
 	}
-	for _, list := range []*[]string{&a.Only, &a.Prefer} {
+	for _, list := range []*[]string{&extras.Only, &extras.Prefer} {
 		for range length(1) {
-			*list = append(*list, string(take(length(1))))
+			*list = append(*list, string(next(length(1))))
 		}
 	}
 	for range length(1) {
-		a.Header = append(a.Header, message.Field{Name: string(take(length(1))), Value: string(take(length(2)))})
+		extras.Header = append(extras.Header, message.Field{Name: string(next(length(1))), Value: string(next(length(2)))})
 	}
 	if routed {
-		a.Route = string(take(length(1)))
-		a.Requested = int(int32(length(4)))
+		extras.Route = string(next(length(1)))
+		extras.Requested = int(int32(length(4)))
 	}
-	if short {
-		return nil, nil, errShort
+	if truncated {
+		return nil, nil, errTruncated
 	}
-	return a, p, nil
+	return extras, p, nil
 }
 
-var errShort = errors.New("a record that is too short")
+var errTruncated = errors.New("the record is too short")
 
-// decodeState returns a message, and its body, which is a part of p.
+// decodeState returns a message and its body, which is a part of p.
 func decodeState(p []byte, clock steadyclock.Clock) (*MessageState, []byte, error) {
 	if len(p) < 22 {
-		return nil, nil, errShort
+		return nil, nil, errTruncated
 	}
 	s := &MessageState{Deadline: clock.Time(int64(binary.LittleEndian.Uint64(p))),
 		Dest: int(int32(binary.LittleEndian.Uint32(p[8:]))), Attempts: int(p[12]),
@@ -118,7 +118,7 @@
 		RetryAfter: time.Duration(binary.LittleEndian.Uint32(p[15:])) * time.Millisecond}
 	id, class, origin, rest := int(p[19]), int(p[20]), int(p[21]), p[22:]
 	if len(rest) < id+class+origin {
-		return nil, nil, errShort
+		return nil, nil, errTruncated
 	}
 	s.ID, s.Class, s.Origin = string(rest[:id]), string(rest[id:id+class]), string(rest[id+class:id+class+origin])
 	if p[13]&flagLost != 0 {
--- a/internal/journal/sync.go
+++ b/internal/journal/sync.go
@@ -9,25 +9,25 @@
 	"os"
 )
 
-// Durability is what the records of a journal survive.
+// Durability says which failures the records of a journal survive.
 type Durability int
 
 const (
-	Process  Durability = iota // the process, and not the machine: nothing is synced
-	Interval                   // the machine, but for what was written since the last sync: those come at intervals
-	Group                      // the machine: nothing is reported before a sync has covered it (group commit)
+	Process  Durability = iota // those of the process, not of the machine: nothing is synced
+	Interval                   // those of the machine, except what was written since the last of the syncs at intervals
+	Group                      // those of the machine: nothing is reported before a sync has covered it (group commit)
 )
 
-// Only what was synced survives a failure of the machine. A caller that promises that reports nothing of what a Flush has
-// written before [Journal.Synced] has covered it. Within a segment the sync runs beside further writes; at its end, and
-// before its file is used again, the journal syncs itself.
-//
-// A failing machine may keep any of the blocks that were written since the last sync. So that replay can tell those from
-// damage, the offset before which all is synced is recorded whenever it grows, before anyone relies on it, in segments
-// marked for it: where a gap is behind the last such offset in the last of them, the log ends there.
+// Only synced data survives a failure of the machine. A caller that promises such durability reports nothing that Flush
+// has written before [Journal.FinishSync] has covered it. Within a segment the sync runs concurrently with further
+// writes; at the end of a segment, and before its file is reused, the journal syncs by itself.
+// After a failure of the machine, any of the blocks that were written since the last sync may be on the disk. So that
+// replay can distinguish them from damage, the journal records the offset before which all is synced whenever it grows,
+// before anything relies on it, in segments that are marked for this. If the last of these segments has a gap after the
+// last such offset, the log ends there.
 
-// PrepareSync returns how much has been written in all, and a function, for any goroutine to call, that syncs it;
-// nil and what is synced if there is nothing to do.
+// PrepareSync returns the number of bytes written in all, and a function that syncs them, which any goroutine may call.
+// If there is nothing to sync, it returns the number of synced bytes and nil.
 func (j *Journal) PrepareSync() (written int64, sync func() error) {
 	if j.durability == Process || len(j.segments) == 0 || j.syncedBytes >= j.syncNeeded {
 		return j.syncedBytes, nil
@@ -37,22 +37,21 @@
 		if err := f.Sync(); !errors.Is(err, os.ErrClosed) && !errors.Is(err, fs.ErrClosed) {
 			return err
 		}
-		return nil // its segment has ended meanwhile: that was synced
+		return nil // its segment was completed in the meantime, which synced it
 	}
 }
 
-// Durability is what the records survive.
+// Durability returns which failures the records survive.
 func (j *Journal) Durability() Durability { return j.durability }
 
-// SyncTarget is how much has been written that somebody may wait for.
+// SyncTarget returns the number of written bytes that a caller may wait for to be synced.
 func (j *Journal) SyncTarget() int64 { return j.syncNeeded }
 
-// IsSynced reports whether all that had been written by then is synced.
+// IsSynced reports whether a sync has covered the given number of written bytes.
 func (j *Journal) IsSynced(written int64) bool { return j.syncedBytes >= written }
 
-// FinishSync notes that all that had been written by then is synced, and with [Group] records that. An error says
-// that it could not be synced: it may be lost, and a second sync would not report that, so nothing more is
-// written.
+// FinishSync notes that the given number of written bytes is synced, and with [Group] records that. An error says that
+// the sync failed: the data may be lost, and a second sync would not report that, so nothing more is written.
 func (j *Journal) FinishSync(written int64, err error) error {
 	if err != nil && j.err == nil {
 		j.err = fmt.Errorf("journal: syncing: %w", err)
@@ -62,27 +61,27 @@
 	}
 	at := j.writeOffset - (j.writtenBytes - written)
 	j.noteSynced(written)
-	if j.durability == Group && at > j.syncedOffset && j.bytesLeft() > recordHeaderBytes+binary.MaxVarintLen64 { // else that segment has ended
-		if j.err = j.writeBuffer(); j.err != nil { // what Step has added
+	if j.durability == Group && at > j.syncedOffset && j.bytesLeft() > recordHeaderBytes+binary.MaxVarintLen64 { // otherwise that segment has ended
+		if j.err = j.writeBuffer(); j.err != nil { // records that were appended since the last Flush
 			return j.err
 		}
 		unsynced := j.syncNeeded
 		j.syncedOffset = at
 		j.appendToBuffer(kindSynced, binary.AppendUvarint(nil, uint64(at)))
 		j.err = j.writeBuffer()
-		j.syncNeeded = unsynced // the mark itself need not be
+		j.syncNeeded = unsynced // the record of the synced offset itself need not be synced
 	}
 	return j.err
 }
 
-// clearTornTail clears what is behind the end of the log and was never synced, so that it is not found again
-// behind what will be written there.
+// clearTornTail clears the data after the end of the log that was never synced, so that it is not found again after the
+// records that will be written there.
 func (j *Journal) clearTornTail() error {
 	if !j.tornTail {
 		return nil
 	}
 	s := j.activeSegment()
-	slog.Warn("the journal's end was not synced when the machine failed, and is left out", "file", s.name, "offset", j.writeOffset)
+	slog.Warn("the end of the journal was not synced before the machine failed, and is discarded", "file", s.name, "offset", j.writeOffset)
 	zeros := make([]byte, 64<<10)
 	for at := j.writeOffset; at < s.size; at += int64(len(zeros)) {
 		if _, err := s.file.WriteAt(zeros[:min(int64(len(zeros)), s.size-at)], at); err != nil {
@@ -116,20 +115,20 @@
 	return j.fs.Sync()
 }
 
-func (j *Journal) groupFlag() uint16 {
+func (j *Journal) syncedOffsetsFlag() uint16 {
 	if j.durability == Group {
-		return grouped
+		return flagSyncedOffsets
 	}
 	return 0
 }
 
-// syncedBefore is the highest offset that a record from an offset on reports as synced.
-func syncedBefore(text []byte, nonce uint32, from int64) int64 {
+// syncedBefore returns the highest synced offset that a record from the given offset on reports.
+func syncedBefore(data []byte, nonce uint32, from int64) int64 {
 	var highest int64
-	for off := from; off >= 0 && off < int64(len(text)); {
-		k, payload, _, ok := readRecord(text[off:], nonce, off, false)
+	for off := from; off >= 0 && off < int64(len(data)); {
+		k, payload, _, ok := readRecord(data[off:], nonce, off, false)
 		if !ok {
-			off = findRecord(text, nonce, off+1)
+			off = findRecord(data, nonce, off+1)
 			continue
 		}
 		if k == kindSynced {
