--- a/internal/takeover/frame.go
+++ b/internal/takeover/frame.go
@@ -1,5 +1,6 @@
-// Package takeover lets one process of a forwarder hand over to the next one, on one machine: connections and data over a Unix socket. It
-// knows no forwarder: what is handed over are parcels. docs/operations-design.md has the whole way.
+// Package takeover implements the handover between two processes of one forwarder on the same machine: the running
+// process sends its connections and data to its successor over a Unix socket. The package knows nothing of forwarders:
+// it transfers handover records. docs/operations-design.md describes the whole procedure.
 package takeover
 
 import (
@@ -14,65 +15,65 @@
 	"time"
 )
 
-// ProtocolVersion is that of what the two processes say to each other, and of what the parcels hold.
+// ProtocolVersion is the version of the protocol between the two processes, and of the contents of the records.
 const ProtocolVersion = 1
 
 const (
-	mostData  = 64 << 20 // bytes of one parcel
-	mostKind  = 64
-	mostTotal = 512 << 20 // bytes of all parcels
-	mostCount = 1 << 20   // parcels
-	headBytes = 15
-	stepTime  = time.Second // for one step of the other side
+	maxRecordBytes   = 64 << 20 // bytes of one record
+	maxKindBytes     = 64
+	maxTotalBytes    = 512 << 20 // bytes of all records
+	maxRecords       = 1 << 20   // number of records
+	frameHeaderBytes = 15
+	stepTimeout      = time.Second // limit for one step of the peer
 )
 
-// Record is one thing that is handed over.
+// Record is one item that is handed over.
 type Record struct {
 	Kind string
 	Data []byte
-	Conn net.Conn // goes along if it is not nil: it is open in both processes then
+	Conn net.Conn // sent along if it is not nil; it is then open in both processes
 }
 
-// errDamaged says that a frame is not as it was sent.
-var errDamaged = errors.New("a frame that is damaged")
+// errCorruptFrame is the error of a frame that does not arrive as it was sent.
+var errCorruptFrame = errors.New("the frame is corrupt")
 
-// send writes one frame: a head that the connection goes along with, the kind, the data.
+// send writes one frame: a header, with which the connection is sent, the kind, and the data. The header:
 //
-//	connections (1 byte: 0 or 1), length of the kind (2), length of the data (4), checksum of both (4), checksum of all that (4)
-func send(to *net.UnixConn, p Record) error {
-	if len(p.Data) > mostData || len(p.Kind) > mostKind {
-		return fmt.Errorf("%d bytes of %q: more than %d can't be handed over", len(p.Data), p.Kind, mostData)
+//	connections (1 byte: 0 or 1), length of the kind (2), length of the data (4), checksum of kind and data (4), checksum of all that (4)
+func send(to *net.UnixConn, record Record) error {
+	if len(record.Data) > maxRecordBytes || len(record.Kind) > maxKindBytes {
+		return fmt.Errorf("%d bytes of %q: one record can hand over at most %d bytes", len(record.Data), record.Kind, maxRecordBytes)
 	}
-	var head [headBytes]byte
-	sum := crc32.Update(crc32.ChecksumIEEE([]byte(p.Kind)), crc32.IEEETable, p.Data)
-	binary.LittleEndian.PutUint16(head[1:], uint16(len(p.Kind)))
-	binary.LittleEndian.PutUint32(head[3:], uint32(len(p.Data)))
-	binary.LittleEndian.PutUint32(head[7:], sum)
+	var header [frameHeaderBytes]byte
+	sum := crc32.Update(crc32.ChecksumIEEE([]byte(record.Kind)), crc32.IEEETable, record.Data)
+	binary.LittleEndian.PutUint16(header[1:], uint16(len(record.Kind)))
+	binary.LittleEndian.PutUint32(header[3:], uint32(len(record.Data)))
+	binary.LittleEndian.PutUint32(header[7:], sum)
 	write := func(rights []byte) error {
-		binary.LittleEndian.PutUint32(head[11:], crc32.ChecksumIEEE(head[:11]))
-		n, _, err := to.WriteMsgUnix(head[:], rights, nil)
-		if err == nil && n < len(head) {
-			_, err = to.Write(head[n:])
+		binary.LittleEndian.PutUint32(header[11:], crc32.ChecksumIEEE(header[:11]))
+		n, _, err := to.WriteMsgUnix(header[:], rights, nil)
+		if err == nil && n < len(header) {
+			_, err = to.Write(header[n:])
 		}
 		return err
 	}
-	if err := to.SetWriteDeadline(time.Now().Add(stepTime)); err != nil {
+	if err := to.SetWriteDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return err
 	}
-	if p.Conn == nil {
+	if record.Conn == nil {
 		if err := write(nil); err != nil {
 			return err
 		}
 	} else {
-		raw, ok := p.Conn.(syscall.Conn)
+		raw, ok := record.Conn.(syscall.Conn)
 		if !ok {
-			return fmt.Errorf("%T is no connection that can be handed over", p.Conn)
+			return fmt.Errorf("a connection of type %T can't be handed over", record.Conn)
 		}
 		rc, err := raw.SyscallConn()
 		if err != nil {
 			return err
 		}
-		head[0] = 1
+		header[0] = 1
 		var sent error
 		if err := rc.Control(func(fd uintptr) { sent = write(syscall.UnixRights(int(fd))) }); err != nil {
 			return err
@@ -81,8 +82,8 @@
 			return sent
 		}
 	}
-	// No write is empty: once the last byte is read the other side may end, and its end is no failure of this.
-	for _, part := range [][]byte{[]byte(p.Kind), p.Data} {
+	// No write is empty: the peer may exit as soon as it has read the last byte, which must not count as a failure here.
+	for _, part := range [][]byte{[]byte(record.Kind), record.Data} {
 		if len(part) == 0 {
 			continue
 		}
@@ -93,10 +94,10 @@
 	return nil
 }
 
-// receive reads one frame, and waits for it to begin for so long.
-func receive(from *net.UnixConn, limit time.Duration) (p Record, err error) {
+// receive reads one frame, and waits at most for the given time until it begins.
+func receive(from *net.UnixConn, limit time.Duration) (record Record, err error) {
 	if err := from.SetReadDeadline(time.Now().Add(limit)); err != nil {
-		return p, err
+		return record, err
 	}
 	var files []*os.File
 	defer func() {
@@ -104,42 +105,42 @@
 			f.Close()
 		}
 	}()
-	var head [headBytes]byte
-	for got := 0; got < len(head); {
+	var header [frameHeaderBytes]byte
+	for got := 0; got < len(header); {
 		rights := make([]byte, syscall.CmsgSpace(4*4))
-		n, oob, _, _, err := from.ReadMsgUnix(head[got:], rights)
+		n, oob, _, _, err := from.ReadMsgUnix(header[got:], rights)
 		if err != nil {
-			return p, err
+			return record, err
 		}
-		files = append(files, filesOf(rights[:oob])...)
+		files = append(files, filesFromRights(rights[:oob])...)
 		if n == 0 {
-			return p, io.ErrUnexpectedEOF
+			return record, io.ErrUnexpectedEOF
 		}
 		got += n
 	}
-	kind, data := int(binary.LittleEndian.Uint16(head[1:])), int(binary.LittleEndian.Uint32(head[3:]))
-	if crc32.ChecksumIEEE(head[:11]) != binary.LittleEndian.Uint32(head[11:]) || kind > mostKind || data > mostData || int(head[0]) != len(files) || len(files) > 1 {
-		return p, fmt.Errorf("%w: its head", errDamaged)
+	kindBytes, dataBytes := int(binary.LittleEndian.Uint16(header[1:])), int(binary.LittleEndian.Uint32(header[3:]))
+	if crc32.ChecksumIEEE(header[:11]) != binary.LittleEndian.Uint32(header[11:]) || kindBytes > maxKindBytes || dataBytes > maxRecordBytes || int(header[0]) != len(files) || len(files) > 1 {
+		return record, fmt.Errorf("%w: its header is invalid", errCorruptFrame)
 	}
-	from.SetReadDeadline(time.Now().Add(stepTime))
-	text := make([]byte, kind+data)
-	if _, err := io.ReadFull(from, text); err != nil {
-		return p, err
+	from.SetReadDeadline(time.Now().Add(stepTimeout))
+	payload := make([]byte, kindBytes+dataBytes)
+	if _, err := io.ReadFull(from, payload); err != nil {
+		return record, err
 	}
-	if crc32.ChecksumIEEE(text) != binary.LittleEndian.Uint32(head[7:]) {
-		return p, fmt.Errorf("%w: %d bytes of %q", errDamaged, data, text[:kind])
+	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(header[7:]) {
+		return record, fmt.Errorf("%w: the checksum of %d bytes of %q does not match", errCorruptFrame, dataBytes, payload[:kindBytes])
 	}
-	p.Kind, p.Data = string(text[:kind]), text[kind:]
+	record.Kind, record.Data = string(payload[:kindBytes]), payload[kindBytes:]
 	if len(files) == 1 {
-		if p.Conn, err = net.FileConn(files[0]); err != nil {
-			return p, fmt.Errorf("a connection that was handed over: %w", err)
+		if record.Conn, err = net.FileConn(files[0]); err != nil {
+			return record, fmt.Errorf("opening a connection that was handed over: %w", err)
 		}
 	}
-	return p, nil
+	return record, nil
 }
 
-// filesOf takes the descriptors out of a control message.
-func filesOf(rights []byte) (files []*os.File) {
+// filesFromRights returns the file descriptors of a control message as files.
+func filesFromRights(rights []byte) (files []*os.File) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -15,27 +15,27 @@
 	"time"
 )
 
-// Kinds of parcels that the two sides say to each other.
+// Kinds of the records that the protocol itself uses.
 const (
-	kindAsk     = "ask"
-	kindComing  = "coming"
-	kindRefused = "refused"
-	kindLater   = "later"
-	kindEnd     = "end"
-	kindOwned   = "owned"
+	kindRequest    = "ask"
+	kindAccepted   = "coming"
+	kindRefused    = "refused"
+	kindRetryLater = "later"
+	kindEnd        = "end"
+	kindOwned      = "owned"
 )
 
-// StepReached is called at each named step of a hand-over. Tests end a process there.
+// StepReached is called at each named step of a handover. Tests end a process there.
 var StepReached = func(step string) {}
 
-// Identity says whose a process is. Two with the same are of one forwarder.
+// Identity identifies the forwarder to which a process belongs. Two processes of one forwarder have equal identities.
 type Identity struct {
 	Version int    `json:"version"`
 	Name    string `json:"name"`
-	Folder  string `json:"folder"` // device and inode of the folder that lasts
+	Folder  string `json:"folder"` // device and inode of the forwarder's state folder
 }
 
-// NewIdentity makes the Identity of a process.
+// NewIdentity returns the identity of a process from its forwarder's name and state folder.
 func NewIdentity(name, folder string) (Identity, error) {
 	var s syscall.Stat_t
 	if err := syscall.Stat(folder, &s); err != nil {
@@ -44,51 +44,53 @@
 	return Identity{ProtocolVersion, name, fmt.Sprintf("%x:%x", s.Dev, s.Ino)}, nil
 }
 
-// refuses is why one process does not hand over to another; empty if it does.
-func (i Identity) refuses(other Identity) string {
+// refusalReason returns why a running process with this identity does not hand over to the other one; empty if it does.
+func (i Identity) refusalReason(other Identity) string {
 	switch {
 	case other.Version != i.Version:
-		return fmt.Sprintf("it speaks version %d of the hand-over and this process %d: end this one by SIGTERM and start the other after it", other.Version, i.Version)
+		return fmt.Sprintf("the new process uses version %d of the handover and the running one version %d: stop the running process with SIGTERM, and start the new one after it", other.Version, i.Version)
 	case other.Folder != i.Folder:
-		return "its folder NODE_STATE is another forwarder's: give the two of them folders TMPDIR of their own"
+		return "the folder NODE_STATE of the new process belongs to another forwarder: give the two forwarders folders TMPDIR of their own"
 	case other.Name != i.Name:
-		return fmt.Sprintf("it is forwarder %q and this is %q, with one folder NODE_STATE: name another folder", other.Name, i.Name)
+		return fmt.Sprintf("the new process is forwarder %q and the running one is %q, with the same folder NODE_STATE: name another folder for one of them", other.Name, i.Name)
 	}
 	return ""
 }
 
-// name is that of the socket: another one for each folder that lasts.
-func (i Identity) name() string { return "scaleroute-" + i.Folder + ".sock" }
+// socketName returns the name of the socket, which differs for each state folder.
+func (i Identity) socketName() string { return "scaleroute-" + i.Folder + ".sock" }
 
-// at calls do with an address of the socket that is short enough for any folder.
-func (i Identity) at(dir string, do func(*net.UnixAddr) error) error {
+// withSocketAddr calls do with an address of the socket that is short enough for a Unix socket, however long the path of
+// the folder is.
+func (i Identity) withSocketAddr(dir string, do func(*net.UnixAddr) error) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
 	defer d.Close()
-	return do(&net.UnixAddr{Net: "unix", Name: fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), i.name())})
+	return do(&net.UnixAddr{Net: "unix", Name: fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), i.socketName())})
 }
 
-// Socket is where the next process asks.
+// Socket is where the next process requests the handover.
 type Socket struct {
-	ln   *net.UnixListener
-	id   Identity
-	asks chan *Sender
+	ln       *net.UnixListener
+	id       Identity
+	requests chan *Sender
 }
 
-// Listen opens the socket in a folder. Whoever calls it owns the forwarder's lasting folder, so one that is there is nobody's any more.
+// Listen opens the socket in a folder. The caller owns the forwarder's state folder, so no running process uses a socket
+// that is left there, and it is replaced.
 func Listen(dir string, id Identity) (*Socket, error) {
-	s := &Socket{id: id, asks: make(chan *Sender)}
-	if err := os.Remove(filepath.Join(dir, id.name())); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	s := &Socket{id: id, requests: make(chan *Sender)}
+	if err := os.Remove(filepath.Join(dir, id.socketName())); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	err := id.at(dir, func(a *net.UnixAddr) (err error) {
+	err := id.withSocketAddr(dir, func(a *net.UnixAddr) (err error) {
 		if s.ln, err = net.ListenUnix("unix", a); err != nil {
 			return err
 		}
-		s.ln.SetUnlinkOnClose(false) // by then the name may be the next one's
-		return os.Chmod(filepath.Join(dir, id.name()), 0o600)
+		s.ln.SetUnlinkOnClose(false) // by then the name may belong to the next process
+		return os.Chmod(filepath.Join(dir, id.socketName()), 0o600)
 	})
 	if err != nil {
 		if s.ln != nil {
@@ -99,7 +101,7 @@
 	return s, nil
 }
 
-// Serve tells processes that ask from others, until Close.
+// Serve handles requests for a handover until Close.
 func (s *Socket) Serve(ctx context.Context) {
 	for {
 		conn, err := s.ln.AcceptUnix()
@@ -107,130 +109,131 @@
 			break
 		}
 		if err != nil {
-			slog.Warn("a process that asks to take over", "err", err)
+			slog.Warn("accepting a connection for a handover request", "err", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(100 * time.Millisecond):
 			}
 			continue
 		}
-		if err := s.greet(ctx, conn); err != nil {
-			slog.Error("a process that asks to take over is refused", "err", err)
+		if err := s.handleRequest(ctx, conn); err != nil {
+			slog.Error("a handover request is refused", "err", err)
 			conn.Close()
 		}
 	}
 }
 
-// greet hears who asks, and has the forwarder know of it.
-func (s *Socket) greet(ctx context.Context, conn *net.UnixConn) error {
-	if err := sameUser(conn); err != nil {
+// handleRequest reads the request, and passes it on to the forwarder or refuses it.
+func (s *Socket) handleRequest(ctx context.Context, conn *net.UnixConn) error {
+	if err := checkSameUser(conn); err != nil {
 		return err
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
-	p, err := receive(conn, stepTime)
+	record, err := receive(conn, stepTimeout)
 	stop()
 	if err != nil {
 		return err
 	}
 	var other Identity
-	if p.Kind != kindAsk || json.Unmarshal(p.Data, &other) != nil {
-		return fmt.Errorf("%w: %q where %q should come", errDamaged, p.Kind, kindAsk)
+	if record.Kind != kindRequest || json.Unmarshal(record.Data, &other) != nil {
+		return fmt.Errorf("%w: received %q instead of %q", errCorruptFrame, record.Kind, kindRequest)
 	}
-	why := s.id.refuses(other)
-	if why == "" {
+	reason := s.id.refusalReason(other)
+	if reason == "" {
 		select {
-		case s.asks <- &Sender{conn}:
+		case s.requests <- &Sender{conn}:
 			return nil
-		case <-ctx.Done(): // it hands over, or ends
+		case <-ctx.Done(): // this process already hands over, or stops
 		}
-		send(conn, Record{Kind: kindLater})
+		send(conn, Record{Kind: kindRetryLater})
 		conn.Close()
 		return nil
 	}
-	send(conn, Record{Kind: kindRefused, Data: []byte(why)})
-	return errors.New(why)
+	send(conn, Record{Kind: kindRefused, Data: []byte(reason)})
+	return errors.New(reason)
 }
 
-// Requests is where those that may take over come.
-func (s *Socket) Requests() <-chan *Sender { return s.asks }
+// Requests returns the channel of the processes whose requests are valid.
+func (s *Socket) Requests() <-chan *Sender { return s.requests }
 
-// Close ends the socket, and leaves its name.
+// Close closes the socket and leaves its name in the folder.
 func (s *Socket) Close() { s.ln.Close() }
 
-// sameUser refuses a peer that runs as another user: who may write to the folder is not enough.
-func sameUser(conn *net.UnixConn) error {
+// checkSameUser returns an error if the peer runs as another user: write access to the folder alone is not enough.
+func checkSameUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var cred *syscall.Ucred
-	var got error
+	var optErr error
 	if err := raw.Control(func(fd uintptr) {
-		cred, got = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+		cred, optErr = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
 	}); err != nil {
 		return err
 	}
-	if got != nil {
-		return got
+	if optErr != nil {
+		return optErr
 	}
 	if int(cred.Uid) != os.Geteuid() {
-		return fmt.Errorf("a stranger: process %d of user %d, and this is user %d's: run both as one user", cred.Pid, cred.Uid, os.Geteuid())
+		return fmt.Errorf("the peer is process %d of user %d, and this process runs as user %d: run both as the same user", cred.Pid, cred.Uid, os.Geteuid())
 	}
 	return nil
 }
 
-// Sender is the old process's end of a hand-over.
+// Sender is the running process's side of a handover.
 type Sender struct{ conn *net.UnixConn }
 
-// Accept tells the new process that it may wait for the parcels.
-func (g *Sender) Accept() error { return send(g.conn, Record{Kind: kindComing}) }
+// Accept tells the new process that it may wait for the records.
+func (s *Sender) Accept() error { return send(s.conn, Record{Kind: kindAccepted}) }
 
-// Send sends all parcels.
-func (g *Sender) Send(list []Record) error {
-	for i, p := range list {
+// Send sends all records.
+func (s *Sender) Send(list []Record) error {
+	for i, record := range list {
 		if i == len(list)/2 {
 			StepReached("old: sent half")
 		}
-		if err := send(g.conn, p); err != nil {
+		if err := send(s.conn, record); err != nil {
 			return err
 		}
 	}
-	return send(g.conn, Record{Kind: kindEnd})
+	return send(s.conn, Record{Kind: kindEnd})
 }
 
-// AwaitOwnership waits until the new process says that it owns what was sent, and returns where its operators' door is. An error means that it has
-// ended, or said nothing for so long.
-func (g *Sender) AwaitOwnership(limit time.Duration) (door string, err error) {
-	p, err := receive(g.conn, limit)
-	if err == nil && p.Kind != kindOwned {
-		err = fmt.Errorf("%w: %q where %q should come", errDamaged, p.Kind, kindOwned)
+// AwaitOwnership waits until the new process confirms that it owns what was sent, and returns the address of its admin
+// API. An error means that the new process has exited, or has not confirmed in the given time.
+func (s *Sender) AwaitOwnership(limit time.Duration) (adminAddr string, err error) {
+	record, err := receive(s.conn, limit)
+	if err == nil && record.Kind != kindOwned {
+		err = fmt.Errorf("%w: received %q instead of %q", errCorruptFrame, record.Kind, kindOwned)
 	}
-	return string(p.Data), err
+	return string(record.Data), err
 }
 
-// Close ends the old process's end.
-func (g *Sender) Close() { g.conn.Close() }
+// Close closes the connection to the new process.
+func (s *Sender) Close() { s.conn.Close() }
 
-// ErrNoProcess says that there is no process to take over from.
-var ErrNoProcess = errors.New("no process to take over from")
+// ErrNoProcess says that there is no running process to take over from.
+var ErrNoProcess = errors.New("no running process to take over from")
 
-// ErrRetryLater says that the process that serves is just ending, or handing over to another: ask again.
-var ErrRetryLater = errors.New("the process that serves is handing over or ending")
+// ErrRetryLater says that the running process is stopping or already handing over to another one: the caller requests
+// the handover again.
+var ErrRetryLater = errors.New("the running process is handing over or stopping")
 
-// RefusedError is why the old process does not hand over, and what to do.
+// RefusedError says why the running process does not hand over, and what an operator can do about it.
 type RefusedError string
 
 func (r RefusedError) Error() string {
-	return "the process that serves does not hand over: " + string(r)
+	return "the running process does not hand over: " + string(r)
 }
 
-// Receiver is the new process's end of a hand-over.
+// Receiver is the new process's side of a handover.
 type Receiver struct{ conn *net.UnixConn }
 
-// RequestHandover asks the process that serves to hand over.
+// RequestHandover requests a handover from the running process.
 func RequestHandover(dir string, id Identity) (*Receiver, error) {
 	var conn *net.UnixConn
-	err := id.at(dir, func(a *net.UnixAddr) (err error) {
+	err := id.withSocketAddr(dir, func(a *net.UnixAddr) (err error) {
 		conn, err = net.DialUnix("unix", nil, a)
 		return err
 	})
@@ -240,73 +243,75 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Receiver{conn}
-	if err := t.ask(id); err != nil {
+	r := &Receiver{conn}
+	if err := r.request(id); err != nil {
 		conn.Close()
 		return nil, err
 	}
-	return t, nil
+	return r, nil
 }
 
-func (t *Receiver) ask(id Identity) error {
-	if err := sameUser(t.conn); err != nil {
+func (r *Receiver) request(id Identity) error {
+	if err := checkSameUser(r.conn); err != nil {
 		return err
 	}
-	text, err := json.Marshal(id)
+	data, err := json.Marshal(id)
 	if err != nil {
 		return err
 	}
-	var p Record
-	if err = send(t.conn, Record{Kind: kindAsk, Data: text}); err == nil {
-		p, err = receive(t.conn, 2*stepTime)
+	var reply Record
+	if err = send(r.conn, Record{Kind: kindRequest, Data: data}); err == nil {
+		reply, err = receive(r.conn, 2*stepTimeout)
 	}
 	switch {
 	case errors.Is(err, syscall.EPIPE), errors.Is(err, syscall.ECONNRESET), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return ErrRetryLater // it ended, or its socket did, before it had heard this
+		return ErrRetryLater // the running process or its socket was closed before it read the request
 	case err != nil:
-		return fmt.Errorf("asking to take over: %w", err)
-	case p.Kind == kindLater:
+		return fmt.Errorf("requesting the handover: %w", err)
+	case reply.Kind == kindRetryLater:
 		return ErrRetryLater
-	case p.Kind == kindRefused:
-		return RefusedError(p.Data)
-	case p.Kind != kindComing:
-		return fmt.Errorf("%w: %q where %q should come", errDamaged, p.Kind, kindComing)
+	case reply.Kind == kindRefused:
+		return RefusedError(reply.Data)
+	case reply.Kind != kindAccepted:
+		return fmt.Errorf("%w: received %q instead of %q", errCorruptFrame, reply.Kind, kindAccepted)
 	}
 	return nil
 }
 
-// Receive takes all parcels. With an error it has closed those that had come: the old process goes on with its own.
-func (t *Receiver) Receive() (list []Record, err error) {
+// Receive receives all records. If it returns an error it has closed the connections received so far, and the running
+// process continues with its own.
+func (r *Receiver) Receive() (list []Record, err error) {
 	total := 0
 	for {
-		p, err := receive(t.conn, 3*stepTime)
-		if total += len(p.Data); err == nil && (total > mostTotal || len(list) > mostCount) {
-			err = fmt.Errorf("more than %d bytes or %d parcels", mostTotal, mostCount)
+		record, err := receive(r.conn, 3*stepTimeout)
+		if total += len(record.Data); err == nil && (total > maxTotalBytes || len(list) > maxRecords) {
+			err = fmt.Errorf("more than %d bytes or %d records", maxTotalBytes, maxRecords)
 		}
 		if err != nil {
-			CloseConns(append(list, p))
-			return nil, fmt.Errorf("taking over: parcel %d: %w", len(list)+1, err)
+			CloseConns(append(list, record))
+			return nil, fmt.Errorf("receiving the handover: record %d: %w", len(list)+1, err)
 		}
-		if p.Kind == kindEnd {
+		if record.Kind == kindEnd {
 			return list, nil
 		}
-		list = append(list, p)
+		list = append(list, record)
 	}
 }
 
-// ConfirmOwnership says that this process owns what came, and where its operators' door is; empty if it has none.
-func (t *Receiver) ConfirmOwnership(door string) error {
-	return send(t.conn, Record{Kind: kindOwned, Data: []byte(door)})
+// ConfirmOwnership tells the running process that this one owns what it received, and the address of its admin API;
+// empty if it has none.
+func (r *Receiver) ConfirmOwnership(adminAddr string) error {
+	return send(r.conn, Record{Kind: kindOwned, Data: []byte(adminAddr)})
 }
 
-// Close ends the new process's end.
-func (t *Receiver) Close() { t.conn.Close() }
+// Close closes the connection to the running process.
+func (r *Receiver) Close() { r.conn.Close() }
 
-// CloseConns closes the connections of parcels.
+// CloseConns closes the connections of records.
 func CloseConns(list []Record) {
-	for _, p := range list {
-		if p.Conn != nil {
-			p.Conn.Close()
+	for _, record := range list {
+		if record.Conn != nil {
+			record.Conn.Close()
 		}
 	}
 }
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// pair is the two ends of a connection.
-func pair(t testing.TB, network, address string) (near, far net.Conn) {
+// newConnPair returns the two ends of a connection.
+func newConnPair(t testing.TB, network, address string) (near, far net.Conn) {
 	t.Helper()
 	ln, err := net.Listen(network, address)
 	if err != nil {
@@ -36,96 +36,98 @@
 	return near, far
 }
 
-func unixPair(t testing.TB) (a, b *net.UnixConn) {
-	near, far := pair(t, "unix", filepath.Join(t.TempDir(), "s"))
+func newUnixPair(t testing.TB) (a, b *net.UnixConn) {
+	near, far := newConnPair(t, "unix", filepath.Join(t.TempDir(), "s"))
 	return near.(*net.UnixConn), far.(*net.UnixConn)
 }
 
-// start opens a socket for an identity in a folder.
-func start(t *testing.T, dir string, id Identity) *Socket {
+// startSocket opens and serves a socket for an identity in a folder.
+func startSocket(t *testing.T, dir string, id Identity) *Socket {
 	t.Helper()
 	s, err := Listen(dir, id)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan bool)
+	served := make(chan bool)
 	go func() {
 		s.Serve(ctx)
-		close(ended)
+		close(served)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		s.Close()
-		<-ended
+		<-served
 	})
 	return s
 }
 
-// TestHandOver: parcels come in their order, small ones and large ones, with and without connections, which work in both processes.
-func TestHandOver(t *testing.T) {
+// TestHandover: records arrive complete and in order, small and large ones, with and without connections, and the
+// connections work in both processes.
+func TestHandover(t *testing.T) {
 	dir, id := t.TempDir(), Identity{ProtocolVersion, "n0", "1:2"}
-	s := start(t, dir, id)
+	s := startSocket(t, dir, id)
 	var sent []Record
 	var ends []net.Conn
 	for i, size := range []int{0, 1, 100, 1 << 20, 7} {
-		p := Record{Kind: fmt.Sprint("kind ", i), Data: bytes.Repeat([]byte{byte(i)}, size)}
+		record := Record{Kind: fmt.Sprint("kind ", i), Data: bytes.Repeat([]byte{byte(i)}, size)}
 		if i%2 == 0 {
-			near, far := pair(t, "tcp", "127.0.0.1:0")
-			p.Conn = near
+			near, far := newConnPair(t, "tcp", "127.0.0.1:0")
+			record.Conn = near
 			ends = append(ends, far)
 		}
-		sent = append(sent, p)
+		sent = append(sent, record)
 	}
-	given := make(chan error, 1)
+	sendResult := make(chan error, 1)
 	go func() {
-		g := <-s.Requests()
-		defer g.Close()
-		err := errors.Join(g.Accept(), g.Send(sent))
-		door, owned := g.AwaitOwnership(time.Minute)
-		if door != "127.0.0.1:1" {
-			t.Errorf("its door is at %q", door)
+		sender := <-s.Requests()
+		defer sender.Close()
+		err := errors.Join(sender.Accept(), sender.Send(sent))
+		adminAddr, owned := sender.AwaitOwnership(time.Minute)
+		if adminAddr != "127.0.0.1:1" {
+			t.Errorf("the admin API is at %q", adminAddr)
 		}
-		given <- errors.Join(err, owned)
+		sendResult <- errors.Join(err, owned)
 	}()
-	taker, err := RequestHandover(dir, id)
+	receiver, err := RequestHandover(dir, id)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taker.Close()
-	got, err := taker.Receive()
+	defer receiver.Close()
+	got, err := receiver.Receive()
 	if err != nil || len(got) != len(sent) {
-		t.Fatalf("%d parcels, %v", len(got), err)
+		t.Fatalf("%d records received, %v", len(got), err)
 	}
 	defer CloseConns(got)
 	n := 0
-	for i, p := range got {
-		if p.Kind != sent[i].Kind || !bytes.Equal(p.Data, sent[i].Data) || (p.Conn != nil) != (sent[i].Conn != nil) {
-			t.Errorf("parcel %d: %q, %d bytes, %v", i, p.Kind, len(p.Data), p.Conn)
+	for i, record := range got {
+		if record.Kind != sent[i].Kind || !bytes.Equal(record.Data, sent[i].Data) || (record.Conn != nil) != (sent[i].Conn != nil) {
+			t.Errorf("record %d: %q, %d bytes, connection %v", i, record.Kind, len(record.Data), record.Conn)
 		}
-		if p.Conn == nil {
+		if record.Conn == nil {
 			continue
 		}
-		sent[i].Conn.Close() // the old process's copy
-		fmt.Fprint(p.Conn, "hello")
+		sent[i].Conn.Close() // the running process's copy
+		fmt.Fprint(record.Conn, "hello")
 		buf := make([]byte, 5)
 		if _, err := io.ReadFull(ends[n], buf); err != nil || string(buf) != "hello" {
-			t.Errorf("parcel %d: the far end reads %q, %v", i, buf, err)
+			t.Errorf("record %d: the far end reads %q, %v", i, buf, err)
 		}
 		n++
 	}
-	if err := taker.ConfirmOwnership("127.0.0.1:1"); err != nil {
+	if err := receiver.ConfirmOwnership("127.0.0.1:1"); err != nil {
 		t.Error(err)
 	}
-	if err := <-given; err != nil {
+	if err := <-sendResult; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestRefused: whoever is of another version, folder or name is told why and what to do, and the next one is heard.
-func TestRefused(t *testing.T) {
+// TestRequestRefused: a process of another version, folder or name gets the reason and what to do, and the request that
+// follows is served.
+func TestRequestRefused(t *testing.T) {
 	dir, id := t.TempDir(), Identity{ProtocolVersion, "n0", "1:2"}
-	s := start(t, dir, id)
+	s := startSocket(t, dir, id)
 	for _, c := range []struct {
 		name string
 		as   Identity
@@ -136,60 +138,60 @@
 		{"another name", Identity{ProtocolVersion, "n1", "1:2"}, "name another folder"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			// The name of the socket keeps other folders away; whoever comes all the same is told.
-			text, err := json.Marshal(c.as)
+			// The name of the socket differs for other folders; a process that connects nevertheless gets the reason.
+			data, err := json.Marshal(c.as)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var refused RefusedError
-			if err := askAs(t, dir, id, Record{Kind: kindAsk, Data: text}); !errors.As(err, &refused) || !strings.Contains(err.Error(), c.want) {
+			if err := requestWith(t, dir, id, Record{Kind: kindRequest, Data: data}); !errors.As(err, &refused) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v", err)
 			}
 		})
 	}
-	for _, garbage := range []Record{{Kind: "what"}, {Kind: kindAsk, Data: []byte("{")}} {
-		if err := askAs(t, dir, id, garbage); err == nil {
-			t.Errorf("%q is answered", garbage.Kind)
+	for _, garbage := range []Record{{Kind: "what"}, {Kind: kindRequest, Data: []byte("{")}} {
+		if err := requestWith(t, dir, id, garbage); err == nil {
+			t.Errorf("the invalid request %q is not refused", garbage.Kind)
 		}
 	}
 	if conn, err := dial(dir, id); err != nil {
 		t.Error(err)
-	} else { // a stranger that hangs up
+	} else { // another program, which closes the connection
 		conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 		conn.Close()
 	}
 	go func() {
-		g := <-s.Requests()
-		g.Accept()
-		g.Close()
+		sender := <-s.Requests()
+		sender.Accept()
+		sender.Close()
 	}()
-	taker, err := RequestHandover(dir, id)
+	receiver, err := RequestHandover(dir, id)
 	if err != nil {
-		t.Fatalf("after all that: %v", err)
+		t.Fatalf("a valid request after invalid ones: %v", err)
 	}
-	taker.Close()
+	receiver.Close()
 	if _, err := RequestHandover(dir, Identity{ProtocolVersion, "n0", "1:3"}); !errors.Is(err, ErrNoProcess) {
-		t.Errorf("a folder that nobody serves: %v", err)
+		t.Errorf("a folder that no process serves: %v", err)
 	}
 }
 
 func dial(dir string, id Identity) (conn *net.UnixConn, err error) {
-	err = id.at(dir, func(a *net.UnixAddr) (err error) {
+	err = id.withSocketAddr(dir, func(a *net.UnixAddr) (err error) {
 		conn, err = net.DialUnix("unix", nil, a)
 		return err
 	})
 	return conn, err
 }
 
-// askAs sends a parcel in place of the one that asks, and returns what Ask would.
-func askAs(t *testing.T, dir string, id Identity, p Record) error {
+// requestWith sends a record in place of the request, and returns the error that RequestHandover would.
+func requestWith(t *testing.T, dir string, id Identity, record Record) error {
 	t.Helper()
 	conn, err := dial(dir, id)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if err := send(conn, p); err != nil {
+	if err := send(conn, record); err != nil {
 		t.Fatal(err)
 	}
 	got, err := receive(conn, time.Minute)
@@ -199,94 +201,96 @@
 	return err
 }
 
-// TestLater: a process that is handing over tells the next one to ask again, and one that has ended is nobody.
-func TestLater(t *testing.T) {
+// TestRetryLater: a process that is handing over tells the next one to try again, and one that has exited counts as
+// none.
+func TestRetryLater(t *testing.T) {
 	dir, id := t.TempDir(), Identity{ProtocolVersion, "n0", "1:2"}
 	s, err := Listen(dir, id)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan bool)
+	served := make(chan bool)
 	go func() {
 		s.Serve(ctx)
-		close(ended)
+		close(served)
 	}()
 	answered := make(chan error)
 	go func() {
-		_, err := RequestHandover(dir, id) // nobody takes it from Asks
+		_, err := RequestHandover(dir, id) // no one receives from Requests
 		answered <- err
 	}()
 	cancel()
 	if err := <-answered; !errors.Is(err, ErrRetryLater) {
-		t.Errorf("got %v", err)
+		t.Errorf("while the running process hands over: %v", err)
 	}
 	s.Close()
-	<-ended
+	<-served
 	if _, err := RequestHandover(dir, id); !errors.Is(err, ErrNoProcess) {
-		t.Errorf("got %v", err)
+		t.Errorf("after the running process has closed its socket: %v", err)
 	}
-	again, err := Listen(dir, id) // the name is there still
+	again, err := Listen(dir, id) // the socket's name is still there
 	if err != nil {
 		t.Fatal(err)
 	}
 	again.Close()
 	if _, err := RequestHandover(filepath.Join(dir, "none"), id); !errors.Is(err, ErrNoProcess) {
-		t.Errorf("no folder: %v", err)
+		t.Errorf("a request in a folder that does not exist: %v", err)
 	}
 	if _, err := Listen(filepath.Join(dir, "none"), id); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no folder to listen in: %v", err)
+		t.Errorf("a socket in a folder that does not exist: %v", err)
 	}
 }
 
-// TestCutShort: a hand-over that ends after any number of bytes, or in which any byte is spoilt, is an error, and nothing of it is kept.
-func TestCutShort(t *testing.T) {
-	var text []byte // of a whole hand-over, without connections
-	a, b := unixPair(t)
+// TestDamagedHandover: a handover that is cut off after any number of bytes, or of which any byte is corrupt, is an
+// error with its place, and nothing of it is used.
+func TestDamagedHandover(t *testing.T) {
+	var data []byte // of a whole handover, without connections
+	a, b := newUnixPair(t)
 	go func() {
-		g := &Sender{a}
-		g.Send([]Record{{Kind: "engine", Data: []byte(`{"clock":1}`)}, {Kind: "list", Data: []byte("[]")}})
+		sender := &Sender{a}
+		sender.Send([]Record{{Kind: "engine", Data: []byte(`{"clock":1}`)}, {Kind: "list", Data: []byte("[]")}})
 		a.CloseWrite()
 	}()
-	text, err := io.ReadAll(b)
+	data, err := io.ReadAll(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	receiveText := func(text []byte) ([]Record, error) {
-		a, b := unixPair(t)
+	receiveBytes := func(data []byte) ([]Record, error) {
+		a, b := newUnixPair(t)
 		defer a.Close()
 		defer b.Close()
-		a.Write(text)
+		a.Write(data)
 		a.Close()
 		return (&Receiver{b}).Receive()
 	}
-	if list, err := receiveText(text); err != nil || len(list) != 2 {
-		t.Fatalf("whole: %v, %v", list, err)
+	if list, err := receiveBytes(data); err != nil || len(list) != 2 {
+		t.Fatalf("the whole handover: %v, %v", list, err)
 	}
-	for at := range text {
-		if list, err := receiveText(text[:at]); err == nil || list != nil {
-			t.Errorf("cut at %d: %v", at, list)
+	for at := range data {
+		if list, err := receiveBytes(data[:at]); err == nil || list != nil {
+			t.Errorf("cut off at %d: %v", at, list)
 		}
-		spoilt := bytes.Clone(text)
-		spoilt[at] ^= 0x40
-		if list, err := receiveText(spoilt); err == nil || list != nil {
-			t.Errorf("spoilt at %d: %v", at, list)
-		} else if !strings.Contains(err.Error(), "parcel") {
-			t.Errorf("spoilt at %d: the error names no place: %v", at, err)
+		corrupt := bytes.Clone(data)
+		corrupt[at] ^= 0x40
+		if list, err := receiveBytes(corrupt); err == nil || list != nil {
+			t.Errorf("corrupt at %d: %v", at, list)
+		} else if !strings.Contains(err.Error(), "receiving the handover: record ") {
+			t.Errorf("corrupt at %d: the error names no place: %v", at, err)
 		}
 	}
 }
 
-// FuzzReceive: whatever comes, it is an error or a parcel of what came.
+// FuzzReceive: arbitrary bytes give an error, or a record that is no longer than they are.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 1, 0, 0, 0})
 	f.Add(bytes.Repeat([]byte{0xff}, 40))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		a, b := unixPair(t)
-		a.Write(text)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		a, b := newUnixPair(t)
+		a.Write(data)
 		a.Close()
-		if p, err := receive(b, time.Minute); err == nil && len(p.Kind)+len(p.Data) > len(text) {
-			t.Errorf("%d bytes made %d", len(text), len(p.Kind)+len(p.Data))
+		if record, err := receive(b, time.Minute); err == nil && len(record.Kind)+len(record.Data) > len(data) {
+			t.Errorf("%d bytes gave a record of %d", len(data), len(record.Kind)+len(record.Data))
 		}
 	})
 }
