--- a/internal/steadyclock/steadyclock.go
+++ b/internal/steadyclock/steadyclock.go
@@ -1,5 +1,6 @@
-// Package steadyclock gives instants a number that means the same to a later process on the same machine, whatever is done to the wall
-// clock meanwhile: within a process it is carried by the monotonic clock, across processes by the time since the machine's boot.
+// Package steadyclock numbers instants so that a number means the same instant to a later process on the same machine,
+// even if the wall clock is set in between. Within a process the monotonic clock carries the numbering on, and across
+// processes the time since the machine was booted.
 package steadyclock
 
 import (
@@ -12,43 +13,44 @@
 	"unsafe"
 )
 
-// WallNow reads the wall clock where it alone is to be had. Fault tests replace it.
+// WallNow reads the wall clock, for the cases in which no other clock is available. Fault tests replace it.
 var WallNow = time.Now
 
 const (
-	clockBoottime = 7 // CLOCK_BOOTTIME of Linux: it goes on while the machine sleeps
+	clockBoottime = 7 // CLOCK_BOOTTIME of Linux, which goes on while the machine is suspended
 	bootIDFile    = "/proc/sys/kernel/random/boot_id"
 )
 
-// Uptime returns how long ago the machine was booted; ok is false where the system does not say.
+// Uptime returns how long ago the machine was booted; ok is false if the system does not report it.
 func Uptime() (since time.Duration, ok bool) {
 	var now syscall.Timespec
 	_, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockBoottime, uintptr(unsafe.Pointer(&now)), 0)
 	return time.Duration(now.Nano()), errno == 0
 }
 
-// Clock maps instants to numbers. The zero Clock is of no use: see New and Open.
+// Clock maps instants to numbers. The zero Clock is not usable: New and Open return usable ones.
 type Clock struct {
-	anchor time.Time // by the monotonic clock
-	millis int64     // its number: what the wall clock said then, or would have said had nobody set it since
+	anchor time.Time // an instant with a reading of the monotonic clock
+	millis int64     // the number of anchor: what the wall clock showed then, or would have shown if it had not been set since
 }
 
-// New makes a clock that starts from the wall clock.
+// New returns a clock that starts from the wall clock.
 func New() Clock { return Clock{anchor: time.Now(), millis: WallNow().UnixMilli()} }
 
 // Millis returns the number of an instant, in milliseconds.
 func (c Clock) Millis(t time.Time) int64 { return c.millis + t.Sub(c.anchor).Milliseconds() }
 
-// Time returns the instant of a number.
+// Time returns the instant that a number stands for.
 func (c Clock) Time(millis int64) time.Time {
 	return c.anchor.Add(time.Duration(millis-c.millis) * time.Millisecond)
 }
 
-// Open goes on with the clock that a file describes. Without a file of this boot of the machine it starts from the wall clock, and the file is
-// written. The clock is good whatever the error, which says that the next process will start from the wall clock, too.
+// Open continues the clock that a file describes. If there is no file that was written since the machine was booted, the
+// clock starts from the wall clock, and Open writes the file. The clock is usable even if Open returns an error, which
+// means that the next process will start from the wall clock, too.
 func Open(file string) (Clock, error) {
 	clock := New()
-	uptime, bootID, err := boot()
+	uptime, bootID, err := readBoot()
 	if err != nil {
 		return clock, err
 	}
@@ -59,9 +61,9 @@
 	return clock, clock.Save(file)
 }
 
-// Save writes the file by which a later process goes on with the clock.
+// Save writes the file by which a later process continues the clock.
 func (c Clock) Save(file string) error {
-	uptime, bootID, err := boot()
+	uptime, bootID, err := readBoot()
 	if err != nil {
 		return err
 	}
@@ -73,11 +75,11 @@
 	return os.Rename(next, file)
 }
 
-// errNoUptime is the error of a system without the clock that Uptime reads.
-var errNoUptime = errors.New("the machine does not say how long ago it was booted")
+// errNoUptime is the error on a system without the clock that Uptime reads.
+var errNoUptime = errors.New("the system does not report how long ago the machine was booted")
 
-// boot returns how long ago the machine was booted, and the name of that boot.
-func boot() (uptime time.Duration, id string, err error) {
+// readBoot returns how long ago the machine was booted, and the ID of that boot.
+func readBoot() (uptime time.Duration, id string, err error) {
 	uptime, ok := Uptime()
 	if !ok {
 		return 0, "", errNoUptime
@@ -86,20 +88,21 @@
 	return uptime, strings.TrimSpace(string(text)), err
 }
 
-// readOffset returns the clock's number at the boot of the machine, if a file has it for this boot.
-func readOffset(file, bootID string) (millis int64, isSame bool) {
+// readOffset returns the clock's number for the time when the machine was booted, if the file was written since then.
+func readOffset(file, bootID string) (offset int64, isSame bool) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return 0, false
 	}
 	var id string
-	if n, err := fmt.Sscanf(string(text), "%s %d\n", &id, &millis); err != nil || n != 2 {
+	if n, err := fmt.Sscanf(string(text), "%s %d\n", &id, &offset); err != nil || n != 2 {
 		return 0, false
 	}
-	return millis, id == bootID
+	return offset, id == bootID
 }
 
-// WallStep returns by how much the wall clock was set between an instant of another process on this machine, told by both its clocks, and now.
+// WallStep returns by how much the wall clock has been set since an instant for which another process on this machine
+// has read both the wall clock and the uptime. It returns 0 if either uptime is unknown.
 func WallStep(wallThen time.Time, uptimeThen time.Duration) time.Duration {
 	uptime, ok := Uptime()
 	if !ok || uptimeThen <= 0 {
--- a/internal/steadyclock/steadyclock_test.go
+++ b/internal/steadyclock/steadyclock_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-const tolerance = 5 * time.Second // for a busy machine
+const tolerance = 5 * time.Second // allows for a busy machine
 
-// setWall has the wall clock be wrong by a step until the test ends.
-func setWall(t *testing.T, step time.Duration) {
+// setWallClock makes the wall clock wrong by the given step until the test ends.
+func setWallClock(t *testing.T, step time.Duration) {
 	t.Helper()
 	WallNow = func() time.Time { return time.Now().Add(step) }
 	t.Cleanup(func() { WallNow = time.Now })
 }
 
-func near(got, want time.Duration) bool { return (got - want).Abs() < tolerance }
+func isNear(got, want time.Duration) bool { return (got - want).Abs() < tolerance }
 
 // TestDeadlineOutlastsClockStep guards against deadlines that move when the wall clock is set between two processes.
 func TestDeadlineOutlastsClockStep(t *testing.T) {
@@ -27,19 +27,20 @@
 			t.Fatal(err)
 		}
 		millis := before.Millis(time.Now().Add(time.Minute))
-		setWall(t, step)
+		setWallClock(t, step)
 		after, err := Open(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if left := time.Until(after.Time(millis)); !near(left, time.Minute) {
-			t.Errorf("set by %v: %v left of a minute", step, left)
+		if left := time.Until(after.Time(millis)); !isNear(left, time.Minute) {
+			t.Errorf("wall clock set by %v: %v left of a minute", step, left)
 		}
 	}
 }
 
-// TestAnotherBoot starts from the wall clock where the file is of another boot, spoilt or gone, and replaces it.
-func TestAnotherBoot(t *testing.T) {
+// TestUnusableClockFile: if the file is missing, malformed or from another boot, the clock starts from the wall clock
+// and replaces the file.
+func TestUnusableClockFile(t *testing.T) {
 	for _, text := range []string{"", "4b1c7a3e-0000-0000-0000-000000000000 12\n", "nonsense", "x y z"} {
 		file := filepath.Join(t.TempDir(), "clock")
 		if text != "" {
@@ -52,28 +53,29 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := time.Duration(c.Millis(time.Now())-time.Now().UnixMilli()) * time.Millisecond; !near(got, 0) {
-				t.Errorf("%q: %v off the wall clock", text, got)
+			if got := time.Duration(c.Millis(time.Now())-time.Now().UnixMilli()) * time.Millisecond; !isNear(got, 0) {
+				t.Errorf("with the file %q the clock differs from the wall clock by %v", text, got)
 			}
 		}
 	}
 	if c, err := Open(filepath.Join(t.TempDir(), "no", "folder")); err == nil || c.anchor.IsZero() {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("in a folder that does not exist: clock %+v, error %v", c, err)
 	}
 }
 
-// TestStep tells how far the wall clock was set.
-func TestStep(t *testing.T) {
+// TestWallStep checks the reported step of a wall clock that was set, and that it is 0 if the other process has no
+// uptime.
+func TestWallStep(t *testing.T) {
 	wall := time.Now()
 	uptime, ok := Uptime()
 	if !ok {
-		t.Fatal("no uptime")
+		t.Fatal("the system does not report its uptime")
 	}
-	setWall(t, time.Hour)
-	if got := WallStep(wall, uptime); !near(got, time.Hour) {
+	setWallClock(t, time.Hour)
+	if got := WallStep(wall, uptime); !isNear(got, time.Hour) {
 		t.Error(got)
 	}
 	if got := WallStep(wall, 0); got != 0 {
-		t.Errorf("%v from a process that does not tell its uptime", got)
+		t.Errorf("a step of %v with an unknown uptime", got)
 	}
 }
