--- a/internal/version/build.go
+++ b/internal/version/build.go
@@ -2,7 +2,7 @@
 
 import "runtime/debug"
 
-// OwnBuild is the program that runs, as the tool chain noted it.
+// OwnBuild returns the build of the running program, as recorded by the Go tool chain.
 func OwnBuild() (b Build) {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/version/version_test.go
+++ b/internal/version/version_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// TestTargetsByChanges: however a list is told, whole or by changes and in any order, its digest is that of its contents, and lists that
-// differ in anything differ in it.
-func TestTargetsByChanges(t *testing.T) {
+// TestListDigestByChanges: the digest of a list depends only on its contents, whether the list was sent completely or by changes and in whatever order. Lists that differ in
+// any field have different digests.
+func TestListDigestByChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var told ListTracker
+		var tracker ListTracker
 		model := map[string]Entry{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "lists") {
-			whole := rapid.IntRange(0, 5).Draw(t, "whole") == 0
-			if whole {
+			complete := rapid.IntRange(0, 5).Draw(t, "whole") == 0
+			if complete {
 				clear(model)
 			}
 			var entries []Entry
@@ -31,24 +31,24 @@
 					delete(model, e.Name)
 				}
 			}
-			got := told.Update(int64(i), whole, entries)
+			got := tracker.Update(int64(i), complete, entries)
 			all := slices.Collect(maps.Values(model))
 			var fresh ListTracker
 			if want := fresh.Update(int64(i), true, all); got != want {
-				t.Fatalf("list %d: %+v, and told whole %+v", i, got, want)
+				t.Fatalf("list %d: %+v, but sent as a complete list %+v", i, got, want)
 			}
-			for j := range all { // any one thing that differs shows
+			for j := range all { // any difference in one field shows in a digest
 				for k, change := range []func(*Entry){func(e *Entry) { e.State += "x" }, func(e *Entry) { e.Group++ }, func(e *Entry) { e.Weight++ },
 					func(e *Entry) { e.Zone = "z" }, func(e *Entry) { e.Kind = "k" }, func(e *Entry) { e.Gone = true }, func(e *Entry) { e.Address = "c:1" }} {
 					other := slices.Clone(all)
 					change(&other[j])
-					var o ListTracker
-					list := o.Update(int64(i), true, other)
+					var otherTracker ListTracker
+					list := otherTracker.Update(int64(i), true, other)
 					if same := list.Digest == got.Digest && list.AddressDigest == got.AddressDigest; same {
-						t.Fatalf("list %d: change %d of %+v does not show", i, k, all[j])
+						t.Fatalf("list %d: change %d of %+v does not change a digest", i, k, all[j])
 					}
 					if k == 6 && list.Digest != got.Digest { // addresses may differ from one forwarder to the next
-						t.Fatalf("list %d: another address shows in the digest of the contents", i)
+						t.Fatalf("list %d: a different address changes the digest of the contents", i)
 					}
 				}
 			}
@@ -56,25 +56,25 @@
 	})
 }
 
-func TestLacks(t *testing.T) {
+func TestMismatches(t *testing.T) {
 	v := Vector{Build: Build{Revision: "abcdef"}, Settings: Contents{Digest: 1}, Operators: Contents{Digest: 2}, List: List{Index: 5, Digest: 9}}
-	for want, lacks := range map[Desired][]Mismatch{
+	for desired, want := range map[Desired][]Mismatch{
 		{}:                         nil,
 		{Build: "abc", Index: 5}:   nil,
-		{Index: 4, List: 1}:        nil, // a newer list is no worse
+		{Index: 4, List: 1}:        nil, // a newer list is acceptable
 		{Index: 6}:                 {ListOutdated},
 		{Index: 5, List: 8}:        {ListDiverged},
 		{Index: 5, List: 9}:        nil,
 		{Operators: 3, Build: "b"}: {OperatorsMismatch, BuildMismatch},
 		{Settings: 7}:              {SettingsMismatch},
 	} {
-		if got := v.Mismatches(want); !slices.Equal(got, lacks) {
-			t.Errorf("%+v: %v and not %v", want, got, lacks)
+		if got := v.Mismatches(desired); !slices.Equal(got, want) {
+			t.Errorf("%+v: mismatches %v, want %v", desired, got, want)
 		}
 	}
 }
 
-func TestWritten(t *testing.T) {
+func TestJSONAndDigests(t *testing.T) {
 	v := Vector{Format: Format, Operators: Contents{Digest: 0xab, LoadCount: 2}, List: List{Index: 7, Digest: 1 << 63}}
 	text, err := json.Marshal(v)
 	var got Vector
@@ -87,10 +87,10 @@
 	for _, bad := range []string{`"12"`, `"zz00000000000000"`, `"00000000000000001"`} {
 		var d Digest
 		if json.Unmarshal([]byte(bad), &d) == nil {
-			t.Errorf("%s is taken for a digest", bad)
+			t.Errorf("%s is accepted as a digest", bad)
 		}
 	}
 	if DigestOfNames([]string{"a", "b"}) != DigestOfNames([]string{"b", "a"}) || DigestOfNames([]string{"a", "b"}) == DigestOfNames([]string{"ab"}) || DigestOfNames(nil) == DigestOfNames([]string{""}) {
-		t.Error("names")
+		t.Error("the digest of names depends on their order, or different names have the same digest")
 	}
 }
