--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -1,6 +1,6 @@
-// Package fence keeps a process that slept from acting on what it knew before: stopped by a signal, frozen with its machine, or starved of its core.
-// While it runs, its loop renews a lease; whoever is about to write the first byte of a call checks that. A lease that has run out closes
-// the fence until what the process knows was confirmed.
+// Package fence keeps a process that was suspended from acting on outdated state: for instance stopped by a signal, frozen with its machine, or starved of CPU time.
+// While the process runs, its main loop renews a lease. The lease is checked right before the first byte of each call. An expired lease closes the fence until the
+// state of the process has been confirmed again.
 package fence
 
 import (
@@ -11,46 +11,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// MinLease is the shortest lease: below it a busy machine is taken for one that slept.
+// MinLease is the shortest lease. With a shorter one, a process on a busy machine would count as suspended.
 const MinLease = 50 * time.Millisecond
 
-// Fence is one process's. Its methods may be called from any goroutine.
+// Fence is the fence of one process. Its methods may be called from any goroutine.
 type Fence struct {
-	lease  time.Duration
-	now    func() time.Duration
-	beat   atomic.Int64 // when the lease was renewed
-	closed atomic.Bool
-
-	mu    sync.Mutex // for closing and opening
-	epoch uint64     // number of the newest sleep
-	slept time.Duration
+	lease   time.Duration
+	now     func() time.Duration
+	renewed atomic.Int64 // when the lease was renewed
+	closed  atomic.Bool
+
+	mu    sync.Mutex    // held while the fence is closed or opened
+	epoch uint64        // number of the latest suspension
+	pause time.Duration // its length: the time since the last renewal when the expiry was detected
 }
 
-// New makes one that is open, with a lease from Least on.
-func New(lease time.Duration) *Fence { return newFence(lease, sinceBoot) }
+// New returns an open fence. A lease below MinLease is raised to it.
+func New(lease time.Duration) *Fence { return newFence(lease, bootTime) }
 
 func newFence(lease time.Duration, now func() time.Duration) *Fence {
 	f := &Fence{lease: max(lease, MinLease), now: now}
-	f.beat.Store(int64(now()))
+	f.renewed.Store(int64(now()))
 	return f
 }
 
-// sinceBoot goes on while the process is stopped and while the machine is suspended, and nobody sets it.
-func sinceBoot() time.Duration {
+// bootTime returns a clock that continues while the process is stopped and while the machine is suspended, and that can't be set.
+func bootTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // of an old kernel: it stands still while the machine is suspended
+		unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // for old kernels: this clock stops while the machine is suspended
 	}
 	return time.Duration(t.Nano())
 }
 
-// RenewInterval is how often the lease is to be renewed.
+// RenewInterval returns the interval at which the lease is to be renewed.
 func (f *Fence) RenewInterval() time.Duration { return f.lease / 4 }
 
-// CheckHook is called first in each Check: tests stop the process there. nil for everybody else.
+// CheckHook is called at the start of each Check. Tests use it to stop the process there; it is nil otherwise.
 var CheckHook func()
 
-// Check tells whether a call may begin. It is asked right before the first byte.
+// Check reports whether a call may begin. It is to be called right before the first byte is written.
 func (f *Fence) Check() bool {
 	if CheckHook != nil {
 		CheckHook()
@@ -58,47 +58,48 @@
 	if f.closed.Load() {
 		return false
 	}
-	if f.gap() <= f.lease {
-		return !f.closed.Load() // looked at again: whoever has just renewed a lease that had run out closed the fence first
+	if f.sinceRenewal() <= f.lease {
+		return !f.closed.Load() // checked again: an expired lease may just have been renewed, which closes the fence before it renews
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.look()
+	f.closeIfExpired()
 	return !f.closed.Load()
 }
 
-func (f *Fence) gap() time.Duration { return f.now() - time.Duration(f.beat.Load()) }
+// sinceRenewal returns the time since the last renewal.
+func (f *Fence) sinceRenewal() time.Duration { return f.now() - time.Duration(f.renewed.Load()) }
 
-// look closes the fence if the process slept, also where it is closed by an earlier sleep.
-func (f *Fence) look() {
-	if gap := f.gap(); gap > f.lease {
-		f.epoch, f.slept = f.epoch+1, gap
+// closeIfExpired closes the fence if the lease has expired. A fence that is still closed from an earlier suspension is closed again under a new number.
+func (f *Fence) closeIfExpired() {
+	if pause := f.sinceRenewal(); pause > f.lease {
+		f.epoch, f.pause = f.epoch+1, pause
 		f.closed.Store(true) // before the lease counts as renewed
-		f.beat.Store(int64(f.now()))
+		f.renewed.Store(int64(f.now()))
 	}
 }
 
-// Renew renews the lease; if that had run out, the fence is closed. It returns the number of the sleep that the fence is closed by, 0 while it is
-// open, and how long that was.
-func (f *Fence) Renew() (epoch uint64, slept time.Duration) {
+// Renew renews the lease. If the lease had expired, the fence is closed first. Renew returns the number and the length of the suspension because of which the fence is
+// closed, or 0 if the fence is open.
+func (f *Fence) Renew() (epoch uint64, pause time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.look(); !f.closed.Load() {
-		f.beat.Store(int64(f.now()))
+	if f.closeIfExpired(); !f.closed.Load() {
+		f.renewed.Store(int64(f.now()))
 		return 0, 0
 	}
-	f.beat.Store(int64(f.now()))
-	return f.epoch, f.slept
+	f.renewed.Store(int64(f.now()))
+	return f.epoch, f.pause
 }
 
-// Closed tells whether it is.
+// Closed reports whether the fence is closed.
 func (f *Fence) Closed() bool { return f.closed.Load() }
 
-// Open opens it after the sleep of this number; not if there was another one since.
+// Open opens the fence after the suspension with this number, unless another suspension followed. It reports whether the fence was opened.
 func (f *Fence) Open(epoch uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.look(); !f.closed.Load() || epoch != f.epoch {
+	if f.closeIfExpired(); !f.closed.Load() || epoch != f.epoch {
 		return false
 	}
 	f.closed.Store(false)
--- a/internal/fence/fence_test.go
+++ b/internal/fence/fence_test.go
@@ -7,67 +7,67 @@
 	"pgregory.net/rapid"
 )
 
-// TestFence: whatever order beats, checks, sleeps and confirmations come in, no call begins while a sleep is not confirmed, a confirmation that was asked
-// for before a sleep does not open it after that, and a process that does not sleep is never fenced.
+// TestFence draws renewals, checks, suspensions and confirmations in any order. No call may begin until a suspension is confirmed, a confirmation that was requested before
+// a suspension must not open the fence after it, and a process that is not suspended is never fenced off.
 func TestFence(t *testing.T) {
-	fenced, opened, old := 0, 0, 0
+	rejected, reopened, outdated := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		var now time.Duration
 		f := newFence(time.Second, func() time.Duration { return now })
-		renewed, slept, number := time.Duration(0), false, uint64(0) // model
-		look := func() {
+		renewed, paused, epochs := time.Duration(0), false, uint64(0) // model
+		closeIfExpired := func() {
 			if now-renewed > time.Second {
-				slept, renewed = true, now
-				number++
+				paused, renewed = true, now
+				epochs++
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
-			case 1: // stopped
+			case 1: // suspended
 				now += time.Duration(rapid.IntRange(1, 5).Draw(t, "s")) * time.Second
 			case 2, 3:
-				if !slept {
-					look()
+				if !paused {
+					closeIfExpired()
 				}
-				if got := f.Check(); got == slept {
-					t.Fatalf("a call may begin: %v; it slept: %v", got, slept)
+				if got := f.Check(); got == paused {
+					t.Fatalf("a call may begin: %v; the process was suspended: %v", got, paused)
 				}
-				if slept {
-					fenced++
+				if paused {
+					rejected++
 				}
 			case 4:
-				look()
+				closeIfExpired()
 				renewed = now
-				if epoch, _ := f.Renew(); (epoch != 0) != slept || slept && epoch != number {
-					t.Fatalf("sleep %d, and it slept: %v, the %dth time", epoch, slept, number)
+				if epoch, _ := f.Renew(); (epoch != 0) != paused || paused && epoch != epochs {
+					t.Fatalf("Renew returned suspension %d; suspended: %v, latest suspension: %d", epoch, paused, epochs)
 				}
 			default:
-				look()
-				n := number - uint64(rapid.IntRange(0, 1).Draw(t, "old"))
-				got := f.Open(n)
-				if want := slept && n == number; got != want {
-					t.Fatalf("opens for %d: %v; it slept: %v, the %dth time", n, got, slept, number)
+				closeIfExpired()
+				epoch := epochs - uint64(rapid.IntRange(0, 1).Draw(t, "old"))
+				got := f.Open(epoch)
+				if want := paused && epoch == epochs; got != want {
+					t.Fatalf("Open(%d) = %v; suspended: %v, latest suspension: %d", epoch, got, paused, epochs)
 				}
 				if got {
-					opened++
-					slept = false
-				} else if slept {
-					old++
+					reopened++
+					paused = false
+				} else if paused {
+					outdated++
 				}
 			}
-			if f.Closed() != slept && now-renewed <= time.Second {
-				t.Fatalf("closed: %v", f.Closed())
+			if f.Closed() != paused && now-renewed <= time.Second {
+				t.Fatalf("Closed() = %v", f.Closed())
 			}
 		}
 	})
-	if fenced == 0 || opened == 0 || old == 0 {
-		t.Errorf("%d fenced, %d opened, %d refused: this test tests too little", fenced, opened, old)
+	if rejected == 0 || reopened == 0 || outdated == 0 {
+		t.Errorf("%d calls rejected, %d fences opened, %d outdated confirmations: the test covers too little", rejected, reopened, outdated)
 	}
 	f := New(0)
-	if f.RenewInterval() != MinLease/4 || !f.Check() || sinceBoot() <= 0 {
-		t.Error("on the real clock")
+	if f.RenewInterval() != MinLease/4 || !f.Check() || bootTime() <= 0 {
+		t.Error("a new fence on the system clock does not have the minimum lease, or is not open")
 	}
 }
 
