--- a/internal/membership/forget_test.go
+++ b/internal/membership/forget_test.go
@@ -7,8 +7,9 @@
 	"scaleroute/internal/engine"
 )
 
-// TestForget: what one source is not asked for any more is as if it had never named it: another's endpoint serves on, and one that is named again serves.
-func TestForget(t *testing.T) {
+// TestForgetSource: after Forget, a source counts as if it had never named the endpoints: an endpoint that another source names continues to serve, and an endpoint that
+// the source names again serves.
+func TestForgetSource(t *testing.T) {
 	named := func(names ...string) engine.List {
 		l := engine.List{Scope: decide.Delta}
 		for _, n := range names {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,9 +1,11 @@
-// Package membership makes one list of endpoints out of what several sources tell of them. It does no I/O and reads no clock.
+// Package membership merges the endpoint lists of several sources into one list. It does no I/O and reads no clock.
 //
-// The rule where sources disagree: an endpoint is known by its name. Whoever has named it can withdraw it: it serves only while
-// every source that names it says so. One that discovery took back does not serve until discovery names it again, or nobody
-// else does; one that the operators' file does not name any more is as if it had never been there. One that operators have left out by
-// hand drains whatever the others say, until they put it back. Where it is, and whose, is told by the source with the highest rank that names it.
+// An endpoint is identified by its name. The rules for sources that disagree:
+//   - Every source that has named an endpoint can withdraw it: the endpoint serves only while all sources that name it have it active.
+//   - An endpoint that discovery has withdrawn does not serve until discovery names it again, or until no other source names it.
+//   - An endpoint that the operators' file no longer names is treated as if the file had never named it.
+//   - An endpoint that operators have disabled drains until they re-enable it, whatever the sources say.
+//   - The address and the destination of an endpoint come from the highest-ranked source that names it.
 package membership
 
 import (
@@ -14,136 +16,136 @@
 	"scaleroute/internal/engine"
 )
 
-// Source is where endpoints are told; the higher one has the last word on where they are.
+// Source is a source of endpoints. A higher value has a higher rank: its address and destination are used.
 type Source int
 
 // The sources.
 const (
-	Agent   Source = iota // the platform's discovery
-	File                  // the operators' file
-	sources               // how many there are
+	Agent       Source = iota // the platform's discovery
+	File                      // the operators' file
+	sourceCount               // the number of sources
 )
 
-// said is what one source says of an endpoint; Gone stays as long as another source names it.
-type said struct {
+// statement is what one source says about an endpoint. A statement with the state Gone is kept as long as another source names the endpoint.
+type statement struct {
 	known bool
 	engine.Endpoint
 }
 
-// takeBack notes that a source names an endpoint no more. The file says what there is, and not what became of it.
-func (s *said) takeBack(from Source) {
+// withdraw records that a source no longer names an endpoint. For the operators' file the statement is deleted: the file says which endpoints exist, and not that one
+// was withdrawn.
+func (s *statement) withdraw(from Source) {
 	if s.known, s.State = true, decide.Gone; from == File {
-		*s = said{}
+		*s = statement{}
 	}
 }
 
-// Set is what all sources have told. The zero Set knows of none.
+// Set holds the statements of all sources. The zero Set is empty and ready to use.
 type Set struct {
-	by     map[string]*[sources]said
-	merged map[string]engine.Endpoint
-	hand   hand
-	peers  map[string]bool // what other forwarders know to drain, as far as that is heeded
+	statements map[string]*[sourceCount]statement
+	merged     map[string]engine.Endpoint
+	overrides  overrides
+	peerDrains map[string]bool // endpoints that drain because other forwarders report so, within the limits of SetPeerDrains
 }
 
-// Update takes what a source tells, and returns what all together come to: everything where the source told everything, or else
-// what has changed.
+// Update applies a source's list and returns the merged result: the complete merged list if the source sent a complete one, or else the changes.
 func (s *Set) Update(from Source, l engine.List) engine.List {
-	if s.by == nil {
-		s.by, s.merged = map[string]*[sources]said{}, map[string]engine.Endpoint{}
+	if s.statements == nil {
+		s.statements, s.merged = map[string]*[sourceCount]statement{}, map[string]engine.Endpoint{}
 	}
-	s.hand.seen(l)
+	s.overrides.remember(l)
 	if l.Scope == decide.Unavailable {
 		return l
 	}
-	whole := l.Scope != decide.Delta
-	touched := map[string]bool{}
-	if whole { // what it does not name any more it has taken back
-		for name, all := range s.by {
-			if all[from].known {
-				all[from].takeBack(from)
-				touched[name] = true
+	complete := l.Scope != decide.Delta
+	changed := map[string]bool{}
+	if complete { // the source has withdrawn what a complete list does not name
+		for name, statements := range s.statements {
+			if statements[from].known {
+				statements[from].withdraw(from)
+				changed[name] = true
 			}
 		}
 	}
 	for _, e := range l.Endpoints {
-		all := s.by[e.ID]
-		if all == nil {
-			all = &[sources]said{}
-			s.by[e.ID] = all
+		statements := s.statements[e.ID]
+		if statements == nil {
+			statements = &[sourceCount]statement{}
+			s.statements[e.ID] = statements
 		}
-		if e.State == decide.Gone { // it need not say where that was
-			all[from].takeBack(from)
+		if e.State == decide.Gone { // such an entry may lack an address
+			statements[from].withdraw(from)
 		} else {
-			all[from] = said{true, e}
+			statements[from] = statement{true, e}
 		}
-		touched[e.ID] = true
+		changed[e.ID] = true
 	}
-	changes := s.changes(touched)
-	if !whole {
+	changes := s.recompute(changed)
+	if !complete {
 		return changes
 	}
-	all := engine.List{Scope: l.Scope}
+	merged := engine.List{Scope: l.Scope}
 	for _, name := range slices.Sorted(maps.Keys(s.merged)) {
-		all.Endpoints = append(all.Endpoints, s.merged[name])
+		merged.Endpoints = append(merged.Endpoints, s.merged[name])
 	}
-	return all
+	return merged
 }
 
-// Forget drops what a source has told of some endpoints, as if it had never named them, and returns what that changes. It is for what is not needed any more:
-// to withdraw an endpoint is a list's to do.
+// Forget deletes a source's statements about some endpoints, as if the source had never named them, and returns the resulting changes. It is meant for endpoints that
+// this forwarder no longer needs; withdrawals come with a list.
 func (s *Set) Forget(from Source, names []string) engine.List {
-	touched := map[string]bool{}
+	changed := map[string]bool{}
 	for _, name := range names {
-		if all := s.by[name]; all != nil {
-			all[from] = said{}
-			touched[name] = true
+		if statements := s.statements[name]; statements != nil {
+			statements[from] = statement{}
+			changed[name] = true
 		}
 	}
-	return s.changes(touched)
+	return s.recompute(changed)
 }
 
-// changes works out anew what the endpoints of some names are, and returns those that it changed.
-func (s *Set) changes(touched map[string]bool) engine.List {
+// recompute merges the statements about the given endpoints again and returns the endpoints that changed.
+func (s *Set) recompute(names map[string]bool) engine.List {
 	changes := engine.List{Scope: decide.Delta}
-	for _, name := range slices.Sorted(maps.Keys(touched)) {
-		e, there := s.merge(name)
-		old, was := s.merged[name]
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		e, listed := s.merge(name)
+		old, wasListed := s.merged[name]
 		switch {
-		case there:
+		case listed:
 			s.merged[name] = e
-		case was:
+		case wasListed:
 			delete(s.merged, name)
 			e = old
 			e.State = decide.Gone
 		default:
 			continue
 		}
-		if !there || !was || e != old {
+		if !listed || !wasListed || e != old {
 			changes.Endpoints = append(changes.Endpoints, e)
 		}
 	}
 	return changes
 }
 
-// merge works out what an endpoint is by all that was said of it, and forgets it if nobody names it any more.
-func (s *Set) merge(name string) (e engine.Endpoint, there bool) {
+// merge computes an endpoint from the statements of all sources. It deletes the statements if no source names the endpoint any more.
+func (s *Set) merge(name string) (e engine.Endpoint, listed bool) {
 	state := decide.Active
-	for from := range sources {
-		switch one := s.by[name][from]; {
-		case !one.known:
-		case one.State == decide.Gone:
-			state = max(state, decide.Draining) // by whoever still names it
+	for from := range sourceCount {
+		switch statement := s.statements[name][from]; {
+		case !statement.known:
+		case statement.State == decide.Gone:
+			state = max(state, decide.Draining) // the source has withdrawn it: it drains as long as another source names it
 		default:
-			e, there = one.Endpoint, true
-			state = max(state, one.State)
+			e, listed = statement.Endpoint, true
+			state = max(state, statement.State)
 		}
 	}
-	if !there {
-		delete(s.by, name)
+	if !listed {
+		delete(s.statements, name)
 		return e, false
 	}
-	e.State, e.EnableCount = state, s.hand.back[name]
-	if _, out := s.hand.out[name]; out || s.peers[name] {
+	e.State, e.EnableCount = state, s.overrides.enableCount[name]
+	if _, disabled := s.overrides.disabled[name]; disabled || s.peerDrains[name] {
 		e.State = max(e.State, decide.Draining)
 	}
 	return e, true
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,26 +10,26 @@
 	"scaleroute/internal/engine"
 )
 
-// TestSourcesThatDisagree compares the merged list, as changes bring it about, with the stated rule worked out anew from all that
-// was ever told: whatever the sources say in whatever order, no endpoint serves that one of them has withdrawn.
-func TestSourcesThatDisagree(t *testing.T) {
+// TestDisagreeingSources compares the merged list, as it results from the changes, with the documented rules applied from scratch to all statements. No endpoint may serve
+// that one of the sources has withdrawn, whatever the sources say and in whatever order.
+func TestDisagreeingSources(t *testing.T) {
 	states := []decide.TargetState{decide.Active, decide.Active, decide.Draining, decide.Gone}
-	served := 0
+	active := 0
 	rapid.Check(t, func(t *rapid.T) {
 		var s Set
-		type word struct {
+		type statement struct {
 			state   decide.TargetState
 			address string
 		}
-		said := map[string]map[Source]word{} // what each source said last
-		view := map[string]engine.Endpoint{} // as the engine would have it
+		statements := map[string]map[Source]statement{} // the latest statement of each source about each endpoint
+		view := map[string]engine.Endpoint{}            // the list that the engine would have
 		for range rapid.IntRange(1, 40).Draw(t, "lists") {
-			from := Source(rapid.IntRange(0, int(sources)-1).Draw(t, "source"))
+			from := Source(rapid.IntRange(0, int(sourceCount)-1).Draw(t, "source"))
 			l := engine.List{Scope: rapid.SampledFrom([]decide.ListScope{decide.Delta, decide.Delta, decide.Snapshot, decide.LastKnown, decide.Unavailable}).Draw(t, "scope")}
 			if l.Scope == decide.Snapshot || l.Scope == decide.LastKnown {
-				for _, by := range said {
+				for _, by := range statements {
 					if w, ok := by[from]; ok {
-						if by[from] = (word{decide.Gone, w.address}); from == File {
+						if by[from] = (statement{decide.Gone, w.address}); from == File {
 							delete(by, from)
 						}
 					}
@@ -40,18 +40,18 @@
 					e := engine.Endpoint{Target: decide.Target{ID: fmt.Sprint("s", n), Destination: n % 2, State: rapid.SampledFrom(states).Draw(t, "state")},
 						Address: fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "address"))}
 					l.Endpoints = append(l.Endpoints, e)
-					if said[e.ID] == nil {
-						said[e.ID] = map[Source]word{}
+					if statements[e.ID] == nil {
+						statements[e.ID] = map[Source]statement{}
 					}
-					said[e.ID][from] = word{e.State, e.Address}
+					statements[e.ID][from] = statement{e.State, e.Address}
 					if from == File && e.State == decide.Gone {
-						delete(said[e.ID], from)
+						delete(statements[e.ID], from)
 					}
 				}
 			}
 			got := s.Update(from, l)
 			if got.Scope != l.Scope {
-				t.Fatalf("told %v, and %v came of it", l.Scope, got.Scope)
+				t.Fatalf("the source sent scope %v, and the result has scope %v", l.Scope, got.Scope)
 			}
 			if l.Scope == decide.Snapshot || l.Scope == decide.LastKnown {
 				clear(view)
@@ -64,9 +64,9 @@
 				}
 			}
 			want := map[string]string{}
-			for name, by := range said {
-				state, address, there := decide.Active, "", false
-				for from := range sources {
+			for name, by := range statements {
+				state, address, listed := decide.Active, "", false
+				for from := range sourceCount {
 					w, ok := by[from]
 					if !ok {
 						continue
@@ -75,11 +75,11 @@
 						state = decide.Draining
 					}
 					if w.state != decide.Gone {
-						there, address = true, w.address
+						listed, address = true, w.address
 					}
 				}
-				if !there {
-					delete(said, name) // nobody names it: what was said is forgotten
+				if !listed {
+					delete(statements, name) // no source names it any more: its statements are forgotten
 				} else {
 					want[name] = fmt.Sprint(state, " at ", address)
 				}
@@ -88,15 +88,15 @@
 			for name, e := range view {
 				have[name] = fmt.Sprint(e.State, " at ", e.Address)
 				if e.State == decide.Active {
-					served++
+					active++
 				}
 			}
 			if fmt.Sprint(have) != fmt.Sprint(want) {
-				t.Fatalf("after %v told %+v: the engine has %v; by the rule %v", from, l, have, want)
+				t.Fatalf("after source %v sent %+v, the engine has %v; the rules give %v", from, l, have, want)
 			}
 		}
 	})
-	if served == 0 {
-		t.Error("none ever served: the test shows nothing")
+	if active == 0 {
+		t.Error("no endpoint ever served: the test covers too little")
 	}
 }
--- a/internal/membership/hand_test.go
+++ b/internal/membership/overrides_test.go
@@ -12,17 +12,17 @@
 	"scaleroute/internal/engine"
 )
 
-// TestLeftOutByHand: whatever discovery lists, drops and lists anew meanwhile, an endpoint that is left out by hand serves only after it
-// was put back, also over a restart from what was stored; and what could not be stored is not so.
-func TestLeftOutByHand(t *testing.T) {
-	disk := errors.New("disk")
-	served, kept := 0, 0
+// TestDisabledByOperator: an endpoint that an operator has disabled serves only after it is re-enabled, whatever discovery lists, drops and lists again meanwhile, and also
+// across a restart from the stored names. A change that could not be stored does not take effect.
+func TestDisabledByOperator(t *testing.T) {
+	errDisk := errors.New("disk")
+	active, restored := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		var s Set
 		view := map[string]engine.Endpoint{}
-		out, ever, stored := map[string]bool{}, map[string]bool{}, []string(nil)
-		putBack := map[string]uint32{}
-		take := func(l engine.List) {
+		disabled, everListed, stored := map[string]bool{}, map[string]bool{}, []string(nil)
+		enableCount := map[string]uint32{}
+		apply := func(l engine.List) {
 			if l.Scope == decide.Snapshot {
 				clear(view)
 			}
@@ -39,7 +39,7 @@
 			fails := rapid.IntRange(0, 4).Draw(t, "disk") == 0
 			store := func(names []string) error {
 				if fails {
-					return disk
+					return errDisk
 				}
 				stored = names
 				return nil
@@ -48,73 +48,73 @@
 			case 0:
 				l, err := s.Disable(name, 3, store)
 				switch {
-				case !ever[name] && !out[name]:
+				case !everListed[name] && !disabled[name]:
 					if !errors.Is(err, ErrNeverListed) {
 						t.Fatalf("%s was never listed: %v", name, err)
 					}
-				case out[name]:
+				case disabled[name]:
 					if err != nil {
 						t.Fatal(err)
 					}
-				case len(out) == 3:
+				case len(disabled) == 3:
 					if !errors.Is(err, ErrTooManyDisabled) {
-						t.Fatalf("a fourth: %v", err)
+						t.Fatalf("disabling a fourth endpoint: %v", err)
 					}
 				case fails:
-					if !errors.Is(err, disk) {
-						t.Fatalf("not stored: %v", err)
+					if !errors.Is(err, errDisk) {
+						t.Fatalf("storing failed, and the error is: %v", err)
 					}
 				default:
-					out[name] = true
+					disabled[name] = true
 				}
-				take(l)
+				apply(l)
 			case 1:
 				l, err := s.Enable(name, store)
 				switch {
-				case !ever[name] && !out[name]:
+				case !everListed[name] && !disabled[name]:
 					if !errors.Is(err, ErrNeverListed) {
 						t.Fatalf("%s was never listed: %v", name, err)
 					}
-				case out[name] && fails:
-					if !errors.Is(err, disk) {
-						t.Fatalf("not stored: %v", err)
+				case disabled[name] && fails:
+					if !errors.Is(err, errDisk) {
+						t.Fatalf("storing failed, and the error is: %v", err)
 					}
-				case out[name]:
-					delete(out, name)
-					putBack[name]++
+				case disabled[name]:
+					delete(disabled, name)
+					enableCount[name]++
 				}
-				take(l)
-			case 2: // a restart: what was stored is all there is
+				apply(l)
+			case 2: // a restart: only the stored names remain
 				s = Set{}
 				s.RestoreDisabled(stored)
 				clear(view)
-				clear(ever)
-				clear(putBack)
-				kept += len(stored)
+				clear(everListed)
+				clear(enableCount)
+				restored += len(stored)
 			default:
 				l := engine.List{Scope: rapid.SampledFrom([]decide.ListScope{decide.Delta, decide.Snapshot}).Draw(t, "scope")}
 				for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(0, 4), 0, 4, rapid.ID[int]).Draw(t, "names") {
 					e := engine.Endpoint{Target: decide.Target{ID: fmt.Sprint("s", n),
 						State: rapid.SampledFrom([]decide.TargetState{decide.Active, decide.Draining, decide.Gone}).Draw(t, "state")}}
 					l.Endpoints = append(l.Endpoints, e)
-					ever[e.ID] = true
+					everListed[e.ID] = true
 				}
-				take(s.Update(Agent, l))
+				apply(s.Update(Agent, l))
 			}
-			if got := s.Disabled(); len(got) != len(out) || !slices.Equal(got, stored) && len(got)+len(stored) > 0 {
-				t.Fatalf("left out %v, stored %v, want %v", got, stored, out)
+			if got := s.Disabled(); len(got) != len(disabled) || !slices.Equal(got, stored) && len(got)+len(stored) > 0 {
+				t.Fatalf("disabled: %v; stored: %v; want %v", got, stored, disabled)
 			}
 			for id, e := range view {
 				if e.State == decide.Active {
-					served++
+					active++
 				}
-				if out[id] && e.State == decide.Active || e.EnableCount != putBack[id] {
-					t.Fatalf("%s is left out: %v; put back %d times; the engine has %+v", id, out[id], putBack[id], e)
+				if disabled[id] && e.State == decide.Active || e.EnableCount != enableCount[id] {
+					t.Fatalf("%s is disabled: %v; it was re-enabled %d times; the engine has %+v", id, disabled[id], enableCount[id], e)
 				}
 			}
 		}
 	})
-	if served == 0 || kept == 0 {
-		t.Error("none served, or none was left out over a restart: the test shows nothing")
+	if active == 0 || restored == 0 {
+		t.Error("no endpoint served, or none was disabled across a restart: the test covers too little")
 	}
 }
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -7,44 +7,44 @@
 	"scaleroute/internal/engine"
 )
 
-// What other forwarders tell: a source that only withdraws, and not too much. One that errs or lies must not take a destination away: of
-// its endpoints that serve, half are withdrawn by it at most, and never the last.
+// The reports of other forwarders are a source that only withdraws, within limits. A faulty forwarder must not make a destination unreachable: at most half of the
+// destination's active endpoints are withdrawn because of such reports, and never the last one.
 
-// SetPeerDrains has endpoints drain of which other forwarders know that they do, by a list that this one has not heard of yet, and those that are not named any more
-// serve again as their lists say. It returns what that changes.
+// SetPeerDrains makes those endpoints drain that other forwarders report as draining or gone according to a list that this forwarder has not received yet. Endpoints that
+// were named by an earlier call and are not named any more serve again as the lists say. It returns the resulting changes.
 func (s *Set) SetPeerDrains(names []string) engine.List {
-	if len(names) == 0 && len(s.peers) == 0 {
+	if len(names) == 0 && len(s.peerDrains) == 0 {
 		return engine.List{Scope: decide.Delta}
 	}
-	touched := s.peers
-	s.peers = nil
+	previous := s.peerDrains
+	s.peerDrains = nil
 	serving := map[int]int{}
-	for name := range s.by {
-		if e, there := s.merge(name); there && e.State == decide.Active {
+	for name := range s.statements {
+		if e, listed := s.merge(name); listed && e.State == decide.Active {
 			serving[e.Destination]++
 		}
 	}
-	peers, taken := map[string]bool{}, map[int]int{}
+	drains, withdrawn := map[string]bool{}, map[int]int{}
 	names = slices.Clone(names)
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
-		if s.by[name] == nil {
+		if s.statements[name] == nil {
 			continue
 		}
-		if e, there := s.merge(name); there && e.State == decide.Active && taken[e.Destination] < serving[e.Destination]/2 {
-			taken[e.Destination]++
-			peers[name] = true
+		if e, listed := s.merge(name); listed && e.State == decide.Active && withdrawn[e.Destination] < serving[e.Destination]/2 {
+			withdrawn[e.Destination]++
+			drains[name] = true
 		}
 	}
-	s.peers = peers
-	all := map[string]bool{}
-	for name := range touched {
-		if s.by[name] != nil {
-			all[name] = true
+	s.peerDrains = drains
+	changed := map[string]bool{}
+	for name := range previous {
+		if s.statements[name] != nil {
+			changed[name] = true
 		}
 	}
-	for name := range peers {
-		all[name] = true
+	for name := range drains {
+		changed[name] = true
 	}
-	return s.changes(all)
+	return s.recompute(changed)
 }
--- a/internal/membership/peers_test.go
+++ b/internal/membership/peers_test.go
@@ -11,14 +11,14 @@
 	"scaleroute/internal/engine"
 )
 
-// TestWithdrawnByPeers: whatever others claim, and whatever lists come meanwhile, at least half of a destination's endpoints that serve by the lists do so, one at least;
-// none serves that the lists do not have serve; and what nobody claims any more is as the lists say.
-func TestWithdrawnByPeers(t *testing.T) {
+// TestPeerDrainLimits: whatever other forwarders report, and whatever lists arrive meanwhile, at least half of the endpoints of a destination that are active in the lists
+// serve, and at least one. No endpoint serves that is not active in the lists. An endpoint that no forwarder reports any more has the state that the lists give it.
+func TestPeerDrainLimits(t *testing.T) {
 	withdrawn := 0
 	rapid.Check(t, func(t *rapid.T) {
 		var s Set
 		lists, view := map[string]engine.Endpoint{}, map[string]engine.Endpoint{}
-		take := func(l engine.List) {
+		apply := func(l engine.List) {
 			if l.Scope == decide.Snapshot {
 				clear(view)
 			}
@@ -30,7 +30,7 @@
 				}
 			}
 		}
-		var claims []string
+		var reported []string
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "list") {
 				l := engine.List{Scope: rapid.SampledFrom([]decide.ListScope{decide.Snapshot, decide.Delta}).Draw(t, "scope")}
@@ -44,16 +44,16 @@
 						delete(lists, e.ID)
 					}
 				}
-				take(s.Update(Agent, l))
+				apply(s.Update(Agent, l))
 			} else {
-				claims = nil
-				for i := range 7 { // also names that nobody has listed
-					if rapid.Bool().Draw(t, "claim") {
-						claims = append(claims, fmt.Sprint("s", i))
+				reported = nil
+				for i := range 7 { // also names that no source has listed
+					if rapid.Bool().Draw(t, "reported") {
+						reported = append(reported, fmt.Sprint("s", i))
 					}
 				}
 			}
-			take(s.SetPeerDrains(claims)) // as after each list
+			apply(s.SetPeerDrains(reported)) // called after each list, as the forwarder does
 			for d := range 2 {
 				serving, left := 0, 0
 				for id, e := range lists {
@@ -65,25 +65,25 @@
 					}
 					switch got := view[id].State; {
 					case got == decide.Active && e.State != decide.Active:
-						t.Fatalf("%s serves, and the lists say %v", id, e.State)
+						t.Fatalf("%s serves, but its state in the lists is %v", id, e.State)
 					case got == decide.Active:
 						left++
-					case e.State == decide.Active && !slices.Contains(claims, id):
-						t.Fatalf("%s does not serve, and nobody claims that", id)
+					case e.State == decide.Active && !slices.Contains(reported, id):
+						t.Fatalf("%s does not serve, but no forwarder reports that it drains", id)
 					case e.State == decide.Active:
 						withdrawn++
 					}
 				}
 				if left < (serving+1)/2 {
-					t.Fatalf("%d of %d serve", left, serving)
+					t.Fatalf("only %d of %d active endpoints serve", left, serving)
 				}
 			}
 			if len(view) != len(lists) {
-				t.Fatalf("%d of %d are there", len(view), len(lists))
+				t.Fatalf("the merged list has %d of %d endpoints", len(view), len(lists))
 			}
 		}
 	})
 	if withdrawn == 0 {
-		t.Error("nothing was withdrawn: this test tests too little")
+		t.Error("no endpoint was withdrawn: the test covers too little")
 	}
 }
