--- a/internal/straggler/model_test.go
+++ b/internal/straggler/model_test.go
@@ -15,153 +15,154 @@
 
 const tick = 200 * time.Millisecond
 
-// parcel is news on its way.
-type parcel struct {
-	at   time.Duration
-	to   int
-	news Report
+// delivery is a report in transit.
+type delivery struct {
+	arrival time.Duration
+	to      int
+	report  Report
 }
 
-// one is a member of the modelled fleet.
-type one struct {
-	name, zone string
-	judge      *Evaluator
-	vector     version.Vector
-	dead       bool
-	paused     bool
-	deaf       bool // its agent tells it nothing new
-	side       int  // of a partition
-	out        bool
-	turns      int // that it was put out
-	told       time.Duration
-	looks      int
+// modelMember is one member of the simulated fleet.
+type modelMember struct {
+	name, zone  string
+	evaluator   *Evaluator
+	vector      version.Vector
+	dead        bool
+	paused      bool
+	agentSilent bool // its agent delivers no newer list
+	side        int  // of the partition on which it is
+	out         bool
+	removals    int // how often it was taken out of rotation
+	lastReport  time.Duration
+	refreshes   int
 }
 
-// model is a fleet in virtual time: what members tell each other is late, lost and cut off, and members stop, die and come back.
+// model simulates a fleet in virtual time. Reports are delayed, lost or cut off by a partition, and members pause, die and restart.
 type model struct {
-	rng     *rand.Rand
-	now     time.Duration
-	members []*one
-	mail    []parcel
-	split   bool
-	loss    float64
-	share   float64
-	index   int64 // of the newest list
-	starts  int
-	alive   []int // at each tick
-	byZone  map[string][]int
+	rng            *rand.Rand
+	now            time.Duration
+	members        []*modelMember
+	inTransit      []delivery
+	partitioned    bool
+	loss           float64
+	maxOutFraction float64
+	newestIndex    int64 // index of the newest endpoint list
+	starts         int
+	running        []int // number of running members at each tick
+	runningByZone  map[string][]int
 }
 
-func newModel(seed uint64, n, zones int, share, loss float64) *model {
-	m := &model{rng: rand.New(rand.NewPCG(seed, 5)), share: share, loss: loss, index: 1, byZone: map[string][]int{}}
+func newModel(seed uint64, n, zones int, maxOutFraction, loss float64) *model {
+	m := &model{rng: rand.New(rand.NewPCG(seed, 5)), maxOutFraction: maxOutFraction, loss: loss, newestIndex: 1, runningByZone: map[string][]int{}}
 	for i := range n {
-		o := &one{name: fmt.Sprint("n", i), zone: fmt.Sprint("z", i%zones)}
-		m.members = append(m.members, o)
-		m.start(o)
+		mm := &modelMember{name: fmt.Sprint("n", i), zone: fmt.Sprint("z", i%zones)}
+		m.members = append(m.members, mm)
+		m.start(mm)
 	}
 	return m
 }
 
-func (m *model) start(o *one) {
+func (m *model) start(mm *modelMember) {
 	m.starts++
-	o.judge = New(Config{Name: o.name, Zone: o.zone, MaxOutFraction: m.share, ReportTTL: 5 * time.Second, SettleTime: 7 * time.Second, NewerListGrace: time.Second, Seed: uint64(m.starts)}, nil)
-	o.vector = version.Vector{Started: time.Unix(int64(m.starts), 0), List: version.List{Index: m.index, Digest: version.Digest(m.index)}}
-	o.dead, o.paused, o.out = false, false, false
-	o.judge.SetLocal(o.vector, nil, "")
+	mm.evaluator = New(Config{Name: mm.name, Zone: mm.zone, MaxOutFraction: m.maxOutFraction, ReportTTL: 5 * time.Second, SettleTime: 7 * time.Second, NewerListGrace: time.Second, Seed: uint64(m.starts)}, nil)
+	mm.vector = version.Vector{Started: time.Unix(int64(m.starts), 0), List: version.List{Index: m.newestIndex, Digest: version.Digest(m.newestIndex)}}
+	mm.dead, mm.paused, mm.out = false, false, false
+	mm.evaluator.SetLocal(mm.vector, nil, "")
 }
 
-func (m *model) send(from int, o *one) {
-	n := o.judge.NextReport(m.now)
+func (m *model) send(from int, mm *modelMember) {
+	report := mm.evaluator.NextReport(m.now)
 	for to, peer := range m.members {
 		if to == from || peer.dead || m.rng.Float64() < m.loss {
 			continue
 		}
-		m.mail = append(m.mail, parcel{m.now + time.Duration(m.rng.Int64N(int64(600*time.Millisecond))), to, n})
+		m.inTransit = append(m.inTransit, delivery{m.now + time.Duration(m.rng.Int64N(int64(600*time.Millisecond))), to, report})
 	}
-	o.told = m.now
+	mm.lastReport = m.now
 }
 
-// step goes on by one tick, and returns what is broken.
+// step advances the fleet by one tick and returns an error if an invariant is violated.
 func (m *model) step() error {
 	m.now += tick
-	rest := m.mail[:0]
-	for _, p := range m.mail {
+	rest := m.inTransit[:0]
+	for _, p := range m.inTransit {
 		to := m.members[p.to]
-		from := m.find(p.news.Name)
+		from := m.find(p.report.Name)
 		switch {
-		case p.at > m.now, to.paused: // what comes to one that is stopped waits there
+		case p.arrival > m.now, to.paused: // reports for a paused member wait until it resumes
 			rest = append(rest, p)
-		case to.dead, m.split && from.side != to.side:
+		case to.dead, m.partitioned && from.side != to.side:
 		default:
-			to.judge.Receive(m.now, p.news)
+			to.evaluator.Receive(m.now, p.report)
 		}
 	}
-	m.mail = rest
-	for i, o := range m.members {
-		if o.dead || o.paused {
+	m.inTransit = rest
+	for i, mm := range m.members {
+		if mm.dead || mm.paused {
 			continue
 		}
-		d := o.judge.Step(m.now)
+		d := mm.evaluator.Step(m.now)
 		if d.RefreshList {
-			o.looks++
-			if !o.deaf {
-				o.vector.List = version.List{Index: m.index, Digest: version.Digest(m.index)}
-				o.judge.SetLocal(o.vector, nil, "")
+			mm.refreshes++
+			if !mm.agentSilent {
+				mm.vector.List = version.List{Index: m.newestIndex, Digest: version.Digest(m.newestIndex)}
+				mm.evaluator.SetLocal(mm.vector, nil, "")
 			}
 		}
 		switch {
-		case d.FenceOffReason != "" && d.Readmitted, d.FenceOffReason != "" && o.out, d.Readmitted && !o.out:
-			return fmt.Errorf("%v: %s is out: %v, and is told %+v", m.now, o.name, o.out, d)
+		case d.FenceOffReason != "" && d.Readmitted, d.FenceOffReason != "" && mm.out, d.Readmitted && !mm.out:
+			return fmt.Errorf("%v: %s has been taken out: %v, and its decision is %+v", m.now, mm.name, mm.out, d)
 		case d.FenceOffReason != "":
-			o.out = true
-			o.turns++
+			mm.out = true
+			mm.removals++
 		case d.Readmitted:
-			o.out = false
+			mm.out = false
 		}
-		if d.ReportChanged && m.now-o.told >= 200*time.Millisecond || m.now-o.told >= time.Second {
-			m.send(i, o)
+		if d.ReportChanged && m.now-mm.lastReport >= 200*time.Millisecond || m.now-mm.lastReport >= time.Second {
+			m.send(i, mm)
 		}
 	}
-	return m.bound()
+	return m.checkBounds()
 }
 
-func (m *model) find(name string) *one {
-	i := slices.IndexFunc(m.members, func(o *one) bool { return o.name == name })
+func (m *model) find(name string) *modelMember {
+	i := slices.IndexFunc(m.members, func(mm *modelMember) bool { return mm.name == name })
 	return m.members[i]
 }
 
-// bound checks that no more than the share is out: of those that ran when the longest of what was known then was told. One that is stopped serves nobody, and decides nothing,
-// out or in: it counts on neither side, and again from its first step on.
-func (m *model) bound() error {
-	const memory = 65 // ticks: what is fresh, and the settling
-	most := func(list []int) int { return slices.Max(list[max(0, len(list)-memory):]) }
-	alive, out, zones, zoneOut := 0, 0, map[string]int{}, map[string]int{}
-	for _, o := range m.members {
-		if !o.dead && !o.paused {
-			alive++
-			zones[o.zone]++
-			if o.out {
+// checkBounds checks that no more than the allowed fraction of members is out of rotation. The fraction refers to the largest number of members that ran within the
+// period for which reports may still influence decisions. A paused member serves no clients and makes no decisions, whether in rotation or out: it counts on neither
+// side until its first step after the pause.
+func (m *model) checkBounds() error {
+	const memory = 65 // in ticks: the report TTL and the settling time
+	largest := func(list []int) int { return slices.Max(list[max(0, len(list)-memory):]) }
+	running, out, runningInZone, outInZone := 0, 0, map[string]int{}, map[string]int{}
+	for _, mm := range m.members {
+		if !mm.dead && !mm.paused {
+			running++
+			runningInZone[mm.zone]++
+			if mm.out {
 				out++
-				zoneOut[o.zone]++
+				outInZone[mm.zone]++
 			}
 		}
 	}
-	m.alive = append(m.alive, alive)
-	if out > int(m.share*float64(most(m.alive))) || out > 0 && out == alive && alive > 1 {
-		return fmt.Errorf("%v: %d of %d are out", m.now, out, alive)
+	m.running = append(m.running, running)
+	if out > int(m.maxOutFraction*float64(largest(m.running))) || out > 0 && out == running && running > 1 {
+		return fmt.Errorf("%v: %d of %d members are out of rotation", m.now, out, running)
 	}
-	for z, n := range zones {
-		m.byZone[z] = append(m.byZone[z], n)
-		if zoneOut[z] > int(m.share*float64(most(m.byZone[z]))) {
-			return fmt.Errorf("%v: %d of %d are out in %s", m.now, zoneOut[z], n, z)
+	for z, n := range runningInZone {
+		m.runningByZone[z] = append(m.runningByZone[z], n)
+		if outInZone[z] > int(m.maxOutFraction*float64(largest(m.runningByZone[z]))) {
+			return fmt.Errorf("%v: %d of %d members are out of rotation in zone %s", m.now, outInZone[z], n, z)
 		}
 	}
 	return nil
 }
 
-func (m *model) outs() (n int) {
-	for _, o := range m.members {
-		if o.out && !o.dead {
+func (m *model) countOut() (n int) {
+	for _, mm := range m.members {
+		if mm.out && !mm.dead {
 			n++
 		}
 	}
@@ -177,209 +178,212 @@
 	return nil
 }
 
-// play is one schedule of faults.
-func play(t *rapid.T) (wentOut bool) {
+// runSchedule runs one random schedule of faults and reports whether any member left the rotation.
+func runSchedule(t *rapid.T) (anyOut bool) {
 	n := rapid.IntRange(3, 16).Draw(t, "members")
 	m := newModel(rapid.Uint64().Draw(t, "seed"), n, rapid.IntRange(1, 2).Draw(t, "zones"), rapid.Float64Range(0.2, 0.5).Draw(t, "share"), rapid.Float64Range(0, 0.3).Draw(t, "loss"))
 	run := func(d time.Duration) {
 		if err := m.run(d); err != nil {
 			t.Fatal(err)
 		}
-		wentOut = wentOut || m.outs() > 0
+		anyOut = anyOut || m.countOut() > 0
 	}
-	pick := func() *one { return m.members[rapid.IntRange(0, n-1).Draw(t, "member")] }
+	pick := func() *modelMember { return m.members[rapid.IntRange(0, n-1).Draw(t, "member")] }
 	run(3 * time.Second)
 	gen := uint64(0)
-	want := func(o *one, w version.Desired, deadline time.Duration) {
+	setDesired := func(mm *modelMember, w version.Desired, deadline time.Duration) {
 		gen++
-		if !o.dead && !o.paused {
-			o.judge.SetDesired(m.now, Desired{Gen: gen, By: "test", Deadline: deadline, Version: w})
+		if !mm.dead && !mm.paused {
+			mm.evaluator.SetDesired(m.now, Desired{Gen: gen, By: "test", Deadline: deadline, Version: w})
 		}
 	}
 	for range rapid.IntRange(1, 8).Draw(t, "steps") {
 		switch rapid.IntRange(0, 7).Draw(t, "step") {
-		case 0, 1, 2: // some hear nothing of their agents; a new list for those that do, which is wanted
-			for range rapid.IntRange(1, n/2).Draw(t, "deaf") {
-				pick().deaf = true
+		case 0, 1, 2: // the agents of some members fall silent; the other members get a new list, which becomes the desired one
+			for range rapid.IntRange(1, n/2).Draw(t, "silent agents") {
+				pick().agentSilent = true
 			}
-			m.index++
-			for _, o := range m.members {
-				if !o.dead && !o.deaf && !o.paused {
-					o.vector.List = version.List{Index: m.index, Digest: version.Digest(m.index)}
-					o.judge.SetLocal(o.vector, nil, "")
+			m.newestIndex++
+			for _, mm := range m.members {
+				if !mm.dead && !mm.agentSilent && !mm.paused {
+					mm.vector.List = version.List{Index: m.newestIndex, Digest: version.Digest(m.newestIndex)}
+					mm.evaluator.SetLocal(mm.vector, nil, "")
 				}
 			}
-			want(pick(), version.Desired{Index: m.index}, time.Second)
+			setDesired(pick(), version.Desired{Index: m.newestIndex}, time.Second)
 			run(time.Duration(rapid.IntRange(0, 15).Draw(t, "s")) * time.Second)
-		case 3: // that nobody can reach, or from two sides at once
-			want(pick(), version.Desired{Index: m.index + 1000}, time.Second)
-			if rapid.Bool().Draw(t, "two") {
+		case 3: // a desired list that no member can reach, or two desired lists of one generation set by two members
+			setDesired(pick(), version.Desired{Index: m.newestIndex + 1000}, time.Second)
+			if rapid.Bool().Draw(t, "conflicting") {
 				gen--
-				want(pick(), version.Desired{Index: m.index}, time.Second)
+				setDesired(pick(), version.Desired{Index: m.newestIndex}, time.Second)
 			}
 		case 4:
-			m.split = !m.split
-			for _, o := range m.members {
-				o.side = rapid.IntRange(0, 1).Draw(t, "side")
+			m.partitioned = !m.partitioned
+			for _, mm := range m.members {
+				mm.side = rapid.IntRange(0, 1).Draw(t, "side")
 			}
 		case 5:
-			o := pick()
-			o.paused = !o.paused
-		case 6: // some vanish at once
-			for range rapid.IntRange(1, n/3).Draw(t, "dead") {
+			mm := pick()
+			mm.paused = !mm.paused
+		case 6: // some members die at the same time
+			for range rapid.IntRange(1, n/3).Draw(t, "deaths") {
 				pick().dead = true
 			}
 			run(time.Duration(rapid.IntRange(0, 25).Draw(t, "s")) * time.Second)
 		default:
-			o := pick()
-			if o.dead {
-				m.start(o)
+			mm := pick()
+			if mm.dead {
+				m.start(mm)
 			}
-			o.deaf = false
+			mm.agentSilent = false
 		}
 		run(time.Duration(rapid.IntRange(0, 6).Draw(t, "s")) * time.Second)
 	}
-	// All is mended: everybody comes back, and stays in.
-	m.split = false
-	for _, o := range m.members {
-		if o.dead {
-			m.start(o)
+	// All faults are removed: every member returns to the rotation and stays there.
+	m.partitioned = false
+	for _, mm := range m.members {
+		if mm.dead {
+			m.start(mm)
 		}
-		o.deaf, o.paused = false, false
+		mm.agentSilent, mm.paused = false, false
 	}
-	want(m.members[0], version.Desired{Index: m.index}, 2*time.Second)
+	setDesired(m.members[0], version.Desired{Index: m.newestIndex}, 2*time.Second)
 	run(60 * time.Second)
-	if n := m.outs(); n > 0 {
-		t.Fatalf("%d are still out though all is mended", n)
+	if n := m.countOut(); n > 0 {
+		t.Fatalf("%d members are still out of rotation after all faults were removed", n)
 	}
-	turns := 0
-	for _, o := range m.members {
-		turns += o.turns
+	removals := 0
+	for _, mm := range m.members {
+		removals += mm.removals
 	}
 	run(20 * time.Second)
-	for _, o := range m.members {
-		turns -= o.turns
+	for _, mm := range m.members {
+		removals -= mm.removals
 	}
-	if turns != 0 {
-		t.Fatalf("%d went out in a calm", -turns)
+	if removals != 0 {
+		t.Fatalf("%d removals without a fault", -removals)
 	}
-	return wentOut
+	return anyOut
 }
 
-// TestSchedules plays 500 schedules of lists, wants, partitions, pauses, deaths and deaf agents: never is more than the stated share out, in the whole or in a zone, or the
-// last; everybody who is cured comes back by itself; nobody goes out in a calm.
-func TestSchedules(t *testing.T) {
-	var out, all atomic.Int64
+// TestRandomFaultSchedules runs 500 random schedules of new lists, desired versions, partitions, pauses, deaths and silent agents. It checks that never more than the
+// allowed fraction of the fleet or of a zone is out of rotation, and never the last member; that every recovered member returns by itself; and that no member leaves the
+// rotation while there is no fault.
+func TestRandomFaultSchedules(t *testing.T) {
+	var withRemovals, total atomic.Int64
 	t.Run("all", func(t *testing.T) {
-		for i := range 5 { // 100 each
+		for i := range 5 { // 100 schedules each
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
 				rapid.Check(t, func(t *rapid.T) {
-					rapid.SliceOfN(rapid.Byte(), i, i).Draw(t, "part") // with one seed for all, each part has schedules of its own
-					all.Add(1)
-					if play(t) {
-						out.Add(1)
+					rapid.SliceOfN(rapid.Byte(), i, i).Draw(t, "part") // makes the schedules of the parts differ although all parts use the same seed
+					total.Add(1)
+					if runSchedule(t) {
+						withRemovals.Add(1)
 					}
 				})
 			})
 		}
 	})
-	if out.Load() < all.Load()/10 {
-		t.Errorf("in %d schedules of %d somebody went out: this test tests too little", out.Load(), all.Load())
+	if withRemovals.Load() < total.Load()/10 {
+		t.Errorf("a member went out of rotation in only %d of %d schedules: the test covers too little", withRemovals.Load(), total.Load())
 	}
-	t.Logf("somebody went out in %d of %d", out.Load(), all.Load())
+	t.Logf("a member went out of rotation in %d of %d schedules", withRemovals.Load(), total.Load())
 }
 
-// TestStragglersGoOut: a fifth of a fleet stays behind; the share goes out after deadline and settling, each once, and stays so; the rest stays in. Cured, they come back within
-// seconds.
-func TestStragglersGoOut(t *testing.T) {
+// TestStaleMembersLeaveRotation: a quarter of a fleet and one more member stay out of date. The allowed fraction leaves the rotation after the deadline and the settling time, each member once,
+// and stays out; all other members stay in. Members that catch up return within seconds.
+func TestStaleMembersLeaveRotation(t *testing.T) {
 	for _, n := range []int{8, 30, 100} {
 		m := newModel(uint64(n), n, 1, 0.25, 0.1)
-		for i, o := range m.members {
-			o.deaf = i%4 == 3 || i == 0 // more than the share
+		for i, mm := range m.members {
+			mm.agentSilent = i%4 == 3 || i == 0 // more than the allowed fraction
 		}
 		if err := m.run(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		m.index = 2
-		for _, o := range m.members {
-			if !o.deaf {
-				o.vector.List = version.List{Index: 2, Digest: 2}
-				o.judge.SetLocal(o.vector, nil, "")
+		m.newestIndex = 2
+		for _, mm := range m.members {
+			if !mm.agentSilent {
+				mm.vector.List = version.List{Index: 2, Digest: 2}
+				mm.evaluator.SetLocal(mm.vector, nil, "")
 			}
 		}
-		m.members[1].judge.SetDesired(m.now, Desired{Gen: 1, By: "test", Deadline: 5 * time.Second, Version: version.Desired{Index: 2}})
+		m.members[1].evaluator.SetDesired(m.now, Desired{Gen: 1, By: "test", Deadline: 5 * time.Second, Version: version.Desired{Index: 2}})
 		if err := m.run(40 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		turns := 0
-		for _, o := range m.members {
-			if turns += o.turns; o.turns > 1 {
-				t.Errorf("%d: %s went out %d times", n, o.name, o.turns)
+		removals := 0
+		for _, mm := range m.members {
+			if removals += mm.removals; mm.removals > 1 {
+				t.Errorf("%d members: %s left the rotation %d times", n, mm.name, mm.removals)
 			}
-			if o.out && !o.deaf {
-				t.Errorf("%d: %s is current, and out", n, o.name)
+			if mm.out && !mm.agentSilent {
+				t.Errorf("%d members: %s is up to date but out of rotation", n, mm.name)
 			}
-			if o.looks > 12 {
-				t.Errorf("%d: %s has asked %d times", n, o.name, o.looks)
+			if mm.refreshes > 12 {
+				t.Errorf("%d members: %s fetched the list %d times", n, mm.name, mm.refreshes)
 			}
 		}
-		if out := m.outs(); out < int(0.25*float64(n))-2 || out == 0 {
-			t.Errorf("%d: %d are out", n, out)
+		if out := m.countOut(); out < int(0.25*float64(n))-2 || out == 0 {
+			t.Errorf("%d members: %d are out of rotation", n, out)
 		}
-		for _, o := range m.members {
-			if o.out {
-				o.deaf = false
-				o.vector.List = version.List{Index: 2, Digest: 2}
-				o.judge.SetLocal(o.vector, nil, "")
+		for _, mm := range m.members {
+			if mm.out {
+				mm.agentSilent = false
+				mm.vector.List = version.List{Index: 2, Digest: 2}
+				mm.evaluator.SetLocal(mm.vector, nil, "")
 			}
 		}
 		if err := m.run(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		for _, o := range m.members {
-			if o.out && !o.deaf {
-				t.Errorf("%d: %s is cured, and out", n, o.name)
+		for _, mm := range m.members {
+			if mm.out && !mm.agentSilent {
+				t.Errorf("%d members: %s has caught up but is still out of rotation", n, mm.name)
 			}
 		}
 	}
 }
 
-// TestUnreachable: a want that nobody can reach, or a dead control side, takes nobody out.
-func TestUnreachable(t *testing.T) {
+// TestUnreachableDesiredVersion: a desired version that no member can reach takes no member out of rotation. The same holds while the
+// control plane is down, because then every member is out of date.
+func TestUnreachableDesiredVersion(t *testing.T) {
 	m := newModel(3, 20, 1, 0.5, 0)
-	m.members[0].judge.SetDesired(0, Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Build: "nowhere"}})
+	m.members[0].evaluator.SetDesired(0, Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Build: "nowhere"}})
 	if err := m.run(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	for _, o := range m.members {
-		if o.turns > 0 {
-			t.Errorf("%s went out", o.name)
+	for _, mm := range m.members {
+		if mm.removals > 0 {
+			t.Errorf("%s left the rotation", mm.name)
 		}
 	}
 }
 
-// TestSlept: a member that is out, or about to go, is stopped while most others vanish. Woken, it hears what they told before, and is in until it has settled anew.
-func TestSlept(t *testing.T) {
-	for name, stopAt := range map[string]func(o *one) bool{
-		"out":         func(o *one) bool { return o.out },
-		"about to go": func(o *one) bool { return o.judge.agreed > 0 },
+// TestResumeAfterSuspension: a member that is out of rotation, or about to leave it, is suspended while most other members die. When it resumes, it reads the reports that they
+// sent before. It must be in rotation until a complete settling time has passed again.
+func TestResumeAfterSuspension(t *testing.T) {
+	for name, stopAt := range map[string]func(mm *modelMember) bool{
+		"out of rotation": func(mm *modelMember) bool { return mm.out },
+		"about to leave":  func(mm *modelMember) bool { return mm.evaluator.removableSince > 0 },
 	} {
 		m := newModel(7, 8, 1, 0.25, 0)
-		o := m.members[7]
-		o.deaf = true
-		m.index = 2
+		mm := m.members[7]
+		mm.agentSilent = true
+		m.newestIndex = 2
 		for _, other := range m.members[:7] {
 			other.vector.List = version.List{Index: 2, Digest: 2}
-			other.judge.SetLocal(other.vector, nil, "")
+			other.evaluator.SetLocal(other.vector, nil, "")
 		}
-		m.members[0].judge.SetDesired(0, Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Index: 2}})
-		for !stopAt(o) {
+		m.members[0].evaluator.SetDesired(0, Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Index: 2}})
+		for !stopAt(mm) {
 			if err := m.step(); err != nil || m.now > time.Minute {
 				t.Fatalf("%s: %v, at %v", name, err, m.now)
 			}
 		}
-		o.paused = true
+		mm.paused = true
 		if err := m.run(time.Second); err != nil {
 			t.Fatal(err)
 		}
@@ -389,13 +393,13 @@
 		if err := m.run(20 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		o.paused = false
+		mm.paused = false
 		for end := m.now + 7*time.Second; m.now < end; {
 			if err := m.step(); err != nil {
 				t.Fatalf("%s: %v", name, err)
 			}
-			if o.out {
-				t.Fatalf("%s: at %v it is out, by what it heard before it was stopped", name, m.now)
+			if mm.out {
+				t.Fatalf("%s: at %v it is out of rotation because of reports from before its suspension", name, m.now)
 			}
 		}
 	}
--- a/internal/straggler/view.go
+++ b/internal/straggler/view.go
@@ -8,61 +8,63 @@
 	"scaleroute/internal/version"
 )
 
-// Verdict is how a member stands, in one word; a higher one is worse.
+// Verdict is the status of a member in one word. CompareVerdicts orders verdicts by severity.
 type Verdict string
 
 // The verdicts.
 const (
 	Current   Verdict = "current"
 	Stale     Verdict = "behind"
-	Diverged  Verdict = "diverged" // one index and two contents
-	Duplicate Verdict = "doubled"  // two processes say that they are it
-	Silent    Verdict = "silent"
-	FencedOff Verdict = "shut out"
+	Diverged  Verdict = "diverged" // its list has the same index as other members' lists, and different contents
+	Duplicate Verdict = "doubled"  // two running processes claim the member's name
+	Silent    Verdict = "silent"   // no fresh report
+	FencedOff Verdict = "shut out" // out of rotation
 )
 
-var badness = map[Verdict]int{Current: 0, Stale: 2, FencedOff: 3, Silent: 4, Diverged: 5, Duplicate: 6}
+var severity = map[Verdict]int{Current: 0, Stale: 2, FencedOff: 3, Silent: 4, Diverged: 5, Duplicate: 6}
 
-// CompareVerdicts compares two verdicts.
-func CompareVerdicts(a, b Verdict) int { return cmp.Compare(badness[a], badness[b]) }
+// CompareVerdicts compares the severity of two verdicts: the result is positive if a is worse.
+func CompareVerdicts(a, b Verdict) int { return cmp.Compare(severity[a], severity[b]) }
 
-// View is what is known of one member.
+// View is the status of one member as this member knows it.
 type View struct {
 	Name         string             `json:"name"`
 	Zone         string             `json:"zone,omitempty"`
 	Verdict      Verdict            `json:"verdict"`
 	Mismatches   []version.Mismatch `json:"lacks,omitempty"`
-	StaleFor     time.Duration      `json:"since_ns,omitempty"` // how long it has lacked that, as this member saw it
-	ReportAge    time.Duration      `json:"age_ns"`             // of its news
-	ClockSkew    time.Duration      `json:"skew_ns"`            // its clock less this member's, when its news came
-	Reason       string             `json:"why,omitempty"`      // it is out
+	StaleFor     time.Duration      `json:"since_ns,omitempty"` // how long the member has been out of date in this member's view
+	ReportAge    time.Duration      `json:"age_ns"`             // since the last sign of life
+	ClockSkew    time.Duration      `json:"skew_ns"`            // the member's clock minus this member's clock, as of its latest report
+	Reason       string             `json:"why,omitempty"`      // why the member is out of rotation
 	Remedy       string             `json:"remedy,omitempty"`
 	AdminAddress string             `json:"door,omitempty"`
 	Vector       version.Vector     `json:"vector"`
 }
 
-// note keeps since when others lack something.
-func (j *Evaluator) note(now time.Duration) {
-	if j.judged {
+// updateAllStaleness recomputes the staleness of all other members if the desired version or this member's vector has changed.
+func (e *Evaluator) updateAllStaleness(now time.Duration) {
+	if e.stalenessValid {
 		return
 	}
-	j.judged = true
-	for _, m := range j.members {
-		j.lackOf(now, m)
+	e.stalenessValid = true
+	for _, m := range e.members {
+		e.updateStaleness(now, m)
 	}
 }
 
-func (j *Evaluator) lackOf(now time.Duration, m *member) {
-	lacks := j.want != nil && len(m.Vector.Mismatches(j.want.Version)) > 0 || j.want == nil && m.Vector.List.Index < j.own.Vector.List.Index
-	if lacks && !m.lacks {
-		m.since = now
+// updateStaleness records whether a member is out of date and since when. Without a desired version, a member with an older list than this member's counts as out of
+// date.
+func (e *Evaluator) updateStaleness(now time.Duration, m *member) {
+	stale := e.desired != nil && len(m.Vector.Mismatches(e.desired.Version)) > 0 || e.desired == nil && m.Vector.List.Index < e.own.Vector.List.Index
+	if stale && !m.stale {
+		m.staleSince = now
 	}
-	m.lacks = lacks
+	m.stale = stale
 }
 
-// Fleet says how every member stands, this one included.
-func (j *Evaluator) Fleet(now time.Duration) (list []View) {
-	digests := map[int64]map[version.Digest]int{} // of each list's index: how many have it with which contents
+// Fleet returns the status of every member, including this one, sorted by name.
+func (e *Evaluator) Fleet(now time.Duration) (views []View) {
+	digests := map[int64]map[version.Digest]int{} // by list index: how many members have a list with which contents
 	count := func(v *version.Vector) {
 		index := v.List.Index
 		if digests[index] == nil {
@@ -70,72 +72,73 @@
 		}
 		digests[index][v.List.Digest]++
 	}
-	count(&j.own.Vector)
-	for _, m := range j.members {
+	count(&e.own.Vector)
+	for _, m := range e.members {
 		count(&m.Vector)
 	}
-	split := func(v *version.Vector) bool { // the fewer are named; of as many, all
+	diverged := func(v *version.Vector) bool { // true for the members in the minority; in a tie for all of them
 		of := digests[v.List.Index]
-		for d, n := range of {
-			if d != v.List.Digest && n >= of[v.List.Digest] {
+		for d, report := range of {
+			if d != v.List.Digest && report >= of[v.List.Digest] {
 				return true
 			}
 		}
 		return false
 	}
-	newest := j.own.Vector.List.Index
-	for _, m := range j.members {
-		if now-m.heard <= j.set.ReportTTL {
+	newest := e.own.Vector.List.Index
+	for _, m := range e.members {
+		if now-m.lastSeen <= e.config.ReportTTL {
 			newest = max(newest, m.Vector.List.Index)
 		}
 	}
-	judge := func(v *View, n *Report, double bool) {
-		if j.want != nil {
-			v.Mismatches = n.Vector.Mismatches(j.want.Version)
+	setVerdict := func(v *View, n *Report, duplicate bool) {
+		if e.desired != nil {
+			v.Mismatches = n.Vector.Mismatches(e.desired.Version)
 		} else if n.Vector.List.Index < newest {
 			v.Mismatches = []version.Mismatch{version.ListOutdated}
 		}
 		switch {
-		case double:
+		case duplicate:
 			v.Verdict, v.Remedy = Duplicate, "end one of the two: each calls targets on its own"
-		case split(&n.Vector):
+		case diverged(&n.Vector):
 			v.Verdict, v.Remedy = Diverged, Remedy([]version.Mismatch{version.ListDiverged})
-		case v.ReportAge > j.set.ReportTTL:
+		case v.ReportAge > e.config.ReportTTL:
 			v.Verdict, v.Remedy = Silent, "see whether its process runs and its network reaches others"
 		case n.State >= OutOfRotation:
 			v.Verdict, v.Reason, v.Remedy = FencedOff, n.Reason, Remedy(v.Mismatches)
-		case len(v.Mismatches) > 0 && v.StaleFor > j.set.ReportTTL: // else its news may still be on their way
+		case len(v.Mismatches) > 0 && v.StaleFor > e.config.ReportTTL: // otherwise its newer report may still be in transit
 			v.Verdict, v.Remedy = Stale, Remedy(v.Mismatches)
 		default:
 			v.Verdict = Current
 		}
 	}
-	own := View{Name: j.set.Name, Zone: j.set.Zone, Vector: j.own.Vector, AdminAddress: j.own.AdminAddress}
-	if since := j.since; since > 0 {
+	own := View{Name: e.config.Name, Zone: e.config.Zone, Vector: e.own.Vector, AdminAddress: e.own.AdminAddress}
+	if since := e.staleSince; since > 0 {
 		own.StaleFor = now - since
-	} else if j.want == nil && j.older > 0 {
-		own.StaleFor = now - j.older
+	} else if e.desired == nil && e.newerListSince > 0 {
+		own.StaleFor = now - e.newerListSince
 	}
-	judge(&own, &j.own, j.doubled(now, j.set.Name))
-	list = append(list, own)
-	for name, m := range j.members {
-		v := View{Name: name, Zone: m.Zone, Vector: m.Vector, ReportAge: now - m.heard, ClockSkew: m.skew, AdminAddress: m.AdminAddress}
-		if m.lacks {
-			v.StaleFor = now - m.since
+	setVerdict(&own, &e.own, e.hasDuplicate(now, e.config.Name))
+	views = append(views, own)
+	for name, m := range e.members {
+		v := View{Name: name, Zone: m.Zone, Vector: m.Vector, ReportAge: now - m.lastSeen, ClockSkew: m.clockSkew, AdminAddress: m.AdminAddress}
+		if m.stale {
+			v.StaleFor = now - m.staleSince
 		}
-		judge(&v, &m.Report, j.doubled(now, name))
-		list = append(list, v)
+		setVerdict(&v, &m.Report, e.hasDuplicate(now, name))
+		views = append(views, v)
 	}
-	slices.SortFunc(list, func(a, b View) int { return cmp.Compare(a.Name, b.Name) })
-	return list
+	slices.SortFunc(views, func(a, b View) int { return cmp.Compare(a.Name, b.Name) })
+	return views
 }
 
-// Withdrawn lists the targets that drain or are gone by a newer list than this member's: it hears only what makes it more careful. That a member has fallen silent does not
-// put them back: what it told holds until this member's own list has come that far, or nothing is kept of the other any more.
-func (j *Evaluator) Withdrawn() (names []string) {
-	for _, m := range j.members {
+// Withdrawn returns the endpoints that are draining or gone according to a list newer than this member's. Other members' reports can only withdraw endpoints, never add
+// them. A withdrawal remains in force when the reporting member falls silent: it ends when this member's own list reaches that index, or when the reporting member is
+// forgotten.
+func (e *Evaluator) Withdrawn() (names []string) {
+	for _, m := range e.members {
 		for _, d := range m.Drains {
-			if d.Index > j.own.Vector.List.Index && d.Index <= m.Vector.List.Index && len(d.Target) <= mostText {
+			if d.Index > e.own.Vector.List.Index && d.Index <= m.Vector.List.Index && len(d.Target) <= maxTextLength {
 				names = append(names, d.Target)
 			}
 		}
