--- a/internal/gossip/host/host.go
+++ b/internal/gossip/host/host.go
@@ -1,4 +1,5 @@
-// Package host is the process that speaks for a daemon, by hashicorp/memberlist: who is there it says itself, and news and wants go with its packets.
+// Package host is the gossip sidecar of a daemon. It uses hashicorp/memberlist, which maintains the list of living members itself and carries reports and desired versions in
+// its packets.
 package host
 
 import (
@@ -18,80 +19,82 @@
 	"scaleroute/internal/gossip"
 )
 
-// Config is what it is told.
+// Config configures a Node. Both functions receive messages with their kind in front.
 type Config struct {
 	gossip.Config
-	OnReport  func(message []byte) // news that are new
-	OnDesired func(message []byte)
+	OnReport  func(message []byte) // called for each report of another process that is newer than the known one
+	OnDesired func(message []byte) // called for each desired version
 }
 
-// Node is one member's.
+// Node is this member's connection to the other members.
 type Node struct {
-	set   Config
-	list  *memberlist.Memberlist
-	queue *memberlist.TransmitLimitedQueue
-	rng   *rand.Rand // by mu
-	over  sync.Once
+	config    Config
+	cluster   *memberlist.Memberlist
+	queue     *memberlist.TransmitLimitedQueue
+	rng       *rand.Rand // guarded by mu
+	closeOnce sync.Once
 
-	mu   sync.Mutex
-	own  []byte            // the newest news of this member
-	want []byte            // that holds
-	all  map[string]told   // the newest of others, for who joins
-	seen map[string]string // addresses by name, of all that ever were there
+	mu             sync.Mutex
+	ownReport      []byte                  // this member's latest report
+	desired        []byte                  // the desired version in force
+	reports        map[string]storedReport // by nodeName: the latest report of each other process, for members that join
+	knownAddresses map[string]string       // by name: the addresses of all members that have ever been alive
 }
 
 const (
-	mostSeen = 4096
-	leaveFor = 200 * time.Millisecond
+	maxKnown     = 4096 // reports, and addresses
+	leaveTimeout = 200 * time.Millisecond
 
-	leastNodes = 99 // a fleet that is smaller passes news on as often as one of so many: 4 times
+	minBroadcastNodes = 99 // in a smaller fleet, a report is transmitted as often as in one of this size: 4 times
 )
 
-// New begins to listen.
-func New(c Config) (*Node, error) {
-	address, number, err := c.ListenAddress()
+// New starts to listen. It contacts no other members: see Join.
+func New(config Config) (*Node, error) {
+	listenHost, listenPort, err := config.ListenAddress()
 	if err != nil {
 		return nil, err
 	}
-	known, knownNumber, err := c.AdvertisedAddress()
+	advertisedHost, advertisedPort, err := config.AdvertisedAddress()
 	if err != nil {
 		return nil, err
 	}
-	g := &Node{set: c, rng: rand.New(rand.NewPCG(c.Seed, 0x90551)), all: map[string]told{}, seen: map[string]string{}}
+	n := &Node{config: config, rng: rand.New(rand.NewPCG(config.Seed, 0x90551)), reports: map[string]storedReport{}, knownAddresses: map[string]string{}}
 	m := memberlist.DefaultLANConfig()
-	// On a change of the list every member has news, and every member passes all of them on: with the library's 12 transmissions of each at 200 members, to 3 others 5 times a second, that took
-	// longer than a member may be behind. 6 transmissions reach 99.75% of them (each hears of each 6 times on average, and e^-6 never); below a hundred 4 reach 98%. A member tells its news
-	// twice more once the first have passed (member.go), and what is missed all the same comes with the next push and pull.
+	// When the endpoint list changes, every member sends a report and every member passes all reports on. With the library's defaults for 200 members (12 transmissions of each
+	// report, to 3 members 5 times a second) this took longer than a member may be out of date. With 6 transmissions a report reaches 99.75% of the members: each member
+	// receives it 6 times on average, and a fraction of e^-6 never does. In fleets below a hundred members 4 transmissions reach 98%. A member sends its report twice more
+	// after the first has spread (member.go of the forwarder), and a report that is still missed arrives with the next push/pull synchronization.
 	m.RetransmitMult, m.GossipInterval, m.GossipNodes = 2, 100*time.Millisecond, 5
-	m.EnableCompression = false // digests don't shrink, and to try costs more than all else
-	if c.ShortTimeouts {
+	m.EnableCompression = false // digests are incompressible, and compressing them costs more than all other work
+	if config.ShortTimeouts {
 		m.ProbeInterval, m.ProbeTimeout, m.SuspicionMult, m.GossipInterval, m.PushPullInterval = 200*time.Millisecond, 100*time.Millisecond, 2, 50*time.Millisecond, 2*time.Second
 		m.TCPTimeout = time.Second
 	}
-	m.Name = nodeName(c.Name, c.Started)
-	m.BindAddr, m.BindPort, m.AdvertiseAddr, m.AdvertisePort = address, number, known, knownNumber
-	m.Delegate, m.SecretKey = (*delegate)(g), c.Key
-	m.Logger = log.New(io.Discard, "", 0) // who comes and goes is the audit's to tell
-	wires, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{address}, BindPort: number, Logger: m.Logger})
+	m.Name = nodeName(config.Name, config.Started)
+	m.BindAddr, m.BindPort, m.AdvertiseAddr, m.AdvertisePort = listenHost, listenPort, advertisedHost, advertisedPort
+	m.Delegate, m.SecretKey = (*delegate)(n), config.Key
+	m.Logger = log.New(io.Discard, "", 0) // members that join and leave are reported by the audit
+	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{listenHost}, BindPort: listenPort, Logger: m.Logger})
 	if err != nil {
-		return nil, fmt.Errorf("gossip: listening at %s: %w", c.Listen, err)
+		return nil, fmt.Errorf("gossip: can't listen at %s: %w", config.Listen, err)
 	}
-	m.Transport = &transport{wires, &net.TCPAddr{IP: net.ParseIP(address)}}
-	m.DeadNodeReclaimTime = time.Second // a process that was started anew has another name
-	g.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: m.RetransmitMult, NumNodes: func() int {
-		if g.list == nil {
-			return leastNodes
+	m.Transport = &transport{netTransport, &net.TCPAddr{IP: net.ParseIP(listenHost)}}
+	m.DeadNodeReclaimTime = time.Second // a restarted process has a different node name
+	n.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: m.RetransmitMult, NumNodes: func() int {
+		if n.cluster == nil {
+			return minBroadcastNodes
 		}
-		return max(leastNodes, g.list.NumMembers())
+		return max(minBroadcastNodes, n.cluster.NumMembers())
 	}}
-	if g.list, err = memberlist.Create(m); err != nil {
-		wires.Shutdown()
-		return nil, fmt.Errorf("gossip: meeting others from %s: %w", c.Listen, err)
+	if n.cluster, err = memberlist.Create(m); err != nil {
+		netTransport.Shutdown()
+		return nil, fmt.Errorf("gossip: can't start the member at %s: %w", config.Listen, err)
 	}
-	return g, nil
+	return n, nil
 }
 
-// transport has connections come from where this member listens, as its packets do: on a machine with several addresses others then know them by it.
+// transport opens connections from the address at which this member listens, as its packets are sent from there. On a machine with several addresses, the others recognize
+// the member by this address.
 type transport struct {
 	*memberlist.NetTransport
 	from *net.TCPAddr
@@ -106,55 +109,55 @@
 	return d.Dial("tcp", a.Addr)
 }
 
-// told is news as they came.
-type told struct {
+// storedReport is a report as it was received.
+type storedReport struct {
 	seq  uint64
 	text []byte
 }
 
-// nodeName is one for each process: two that say that they are one forwarder are both seen.
+// nodeName returns the node name of a process. It differs between processes, so that two processes that claim to be the same forwarder are both visible.
 func nodeName(name string, started time.Time) string {
 	return name + "/" + strconv.FormatInt(started.UnixNano(), 36)
 }
 
-// Join looks for members: those that were named, and those that were there once. It is called again and again, so that halves that were cut
-// apart find each other, and a member that slept finds its way back.
-func (g *Node) Join() {
-	there := map[string]bool{}
-	for _, n := range g.list.Members() {
-		there[n.Address()] = true
-		g.mu.Lock()
-		if len(g.seen) < mostSeen {
-			g.seen[strings.SplitN(n.Name, "/", 2)[0]] = n.Address()
+// Join contacts a member that is not alive in this member's view: one of the configured addresses or one that was alive earlier. It is called periodically, so that the halves
+// of a partitioned fleet find each other again, and a member that was suspended rejoins.
+func (n *Node) Join() {
+	present := map[string]bool{}
+	for _, peer := range n.cluster.Members() {
+		present[peer.Address()] = true
+		n.mu.Lock()
+		if len(n.knownAddresses) < maxKnown {
+			n.knownAddresses[strings.SplitN(peer.Name, "/", 2)[0]] = peer.Address()
 		}
-		g.mu.Unlock()
+		n.mu.Unlock()
 	}
-	var away []string
-	for _, a := range g.set.Join {
-		if !there[a] && a != g.set.Listen && a != g.set.Advertise {
-			away = append(away, a)
+	var absent []string
+	for _, a := range n.config.Join {
+		if !present[a] && a != n.config.Listen && a != n.config.Advertise {
+			absent = append(absent, a)
 		}
 	}
-	g.mu.Lock()
-	for _, a := range g.seen {
-		if !there[a] {
-			away = append(away, a)
+	n.mu.Lock()
+	for _, a := range n.knownAddresses {
+		if !present[a] {
+			absent = append(absent, a)
 		}
 	}
-	g.mu.Unlock()
-	if len(away) == 0 {
+	n.mu.Unlock()
+	if len(absent) == 0 {
 		return
 	}
-	g.mu.Lock()
-	one := away[g.rng.IntN(len(away))]
-	g.mu.Unlock()
-	g.list.Join([]string{one}) // one at a time: it tells of the others
+	n.mu.Lock()
+	address := absent[n.rng.IntN(len(absent))]
+	n.mu.Unlock()
+	n.cluster.Join([]string{address}) // one member is enough: it sends the list of all others
 }
 
-// Members lists who is there, this member too.
-func (g *Node) Members() (list []gossip.Member) {
-	for _, n := range g.list.Members() {
-		name, started, ok := strings.Cut(n.Name, "/")
+// Members returns the living members, including this one.
+func (n *Node) Members() (list []gossip.Member) {
+	for _, peer := range n.cluster.Members() {
+		name, started, ok := strings.Cut(peer.Name, "/")
 		at, err := strconv.ParseInt(started, 36, 64)
 		if ok && err == nil {
 			list = append(list, gossip.Member{Name: name, Started: at})
@@ -163,46 +166,46 @@
 	return list
 }
 
-// BroadcastReport tells news of this member; what it told before is not sent any more.
-func (g *Node) BroadcastReport(news []byte) {
-	g.mu.Lock()
-	g.own = news
-	g.mu.Unlock()
-	g.queue.QueueBroadcast(&broadcast{"n " + g.set.Name, news})
+// BroadcastReport sends this member's report to the others. An earlier report is no longer transmitted.
+func (n *Node) BroadcastReport(report []byte) {
+	n.mu.Lock()
+	n.ownReport = report
+	n.mu.Unlock()
+	n.queue.QueueBroadcast(&broadcast{"n " + n.config.Name, report})
 }
 
-// BroadcastDesired tells a want.
-func (g *Node) BroadcastDesired(want []byte) {
-	g.mu.Lock()
-	g.want = want
-	g.mu.Unlock()
-	g.queue.QueueBroadcast(&broadcast{"w", want})
+// BroadcastDesired sends a desired version to the others. An earlier one is no longer transmitted.
+func (n *Node) BroadcastDesired(desired []byte) {
+	n.mu.Lock()
+	n.desired = desired
+	n.mu.Unlock()
+	n.queue.QueueBroadcast(&broadcast{"w", desired})
 }
 
-// Close leaves.
-func (g *Node) Close() (err error) {
-	g.over.Do(func() { err = errors.Join(g.list.Leave(leaveFor), g.list.Shutdown()) })
+// Close announces to the others that this member leaves, and stops.
+func (n *Node) Close() (err error) {
+	n.closeOnce.Do(func() { err = errors.Join(n.cluster.Leave(leaveTimeout), n.cluster.Shutdown()) })
 	return err
 }
 
-// CloseWithoutLeaving goes without a word: the others miss it.
-func (g *Node) CloseWithoutLeaving() { g.over.Do(func() { g.list.Shutdown() }) }
+// CloseWithoutLeaving stops without an announcement, so that the others detect the member as dead.
+func (n *Node) CloseWithoutLeaving() { n.closeOnce.Do(func() { n.cluster.Shutdown() }) }
 
-// broadcast is a message on its way; a newer one about the same takes its place.
+// broadcast is a message that is being spread. A newer message with the same key replaces it.
 type broadcast struct {
-	about string
-	text  []byte
+	key  string
+	text []byte
 }
 
 func (b *broadcast) Invalidates(o memberlist.Broadcast) bool {
 	other, ok := o.(*broadcast)
-	return ok && other.about == b.about
+	return ok && other.key == b.key
 }
 func (b *broadcast) Message() []byte { return b.text }
 func (b *broadcast) Finished()       {}
-func (b *broadcast) Name() string    { return b.about }
+func (b *broadcast) Name() string    { return b.key }
 
-// delegate is what memberlist calls.
+// delegate implements memberlist.Delegate.
 type delegate Node
 
 func (d *delegate) NodeMeta(int) []byte { return nil }
@@ -211,84 +214,85 @@
 	return (*Node)(d).queue.GetBroadcasts(overhead, limit)
 }
 
-// NotifyMsg takes what came; what can't be read is passed over. News that are new to this member are passed on.
-func (d *delegate) NotifyMsg(b []byte) { (*Node)(d).hear(b) }
+// NotifyMsg processes a received message. A malformed message is ignored, and a report that is new to this member is passed on.
+func (d *delegate) NotifyMsg(b []byte) { (*Node)(d).handleMessage(b) }
 
-func (g *Node) hear(b []byte) {
+// handleMessage processes a message from another member.
+func (n *Node) handleMessage(b []byte) {
 	if len(b) == 0 {
 		return
 	}
 	switch b[0] {
 	case gossip.KindReport:
-		n, err := gossip.DecodeReport(b)
-		if err != nil || n.Name == "" {
+		report, err := gossip.DecodeReport(b)
+		if err != nil || report.Name == "" {
 			return
 		}
-		about := nodeName(n.Name, n.Vector.Started)
-		g.mu.Lock()
-		old, known := g.all[about]
-		if known && old.seq >= n.Seq || !known && len(g.all) >= mostSeen {
-			g.mu.Unlock()
+		key := nodeName(report.Name, report.Vector.Started)
+		n.mu.Lock()
+		old, exists := n.reports[key]
+		if exists && old.seq >= report.Seq || !exists && len(n.reports) >= maxKnown {
+			n.mu.Unlock()
 			return
 		}
 		text := append([]byte(nil), b...)
-		g.all[about] = told{n.Seq, text}
-		g.mu.Unlock()
-		if n.Name != g.set.Name || !n.Vector.Started.Equal(g.set.Started) {
-			g.queue.QueueBroadcast(&broadcast{"n " + about, text})
-			g.set.OnReport(text)
+		n.reports[key] = storedReport{report.Seq, text}
+		n.mu.Unlock()
+		if report.Name != n.config.Name || !report.Vector.Started.Equal(n.config.Started) {
+			n.queue.QueueBroadcast(&broadcast{"n " + key, text})
+			n.config.OnReport(text)
 		}
 	case gossip.KindDesired:
 		if _, err := gossip.DecodeDesired(b); err == nil {
-			g.set.OnDesired(append([]byte(nil), b...))
+			n.config.OnDesired(append([]byte(nil), b...))
 		}
 	}
 }
 
-// LocalState is what this member tells another one that it meets: all that it knows to one that joins, else its own.
+// LocalState returns what this member sends in a push/pull synchronization: the desired version and its own report, and to a member that joins also all other reports.
 func (d *delegate) LocalState(join bool) []byte {
-	g := (*Node)(d)
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	n := (*Node)(d)
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	var b []byte
 	add := func(text []byte) {
 		if len(text) > 0 {
 			b = append(append(b, byte(len(text)>>8), byte(len(text))), text...)
 		}
 	}
-	add(g.want)
-	add(g.own)
+	add(n.desired)
+	add(n.ownReport)
 	if join {
-		for _, t := range g.all {
+		for _, t := range n.reports {
 			add(t.text)
 		}
 	}
 	return b
 }
 
-// MergeRemoteState takes that.
+// MergeRemoteState processes the LocalState of another member.
 func (d *delegate) MergeRemoteState(b []byte, join bool) {
 	for len(b) >= 2 {
-		n := int(b[0])<<8 | int(b[1])
-		if n > len(b)-2 {
+		length := int(b[0])<<8 | int(b[1])
+		if length > len(b)-2 {
 			return
 		}
-		(*Node)(d).hear(b[2 : 2+n])
-		b = b[2+n:]
+		(*Node)(d).handleMessage(b[2 : 2+length])
+		b = b[2+length:]
 	}
 }
 
-// PruneReports drops what is kept of processes that are not there any more.
-func (g *Node) PruneReports() {
-	there := map[string]bool{}
-	for _, n := range g.list.Members() {
-		there[n.Name] = true
+// PruneReports deletes the reports of processes that are no longer alive.
+func (n *Node) PruneReports() {
+	present := map[string]bool{}
+	for _, peer := range n.cluster.Members() {
+		present[peer.Name] = true
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for about := range g.all {
-		if !there[about] {
-			delete(g.all, about)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for key := range n.reports {
+		if !present[key] {
+			delete(n.reports, key)
 		}
 	}
 }
--- a/internal/gossip/host/main.go
+++ b/internal/gossip/host/main.go
@@ -12,118 +12,120 @@
 )
 
 const (
-	whoEvery  = time.Second
-	joinEvery = 5 * time.Second
-	beatLook  = 100 * time.Millisecond
+	membersInterval = time.Second
+	joinInterval    = 5 * time.Second
+	pollInterval    = 100 * time.Millisecond
 )
 
-// Main speaks for a daemon over its standard input and output until that ends.
+// Main runs the sidecar: it exchanges frames with the daemon over in and out until the daemon stops.
 func Main(in io.Reader, out io.Writer) error {
 	r := bufio.NewReader(in)
 	kind, text, err := gossip.ReadFrame(r)
 	if err != nil || kind != gossip.KindConfig {
-		return fmt.Errorf("this program is started by scaleroute alone (%v)", err)
+		return fmt.Errorf("this program is started by scaleroute and not by hand (%v)", err)
 	}
-	h := &speaker{out: out, beat: time.Now()}
-	if err := json.Unmarshal(text, &h.set.Config); err != nil {
+	s := &sidecar{out: out, lastHeartbeat: time.Now()}
+	if err := json.Unmarshal(text, &s.config.Config); err != nil {
 		return err
 	}
-	h.set.OnReport = func(b []byte) { h.write(b[0], b[1:]) }
-	h.set.OnDesired = h.set.OnReport
-	over := make(chan struct{})
-	var all sync.WaitGroup
-	all.Go(func() { h.run(over) })
-	defer all.Wait()
-	defer close(over)
+	s.config.OnReport = func(b []byte) { s.write(b[0], b[1:]) }
+	s.config.OnDesired = s.config.OnReport
+	stop := make(chan struct{})
+	var tasks sync.WaitGroup
+	tasks.Go(func() { s.run(stop) })
+	defer tasks.Wait()
+	defer close(stop)
 	for {
 		kind, message, err := gossip.ReadFrame(r)
 		if err != nil {
-			return nil // the daemon is gone: the others find that out
+			return nil // the daemon is gone: the other members detect that
 		}
-		h.hear(kind, message)
+		s.handleFrame(kind, message)
 		if kind == gossip.KindLeave {
 			return nil
 		}
 	}
 }
 
-// speaker is the process's state.
-type speaker struct {
-	set Config
-	wmu sync.Mutex
-	out io.Writer
+// sidecar is the state of the process.
+type sidecar struct {
+	config  Config
+	writeMu sync.Mutex
+	out     io.Writer
 
-	mu    sync.Mutex
-	g     *Node // nil: it is not among the others
-	beat  time.Time
-	news  []byte
-	want  []byte
-	leave bool
+	mu            sync.Mutex
+	node          *Node // nil: this member is not gossiping
+	lastHeartbeat time.Time
+	report        []byte
+	desired       []byte
+	leaving       bool
 }
 
-func (h *speaker) write(kind byte, message []byte) {
-	h.wmu.Lock()
-	defer h.wmu.Unlock()
-	gossip.WriteFrame(h.out, kind, message) // an error: the daemon is gone, and reading ends too
+// write sends a frame to the daemon.
+func (s *sidecar) write(kind byte, message []byte) {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	gossip.WriteFrame(s.out, kind, message) // an error means that the daemon is gone, which also ends the reading of frames
 }
 
-func (h *speaker) hear(kind byte, message []byte) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.beat = time.Now()
+// handleFrame processes a frame from the daemon. Every frame counts as a heartbeat.
+func (s *sidecar) handleFrame(kind byte, message []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastHeartbeat = time.Now()
 	text := append([]byte{kind}, message...)
 	switch kind {
 	case gossip.KindReport:
-		if h.news = text; h.g != nil {
-			h.g.BroadcastReport(text)
+		if s.report = text; s.node != nil {
+			s.node.BroadcastReport(text)
 		}
 	case gossip.KindDesired:
-		if h.want = text; h.g != nil {
-			h.g.BroadcastDesired(text)
+		if s.desired = text; s.node != nil {
+			s.node.BroadcastDesired(text)
 		}
 	case gossip.KindLeave:
-		h.leave = true
+		s.leaving = true
 	}
 }
 
-// run is among the others while the daemon runs: one that is stopped is missed by them, as if its process were.
-func (h *speaker) run(over <-chan struct{}) {
-	var tried, who, join time.Time
-	tick := time.NewTicker(beatLook)
+// run keeps a node running while the daemon is alive. While the daemon is suspended it stops the node, so that the others detect the member as dead.
+func (s *sidecar) run(stop <-chan struct{}) {
+	var lastStart, lastMembers, lastJoin time.Time
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		now := time.Now()
-		h.mu.Lock()
-		g, runs := h.g, now.Sub(h.beat) <= gossip.HeartbeatTimeout
-		h.mu.Unlock()
+		s.mu.Lock()
+		node, daemonAlive := s.node, now.Sub(s.lastHeartbeat) <= gossip.HeartbeatTimeout
+		s.mu.Unlock()
 		switch {
-		case g != nil && !runs:
-			g.CloseWithoutLeaving()
-			h.mu.Lock()
-			h.g = nil
-			h.mu.Unlock()
-		case g == nil && runs && now.Sub(tried) >= whoEvery:
-			tried = now
-			h.meet()
-		case g != nil && now.Sub(who) >= whoEvery:
-			who = now
-			h.wmu.Lock()
-			gossip.WriteJSONFrame(h.out, gossip.KindMembers, g.Members())
-			h.wmu.Unlock()
-			if now.Sub(join) >= joinEvery {
-				join = now
-				g.PruneReports()
-				go g.Join()
+		case node != nil && !daemonAlive:
+			node.CloseWithoutLeaving()
+			s.mu.Lock()
+			s.node = nil
+			s.mu.Unlock()
+		case node == nil && daemonAlive && now.Sub(lastStart) >= membersInterval:
+			lastStart = now
+			s.startNode()
+		case node != nil && now.Sub(lastMembers) >= membersInterval:
+			lastMembers = now
+			s.writeMu.Lock()
+			gossip.WriteJSONFrame(s.out, gossip.KindMembers, node.Members())
+			s.writeMu.Unlock()
+			if now.Sub(lastJoin) >= joinInterval {
+				lastJoin = now
+				node.PruneReports()
+				go node.Join()
 			}
 		}
 		select {
-		case <-over:
-			h.mu.Lock()
-			defer h.mu.Unlock()
-			if h.g != nil && h.leave {
-				h.g.Close()
-			} else if h.g != nil {
-				h.g.CloseWithoutLeaving()
+		case <-stop:
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			if s.node != nil && s.leaving {
+				s.node.Close()
+			} else if s.node != nil {
+				s.node.CloseWithoutLeaving()
 			}
 			return
 		case <-tick.C:
@@ -131,21 +133,21 @@
 	}
 }
 
-// meet begins to listen. The address may be the process's before until that has ended.
-func (h *speaker) meet() {
-	g, err := New(h.set)
+// startNode starts a node. It fails while the address is still in use by the sidecar of the previous process; run then tries again.
+func (s *sidecar) startNode() {
+	node, err := New(s.config)
 	if err != nil {
-		h.write(gossip.KindError, []byte(err.Error()))
+		s.write(gossip.KindError, []byte(err.Error()))
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.g = g
-	if h.news != nil {
-		g.BroadcastReport(h.news)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.node = node
+	if s.report != nil {
+		node.BroadcastReport(s.report)
 	}
-	if h.want != nil {
-		g.BroadcastDesired(h.want)
+	if s.desired != nil {
+		node.BroadcastDesired(s.desired)
 	}
-	go g.Join()
+	go node.Join()
 }
