--- a/internal/decide/call.go
+++ b/internal/decide/call.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// call is one or more attempts that travel together and occupy one slot.
+// call is a request to an endpoint that carries one or more attempts and occupies one slot.
 type call struct {
 	route        *route
 	endpoint     *endpoint
@@ -16,12 +16,12 @@
 	attempts     []*attempt
 	isProbe      bool
 	cancelled    bool      // cancellation requested
-	lossCounted  bool      // already counted by countLoss
-	shortTimeout bool      // too short for a timeout to mean anything
-	idleStep     int       // bucket of its connection's idle time; 0 for a new one
-	suspicion    suspicion // as it is counted
+	lossCounted  bool      // countLoss has counted it
+	shortTimeout bool      // its timeout is too short for a timeout to say anything about the route
+	idleStep     int       // bucket of the idle time of its connection; 0 for a new connection
+	suspicion    suspicion // under which it is counted in suspectCalls
 
-	seq        uint64 // in the order sent
+	seq        uint64 // calls are numbered in the order sent
 	prev, next *call
 }
 
@@ -31,7 +31,7 @@
 	f.closeAllIntervals(r.dest)
 	f.seq++
 	c := &call{route: r, endpoint: ep, sentAt: f.now, isProbe: r.circuitOpen, seq: f.seq}
-	if n := f.idleConnections(ep); n > 0 { // the host uses the most recent one
+	if n := f.idleConnections(ep); n > 0 { // the host uses the connection that was used last
 		c.idleStep = idleStep(f.now - ep.idleSince[n-1])
 		ep.idleSince = ep.idleSince[:n-1]
 	}
@@ -53,14 +53,14 @@
 	}
 	ep.inFlight++
 	r.weighted = slices.ContainsFunc(r.endpoints, func(o *endpoint) bool { return o.share != ep.share })
-	r.virtualTime = ep.nextDue()
+	r.virtualTime = ep.nextVirtualDue()
 	ep.virtualDue = r.virtualTime + 1/ep.share
 	ep.recentCalls.add(f.now, max(f.settings.ConnIdle, 1))
 	ep.lastScheduled = f.now
 	return c
 }
 
-// startAttempt counts one attempt at a message as a part of a call.
+// startAttempt adds an attempt at a message to a call and counts it.
 func (f *Forwarder) startAttempt(m *message, c *call) {
 	r := c.route
 	r.totalAttempts++
@@ -84,7 +84,7 @@
 	f.dequeue(m)
 }
 
-// endAttempt counts the outcome of an attempt, and reports whether its call has ended by it.
+// endAttempt removes an attempt from its call, and reports whether it was the last one and the call has ended.
 func (f *Forwarder) endAttempt(a *attempt, result Result) (last bool) {
 	c := a.call
 	a.message.inFlight--
@@ -93,14 +93,14 @@
 	if last {
 		f.endCall(c)
 		if result.answered() || result == Errored || result == Overloaded || result == NotSent {
-			c.endpoint.idleSince = append(c.endpoint.idleSince, f.now) // its connection is kept
+			c.endpoint.idleSince = append(c.endpoint.idleSince, f.now) // the host keeps its connection
 		}
 	}
 	f.invalidateOverdue(c.route)
 	return last
 }
 
-// endCall removes a call from all lists.
+// endCall removes a call from all lists and counts of calls in flight.
 func (f *Forwarder) endCall(c *call) {
 	r := c.route
 	r.inFlight = withoutItem(r.inFlight, c)
@@ -121,21 +121,21 @@
 	}
 }
 
-// isLongCall reports whether a call that has ended was in flight for long though its route works, and was
-// either answered or abandoned.
+// isLongCall reports whether a call that has ended was in flight for unusually long although its route answers
+// later calls. Both answered calls and those given up by timeout or cancelCall are meant.
 func (f *Forwarder) isLongCall(c *call, o Outcome) bool {
 	return c.sentAt <= c.route.lastSuccessSentAt && f.now-c.sentAt > max(2*minOverdue, lostLatencyFactor*cmp.Or(c.route.meanLatency, assumedLatency)) &&
 		(o.Result.answered() || o.Result == TimedOut || o.Result == Cancelled && c.cancelled)
 }
 
-// suspicion is what is known of a route that does not answer, and of the calls in flight to it.
+// suspicion says why a route may be unresponsive. Calls in flight are counted under that of their route.
 type suspicion int8
 
 const (
 	notSuspect   suspicion = iota
-	untested               // it has not answered yet
-	unresponsive           // calls to it are overdue
-	occupied               // of a route: suspect, with a call in flight
+	untested               // the route has not answered yet
+	unresponsive           // calls to the route are overdue
+	occupied               // only for quotas: a suspect route that has a call in flight
 	suspicionKinds
 )
 
@@ -151,7 +151,7 @@
 	f.reconsider(r.dest)
 }
 
-// clearSuspicion uncounts them: the route has answered.
+// clearSuspicion undoes markUnresponsive, since the route has answered.
 func (f *Forwarder) clearSuspicion(r *route) {
 	r.suspicion, r.cancelledCalls = notSuspect, 0
 	for _, c := range r.inFlight {
@@ -159,7 +159,7 @@
 	}
 }
 
-// countSuspect counts a call among the suspect ones of its route's kind.
+// countSuspect counts a call under the suspicion of its route.
 func (f *Forwarder) countSuspect(c *call) {
 	if c.suspicion == notSuspect {
 		c.suspicion = c.route.suspicion
@@ -175,7 +175,7 @@
 	}
 }
 
-// invalidateOverdue notes that the time at which a call to a route becomes overdue must be computed anew.
+// invalidateOverdue notes that overdueAt of a route must be recomputed.
 func (f *Forwarder) invalidateOverdue(r *route) {
 	if !r.overdueStale {
 		r.overdueStale = true
@@ -183,8 +183,8 @@
 	}
 }
 
-// routesToCheck returns the routes on which a call may have become overdue, in the order of their first
-// calls.
+// routesToCheck returns the routes on which a call may have become overdue, in the order in which their oldest
+// calls in flight were sent.
 func (f *Forwarder) routesToCheck() []*route {
 	for f.overdue.len() > 0 && f.overdue.min().overdueAt <= f.now {
 		f.invalidateOverdue(f.overdue.pop())
@@ -205,21 +205,21 @@
 	return list
 }
 
-// observeLatency updates the mean latencies of a call's route and its messages' classes.
-func (f *Forwarder) observeLatency(c *call, took time.Duration) {
+// observeLatency updates the mean latency of a call's route and the latency factors of its messages' classes.
+func (f *Forwarder) observeLatency(c *call, latency time.Duration) {
 	r := c.route
 	for _, a := range c.attempts {
 		factor := f.classLatencyFactor(a.message.class)
 		if r.meanLatency > 0 {
-			factor += (min(lateLatencyFactor, float64(took)/float64(r.meanLatency)) - factor) / 64
+			factor += (min(lateLatencyFactor, float64(latency)/float64(r.meanLatency)) - factor) / 64
 		}
 		f.latencyFactor[a.message.class] = factor
 	}
-	r.meanLatency = movingMean(r.meanLatency, took, 8)
-	f.meanLatency = movingMean(f.meanLatency, took, 64)
+	r.meanLatency = movingMean(r.meanLatency, latency, 8)
+	f.meanLatency = movingMean(f.meanLatency, latency, 64)
 }
 
-// classLatencyFactor is how much longer than others at the same route the messages of a class take.
+// classLatencyFactor returns the latency of a class relative to the mean of the route; 1 if it is not known.
 func (f *Forwarder) classLatencyFactor(class *Class) float64 {
 	if p, ok := f.latencyFactor[class]; ok {
 		return p
--- a/internal/decide/call_list.go
+++ b/internal/decide/call_list.go
@@ -1,12 +1,12 @@
 package decide
 
-// callList is the calls in flight in the order sent.
-type callList struct {
+// inFlightList is a doubly linked list of the calls in flight in the order sent.
+type inFlightList struct {
 	first, last *call
 	size        int
 }
 
-func (l *callList) push(c *call) {
+func (l *inFlightList) push(c *call) {
 	c.prev = l.last
 	if l.last != nil {
 		l.last.next = c
@@ -17,7 +17,7 @@
 	l.size++
 }
 
-func (l *callList) remove(c *call) {
+func (l *inFlightList) remove(c *call) {
 	if c.prev != nil {
 		c.prev.next = c.next
 	} else {
--- a/internal/decide/completion.go
+++ b/internal/decide/completion.go
@@ -8,15 +8,15 @@
 
 const (
 	firstBackoff    = 100 * time.Millisecond
-	rejectedBackoff = 2 * adjustInterval     // after a rejection without a retry-after time
-	answerMargin    = 15 * time.Millisecond  // queued messages are answered so long before their deadline
-	keyWindowMargin = 300 * time.Millisecond // a keyed repeat keeps this far from the end of its window
+	overloadBackoff = 2 * adjustInterval     // after an overload refusal without a retry-after time
+	answerMargin    = 15 * time.Millisecond  // queued messages are answered this long before their deadline
+	keyWindowMargin = 300 * time.Millisecond // the same before a dedup window ends, if it may have run
 )
 
-// handleOutcome takes the outcome of an attempt, and retries or completes its message.
+// handleOutcome records the outcome of an attempt, and retries or completes its message.
 func (f *Forwarder) handleOutcome(o Outcome) {
 	m := f.messages[o.Message]
-	a := m.takeAttempt(o.Attempt)
+	a := m.removeAttempt(o.Attempt)
 	if a == nil {
 		return
 	}
@@ -24,7 +24,7 @@
 	r, ep, d := c.route, c.endpoint, c.route.dest
 	f.closeAllIntervals(d)
 	f.hedges.remove(m)
-	r.retryAfter = max(r.retryAfter, f.now+o.RetryAfter) // it applies to all messages of a call
+	r.retryAfter = max(r.retryAfter, f.now+o.RetryAfter) // reported with any attempt of a call
 	last := f.endAttempt(a, o.Result)
 	if o.Result == NotSent {
 		m.sends--
@@ -35,7 +35,7 @@
 	f.removeIfGone(ep)
 	unclear := o.Result == TimedOut || o.Result == Reset || o.Result == Cancelled
 	if unclear && m.keyQueue != nil {
-		m.keyQueue.idleUntil = max(m.keyQueue.idleUntil, f.now+f.settings.KeyPause)
+		m.keyQueue.pausedUntil = max(m.keyQueue.pausedUntil, f.now+f.settings.KeyPause)
 	}
 	if (unclear || o.Result == Errored || o.Result == Succeeded) && !m.mayHaveRun {
 		m.mayHaveRun, m.runZone, m.runSentAt = true, ep.zone, c.sentAt
@@ -48,7 +48,7 @@
 	f.invalidate(d)
 }
 
-// retryOrAnswer queues a message whose attempt failed for a retry, or gives its final answer.
+// retryOrAnswer queues a message whose attempt failed for a retry, or answers it.
 func (f *Forwarder) retryOrAnswer(m *message, r *route, o Outcome) {
 	notSent := o.Result == NotSent
 	if o.Result == Rejected || f.attemptsExhausted(m) ||
@@ -56,8 +56,8 @@
 		f.answerMessage(m)
 		return
 	}
-	// An open route gets probes only, so there is nothing to budget: the message is
-	// queued like first attempts there, and is checked again when it is to go.
+	// A route with an open circuit gets only probes, which need no budget: the message is
+	// queued like first attempts, and the budget is checked again before it is sent.
 	if !notSent && !r.circuitOpen {
 		if !f.retryBudgetLeft(r) {
 			f.answerMessage(m)
@@ -67,8 +67,8 @@
 		r.reservedRetries++
 	}
 	first := firstBackoff
-	if o.Result == Overloaded && o.RetryAfter == 0 { // it will still be full after firstBackoff
-		first = rejectedBackoff
+	if o.Result == Overloaded && o.RetryAfter == 0 { // it is still overloaded after firstBackoff
+		first = overloadBackoff
 	}
 	m.notBefore = max(m.notBefore, f.now+o.RetryDelay)
 	if !notSent {
@@ -77,7 +77,7 @@
 	f.enqueue(m)
 }
 
-// answerDeadline is when a queued message must be answered: its deadline, or the end of its keyed window.
+// answerDeadline is when a queued message must be answered: before its deadline or its dedup window ends.
 func (m *message) answerDeadline() time.Duration {
 	if m.mayHaveRun && m.class.Effect == Deduplicated {
 		return min(m.deadline-answerMargin, m.runSentAt+m.class.DedupWindow-keyWindowMargin)
@@ -85,7 +85,7 @@
 	return m.deadline - answerMargin
 }
 
-// answerDue answers the queued messages whose time is up.
+// answerDue answers the queued messages whose answer deadline has passed, and all of them while fenced.
 func (f *Forwarder) answerDue() {
 	var late []*message
 	for f.answers.len() > 0 && (f.fenced || f.now >= f.answers.min().answerBy) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// isRefusable reports whether the client may be told that handing the message in again is harmless.
+// isRefusable reports whether the client may hand the message in again without harm.
 func (f *Forwarder) isRefusable(m *message) bool {
 	if !m.mayHaveRun && m.inFlight == 0 || m.class.Effect == Idempotent {
 		return true
@@ -105,7 +105,7 @@
 	return m.class.Effect == Deduplicated && !m.class.DedupPerZone
 }
 
-// answerMessage gives the one final answer.
+// answerMessage completes a message that is not delivered, by a Refuse or a Fail.
 func (f *Forwarder) answerMessage(m *message) {
 	if f.isRefusable(m) {
 		f.emit(Refuse{Message: m.id, RetryAfter: f.retryAdvice(m.dest)})
@@ -115,7 +115,7 @@
 	f.completeMessage(m)
 }
 
-// retryAdvice is how long a client should stay away: until the retry-after time or the next probe.
+// retryAdvice is how long a client should wait before it retries: until the retry-after time or next probe.
 func (f *Forwarder) retryAdvice(d *destination) time.Duration {
 	wait := f.settings.MaxRetryAfter
 	for _, r := range d.routes {
--- a/internal/decide/connections.go
+++ b/internal/decide/connections.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// idleStep buckets idle times, each bucket twice as wide as the one before.
+// idleStep returns the bucket of an idle time. Each bucket is twice as wide as the one before.
 func idleStep(idle time.Duration) (step int) {
 	for limit := firstIdleStep; step < idleSteps-1 && idle >= limit; limit *= 2 {
 		step++
@@ -13,7 +13,7 @@
 	return step
 }
 
-// idleConnections is the number of connections to an endpoint believed to be open and idle.
+// idleConnections returns how many connections to an endpoint are taken to be open and idle.
 func (f *Forwarder) idleConnections(ep *endpoint) int {
 	n := 0
 	for n < len(ep.idleSince) && f.now-ep.idleSince[n] >= f.settings.ConnIdle {
@@ -29,15 +29,15 @@
 	ep.idleSince = nil
 }
 
-// countLoss counts a call that was reset or is overdue as lost, by how long its connection was idle.
+// countLoss counts a call that was reset or is overdue as lost, in the bucket of its connection's idle time.
 func (f *Forwarder) countLoss(c *call) {
 	if !c.lossCounted {
 		c.lossCounted = true
-		f.idleLoss[c.idleStep].record(f.now, forgetAfter, idleLossWeight, 1)
+		f.lossByIdleTime[c.idleStep].record(f.now, forgetAfter, idleLossWeight, 1)
 	}
 }
 
-// idleConnectionPrice is what an idle connection costs at an endpoint.
+// idleConnectionPrice returns the price of keeping an idle connection at an endpoint.
 func (f *Forwarder) idleConnectionPrice() float64 {
 	return idleConnectionCost * min(1, float64(max(1, f.settings.Forwarders))/smallTableSize)
 }
--- a/internal/decide/decaying.go
+++ b/internal/decide/decaying.go
@@ -8,13 +8,13 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// decayingCount is a count that decays exponentially.
+// decayingCount is a count that decays exponentially. Its value is as of the time at.
 type decayingCount struct {
 	value float64
 	at    time.Duration
 }
 
-// get is what is left of the count; it changes nothing, so that it does not matter how often it is read.
+// get returns what is left of the count. It changes nothing: the result does not depend on how often it is read.
 func (d decayingCount) get(now, tau time.Duration) float64 {
 	if now > d.at {
 		return d.value * math.Exp(-float64(now-d.at)/float64(tau))
@@ -26,7 +26,7 @@
 	d.value, d.at = d.get(now, tau)+1, max(d.at, now)
 }
 
-// until is when the count will have decayed to a lower one.
+// until returns when the count will have decayed to a lower value.
 func (d decayingCount) until(tau time.Duration, lower float64) time.Duration {
 	if d.value > lower {
 		return d.at + time.Duration(math.Log(d.value/lower)*float64(tau)) + time.Microsecond
@@ -42,7 +42,7 @@
 	d.value += share * (v - d.value)
 }
 
-// movingMean moves a mean, once there is one, towards a new value by one part in so many.
+// movingMean moves a mean towards a new value v by one part in parts. A mean of 0 is not known yet and becomes v.
 func movingMean(mean, v, parts time.Duration) time.Duration {
 	if mean == 0 {
 		return v
@@ -50,15 +50,15 @@
 	return mean + (v-mean)/parts
 }
 
-// oneIf is 1 if a condition holds, else 0.
-func oneIf(of bool) float64 {
-	if of {
+// oneIf returns 1 if a condition holds, else 0.
+func oneIf(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-// withoutItem removes one item and keeps the order.
+// withoutItem removes an item from a list and keeps the order of the others.
 func withoutItem[T comparable](list []T, item T) []T {
 	for i, x := range list {
 		if x == item {
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -11,67 +11,67 @@
 // A restarted host creates a new Forwarder and feeds it the last list it knew.
 // A Forwarder is not safe for concurrent use.
 //
-// A host that errs gets no panic and no broken rule: time that runs backward
-// counts as no time passed; a second message with the id of an open one is
-// ignored, and so are outcomes and withdrawals of unknown messages. A message for
-// an unknown class, or one whose time is already up, is rejected at once.
+// A mistake of the host causes no panic and breaks no delivery rule: a clock that
+// runs backward counts as one that stands still; a second message with the id of
+// an open one is ignored, and so are outcomes and withdrawals of unknown messages.
+// A message of an unknown class, or one whose deadline has passed, is refused at once.
 //
 // All decisions are made in the files that deploy/balancer.toml lists as policy:
 // policy.go (the order of a Step), shedding.go, scheduling.go, eligibility.go,
 // selection.go, hedging.go, completion.go, circuit.go, overdue.go,
 // retry_budget.go and pacing.go. The other files hold state and indexes.
 //
-// Whether a destination may be sent to follows from its state and the clock
-// alone, and computing it changes nothing. So it is computed only after a change
-// there, or at the next eligible time that the last computation gave.
-// docs/large-sizes.md has the rest.
+// Whether a message may be sent to a destination follows from the destination's
+// state and the clock alone, and computing it changes nothing. So it is computed
+// only after a change at the destination, or at the next eligible time that the
+// last computation gave. docs/large-sizes.md describes the indexes.
 package decide
 
 import "time"
 
-// Effect is what a second delivery of a message does at its destination.
+// Effect says what a second delivery of a message does at its destination.
 type Effect int
 
 // The kinds of effect.
 const (
 	Idempotent   Effect = iota // safe to repeat
-	Deduplicated               // a repeat is dropped by the same group within a window
-	AtMostOnce                 // must never take effect twice
+	Deduplicated               // the receiving endpoints drop a repeat within a window
+	AtMostOnce                 // not safe to repeat: must never take effect twice
 )
 
-// Decay is how the value of a message falls once its aim has passed.
+// Decay says how the value of a message falls once it is no longer on time.
 type Decay int
 
-// The kinds of decay.
+// The kinds of decay. The value is Class.LateShare of the full one at the least.
 const (
 	Linear      Decay = iota // evenly, down to the late share at the deadline
-	Exponential              // by half with each further aim, not under the late share
+	Exponential              // by half with each further Class.OnTime that passes, down to the late share
 )
 
 // Class describes one class of message.
 type Class struct {
 	Name         string
 	Effect       Effect
-	DedupPerZone bool          // for Keyed: only endpoints of one zone drop repeats; else all do
-	DedupWindow  time.Duration // for Keyed: how long a repeat is dropped
-	OnTime       time.Duration // delivered by then it has its full value
-	Deadline     time.Duration // it fails if it is not delivered by then
-	Value        float64
-	LateShare    float64 // share of the value left at the deadline
-	Ordered      bool    // messages with one key go one at a time, in order
+	DedupPerZone bool          // for Deduplicated: a repeat is dropped only in the zone of the first delivery; else everywhere
+	DedupWindow  time.Duration // for Deduplicated: how long a repeat is dropped
+	OnTime       time.Duration // a message delivered within this time has its full value
+	Deadline     time.Duration // a message not delivered within this time has failed
+	Value        float64       // of a message that is delivered on time
+	LateShare    float64       // share of the value that is left at the deadline
+	Ordered      bool          // messages with the same key are sent one at a time, in the order accepted
 }
 
 // Kind describes one kind of destination.
 type Kind struct {
 	Name           string
-	SeparateRoutes bool // its endpoints are separate routes
-	MaxBatch       int  // messages that one call carries at most
+	SeparateRoutes bool // each endpoint is a route of its own; else all of a destination share one
+	MaxBatch       int  // the largest number of messages in one call
 }
 
-// Tenant is one of those whose messages are delivered.
+// Tenant is a customer of the platform that sends messages.
 type Tenant struct {
 	Name  string
-	Quota float64 // messages a second, over all forwarders, inside its share
+	Quota float64 // messages a second over all forwarders; those beyond it count as Settings.OverQuotaValue
 }
 
 // Settings configures a Forwarder.
@@ -81,59 +81,59 @@
 	Kinds          []Kind
 	Tenants        []Tenant
 	Decay          Decay
-	OverQuotaValue float64 // value of a message beyond its tenant's quota, as a share
+	OverQuotaValue float64 // value of a message beyond its tenant's quota, as a share of its normal value
 
 	Zone           string             // this forwarder's own
-	ZoneFee        map[string]float64 // price of a message accepted by a separate route, by zone
+	ZoneFee        map[string]float64 // price of a message that a separate route accepts, by the zone of its endpoint
 	CrossZonePrice float64            // price of an attempt that leaves the zone
-	ConnectPrice   float64            // price of a new connection; at 0 none is kept idle
-	Forwarders     int                // how many there are, this one included
-	Weights        Weights            // what Target.Weight holds
+	ConnectPrice   float64            // price of a new connection; at 0 no idle connection is kept
+	Forwarders     int                // number of forwarders, this one included
+	Weights        Weights            // what Target.Weight means
 
-	Slots               int                                                      // calls in flight at once
+	Slots               int                                                      // calls in flight at once, of all destinations
 	MaxOpen             int                                                      // open messages at once; 0 for no limit
-	MaxAttempts         int                                                      // attempts for one message; 0 for no limit
+	MaxAttempts         int                                                      // attempts at one message; 0 for no limit
 	Limits              func(class string, destination int, route string) Limits // a pure function; nil for none
-	Hedging             bool
-	MayProbe            bool
-	MayCancel           bool
-	MustSubscribe       bool          // the list comes only when asked for
-	ResubscribeInterval time.Duration // how often to ask where the list must be asked for
-
-	ConnIdle       time.Duration // an idle connection is closed after this
-	ConnectTimeout time.Duration // a connection not made by then has failed
-	MaxRetryAfter  time.Duration // the longest wait that a client heeds
-
-	AnswerSlack    time.Duration // a final answer may be this late
-	DrainGrace     time.Duration // sends to a draining target must have ended by then
-	KeyPause       time.Duration // pause of a key after an attempt that may still run
-	StartCapacity  float64       // share of its capacity that a returning destination has
-	SlowStart      time.Duration // it has all of it after this
-	OverloadFactor float64       // sent over this multiple of its present capacity
-	OverloadOutage time.Duration // for this long, it falls over
+	Hedging             bool                                                     // hedged requests are allowed
+	MayProbe            bool                                                     // not used: a probe here is an attempt at a queued message
+	MayCancel           bool                                                     // attempts may be cancelled
+	MustSubscribe       bool                                                     // discovery sends the endpoints only on request
+	ResubscribeInterval time.Duration                                            // longest wait until the next request after one that failed
+
+	ConnIdle       time.Duration // the host closes a connection that was idle for so long
+	ConnectTimeout time.Duration // a connection that is not made within this time has failed
+	MaxRetryAfter  time.Duration // longest retry-after time that a client obeys
+
+	AnswerSlack    time.Duration // how late after its deadline a message may be answered
+	DrainGrace     time.Duration // calls to a draining endpoint must have ended by then
+	KeyPause       time.Duration // no other message of a key is sent for so long after an attempt that may still run
+	StartCapacity  float64       // share of its capacity that a destination has when it returns from an outage
+	SlowStart      time.Duration // time from its return until it has all of its capacity
+	OverloadFactor float64       // calls beyond this multiple of its present capacity overload a destination
+	OverloadOutage time.Duration // how long a destination is then down
 }
 
-// Limits restricts what is done for some messages; 0 is no limit.
+// Limits restricts the delivery of some messages; 0 is no limit.
 type Limits struct {
-	MaxAttempts    int           // for one message
-	AttemptTimeout time.Duration // how long one attempt may wait for its answer
-	RetryDelay     time.Duration // before the first retry, still jittered; it doubles from there
-	HedgeDelay     time.Duration // until a hedged request of a repeatable message, where Settings.SecondCopies
+	MaxAttempts    int           // at one message
+	AttemptTimeout time.Duration // longest wait for the answer to one attempt
+	RetryDelay     time.Duration // longest wait before the first retry, jittered; it doubles with each further retry
+	HedgeDelay     time.Duration // from the first attempt at an idempotent message to a hedged request, with Settings.Hedging
 
-	// For all messages of a destination together: requested without a class.
+	// These apply to all messages of a destination together; the host is asked for them without a class.
 	MaxInFlight   int     // calls in flight at once, of each route
 	MaxRate       float64 // calls a second, of each route, by this forwarder
 	MaxRetryRatio float64 // retries, as a share of first attempts
 }
 
-// Weights is what the weight of an endpoint means.
+// Weights says what the weight of an endpoint means.
 type Weights int
 
-// What a weight may mean.
+// The meanings of a weight.
 const (
-	NoWeights    Weights = iota // nothing
+	NoWeights    Weights = iota // the weight means nothing
 	ExactWeights                // calls a second that the route accepts from all forwarders
-	RoughWeights                // the same, up to half too high or too low
+	RoughWeights                // the same, but up to half too high or too low
 )
 
 // Event is something that a host reports: [TargetList], [Message], [Outcome],
@@ -146,8 +146,8 @@
 // The states of an endpoint.
 const (
 	Active   TargetState = iota
-	Draining             // send nothing new
-	Gone
+	Draining             // gets no new call
+	Gone                 // no longer exists
 )
 
 // Target is the listing of one endpoint.
@@ -159,8 +159,8 @@
 	State       TargetState
 	Weight      float64
 	Backup      bool    // used only while the others of its destination fail or are gone
-	Share       float64 // its weight in the round robin of its route; 0 is 1
-	EnableCount uint32  // how often an operator disabled and enabled it: it comes back cold
+	Share       float64 // its share of the calls to its route, relative to the others; 0 counts as 1
+	EnableCount uint32  // how often an operator has re-enabled it; each time it gets a slow start
 }
 
 // ListScope says how a TargetList relates to the one before it.
@@ -169,8 +169,8 @@
 // The scopes of a list.
 const (
 	Snapshot    ListScope = iota // a complete snapshot: an endpoint missing from it is gone
-	LastKnown                    // the last known snapshot, possibly out of date
-	Delta                        // a delta
+	LastKnown                    // the last snapshot that a restarted host knew, possibly out of date
+	Delta                        // only the endpoints that have changed
 	Unavailable                  // the request failed; the last list stays valid
 )
 
@@ -180,31 +180,32 @@
 	Targets []Target
 }
 
-// Message is a new message, or a recovered one. The forwarder owes it one final answer.
+// Message is a new message, or a recovered one. The Forwarder completes each exactly once: by an Outcome
+// with NoAnswerNeeded, a Withdrawn, a Refuse or a Fail.
 type Message struct {
 	ID                  string
 	Class               string
 	Destination         int
-	Key                 string // for classes that keep order: messages of one key go one at a time
+	Key                 string // of its per-key queue, for a class with Ordered
 	Tenant              string
 	TimeLeft            time.Duration   // until its deadline
-	FromFailedForwarder bool            // it was open at a forwarder that died
-	ClientRetry         bool            // a client's repeat, where clients mark it
-	Route               string          // by which it came, for its limits
-	Filter              *EndpointFilter // which endpoints it may go to; nil: any of its destination
-
-	// What a restarted host knows of a message that it had accepted before.
-	Recovered      bool // accepted before the restart: it is never rejected for lack of room
-	Attempts       int  // sends made before; the next one has this number
+	FromFailedForwarder bool            // it was open at a forwarder that failed
+	ClientRetry         bool            // the client sends it again, where clients mark that
+	Route               string          // the operator's rule that routed it; only Settings.Limits uses it
+	Filter              *EndpointFilter // which endpoints it may go to; nil for any of its destination
+
+	// What a restarted host knows of a message that it accepted before.
+	Recovered      bool // accepted before the restart: it is never refused because the queues are full
+	Attempts       int  // number of attempts before; the next one has this number
 	HasOpenAttempt bool // the last of them has no known outcome
 	MayHaveRun     bool // one of them may have run
 }
 
-// EndpointFilter restricts and orders the endpoints that a message may go to. It permits none
-// that would not be permitted without it.
+// EndpointFilter restricts and orders the endpoints that a message may go to. It never permits one
+// that is not permitted without it.
 type EndpointFilter struct {
-	Only   []string // no others; none: all
-	Prefer []string // these before the others, in this order, other things being equal
+	Only   []string // the only ones permitted; empty for all
+	Prefer []string // preferred to the others, in this order, if all else is equal
 }
 
 // Result is how an attempt or a probe ended.
@@ -213,24 +214,24 @@
 // The ways in which an attempt can end.
 const (
 	Succeeded     Result = iota
-	Errored              // answered with an error; it may have run
-	Overloaded           // rejected: it did not run
-	TimedOut             // it may have run, or still do so
-	ConnectFailed        // never reached the target
-	Reset                // the connection broke; it may have run
-	Cancelled            // cancelled by the host; it may have run
-	NotSent              // never sent, but counts as an attempt
-	Rejected             // rejected for good: it did not run, and is not retried
+	Errored              // answered with an error; the message may have run
+	Overloaded           // refused for now: the message did not run
+	TimedOut             // the message may have run, or still be running
+	ConnectFailed        // the endpoint was not reached
+	Reset                // the connection broke; the message may have run
+	Cancelled            // cancelled by the host; the message may have run
+	NotSent              // not sent by the host, but the attempt keeps its number
+	Rejected             // rejected for good: the message did not run, and is not retried
 )
 
 // answered reports whether an endpoint gave a definite answer to the message.
 func (r Result) answered() bool { return r == Succeeded || r == Rejected }
 
-// Allowance is what a destination reports of its limit.
+// Allowance is what a destination reports of its rate limit.
 type Allowance struct {
 	Reported  bool
 	Remaining float64 // share of the limit that is left
-	Rate      float64 // calls a second that the limit allows; 0 where there is none
+	Rate      float64 // the limit in calls a second; 0 if there is none
 }
 
 // Outcome reports how an attempt ended. Every Send gets exactly one.
@@ -240,14 +241,14 @@
 	Target         string
 	Result         Result
 	Latency        time.Duration
-	RetryAfter     time.Duration // the retry-after time, or 0
+	RetryAfter     time.Duration // asked for by the endpoint, or 0
 	NoSlot         bool          // with NotSent: no slot was free
-	RetryDelay     time.Duration // with NotSent: its message is not retried before
-	NoAnswerNeeded bool          // the message needs no answer any more
+	RetryDelay     time.Duration // with NotSent: how long until the message may be retried
+	NoAnswerNeeded bool          // the message is completed: its client has its answer or needs none
 	Allowance      Allowance
 }
 
-// ProbeResult reports how a probe ended.
+// ProbeResult reports how a probe without a message ended. It changes nothing.
 type ProbeResult struct {
 	Target    string
 	Result    Result
@@ -258,22 +259,22 @@
 // Withdrawn reports that a message is no longer wanted; it needs no answer.
 type Withdrawn struct{ Message string }
 
-// Woken reports that the time of a Wake has come.
+// Woken reports that the time that a Wake asked for has come.
 type Woken struct{}
 
 // StoreFull reports that the host had no room to store one more message.
 type StoreFull struct{}
 
-// Stopping reports that the host stops after this time. What is open then goes
-// to the Forwarder of its next start as Recovered.
+// Stopping reports that the host stops after this time. The messages open then are
+// given to the Forwarder of its next start as Recovered.
 type Stopping struct{ TimeLeft time.Duration }
 
-// Fenced reports that the host is fenced and must make no new call until it reports that this is over:
-// queued messages are answered at once, those in flight when their calls end without success.
+// Fenced reports that the host is fenced off, or with On false that it no longer is. While it is, no call
+// begins: queued messages are answered at once, those in flight when their calls end without success.
 type Fenced struct{ On bool }
 
-// PeerRetryAfter reports a retry-after time that another sender got from this endpoint: nothing
-// is sent there until then. It never shortens one.
+// PeerRetryAfter reports a retry-after time that another forwarder got from this endpoint. Nothing is sent
+// there until then. It never shortens a retry-after time that is known already.
 type PeerRetryAfter struct {
 	Target     string
 	RetryAfter time.Duration
@@ -300,16 +301,16 @@
 	Message     string
 	Target      string
 	Timeout     time.Duration
-	StartWithin time.Duration // its first byte is written within that, or not at all; 0: whenever
+	StartWithin time.Duration // the first byte is written within this time or not at all; 0 for no limit
 }
 
-// Refuse is a final answer: handing the message in again is harmless.
+// Refuse completes a message: its client may hand it in again without harm.
 type Refuse struct {
 	Message    string
-	RetryAfter time.Duration // advice: how long to stay away; 0 for none
+	RetryAfter time.Duration // how long the client should wait before that; 0 for no advice
 }
 
-// Fail is a final answer that promises nothing about the message's effect.
+// Fail completes a message without saying whether it took effect.
 type Fail struct{ Message string }
 
 // Cancel cancels one attempt; its outcome is still reported.
@@ -321,11 +322,11 @@
 // CloseIdle closes the idle connections to an endpoint.
 type CloseIdle struct{ Target string }
 
-// Subscribe asks discovery for changes of the list from now on.
+// Subscribe asks discovery for the endpoints and, from then on, their changes.
 type Subscribe struct{}
 
 // Wake asks for a Step with a Woken event after this time, at the latest. Only
-// the newest Wake need be kept; one too many does no harm.
+// the newest Wake need be kept; a Woken that nothing asked for does no harm.
 type Wake struct{ After time.Duration }
 
 func (Send) action()      {}
@@ -339,11 +340,11 @@
 // RouteView is the state of one route as operators see it.
 type RouteView struct {
 	Route          string        // the destination's number, or the endpoint's id where routes are separate
-	CircuitOpen    bool          // the circuit is open: only probes go
-	OpenReason     string        // why the circuit is open; empty if it is not
-	RetryAfterLeft time.Duration // until the retry-after time
-	RetryRatio     float64       // retries allowed, as a share of first attempts
-	Amplification  float64       // all attempts over first attempts
+	CircuitOpen    bool          // only probes are sent
+	OpenReason     string        // empty if the circuit is closed
+	RetryAfterLeft time.Duration // until the retry-after time has passed
+	RetryRatio     float64       // the retry budget: retries allowed per first attempt
+	Amplification  float64       // attempts per first attempt
 	InFlight       int           // calls in flight
 	Queued         int           // messages queued for the destination
 }
--- a/internal/decide/eligibility.go
+++ b/internal/decide/eligibility.go
@@ -7,24 +7,24 @@
 
 const (
 	maxRetries           = 3        // of one message
-	halfFailingShare     = 0.5      // of unclear outcomes: opens the circuit and holds unsafe messages
-	stopLatencyFactor    = 3        // latencies that must be left before the host stops
-	routeQuota           = 0.5      // of the slots: calls to one route
-	suspectQuota         = 0.75     // calls to all suspect routes
-	occupiedQuota        = 0.25     // below it a suspect route may have several calls
-	unresponsiveQuota    = 1.0 / 8  // calls to unresponsive routes
+	halfFailingShare     = 0.5      // of unclear outcomes: opens the circuit and delays AtMostOnce messages
+	stopLatencyFactor    = 3        // so many latencies must be left before the host stops
+	routeQuota           = 0.5      // share of the slots for calls to one route
+	suspectQuota         = 0.75     // share for calls to all suspect routes
+	occupiedQuota        = 0.25     // within this share a suspect route may have several calls
+	unresponsiveQuota    = 1.0 / 8  // share for calls to unresponsive routes
 	scarceQuota          = 1.0 / 32 // the same while over half of the slots are in use
-	minUnresponsiveCalls = 8        // or so many calls, if that is more
+	minUnresponsiveCalls = 8        // lower bound of these two, in calls
 )
 
-// routeEligibleAt is when any message may go to a route: the part of eligibility that all of them share.
+// routeEligibleAt returns when the state of a route allows a call, whatever the message.
 func (f *Forwarder) routeEligibleAt(r *route) (earliest time.Duration) {
 	f.closeIntervals(r)
-	paced := min(r.nextTokenAt, r.intervalStart+adjustInterval) // the pace may rise then
+	paced := min(r.nextTokenAt, r.intervalStart+adjustInterval) // by then the pace may have risen
 	switch {
 	case f.now < r.retryAfter:
 		return r.retryAfter
-	case r.circuitOpen && r.probesInFlight > 0, r.dest.limits.callsFull(len(r.inFlight)):
+	case r.circuitOpen && r.probesInFlight > 0, r.dest.limits.inFlightFull(len(r.inFlight)):
 		return never
 	case r.circuitOpen:
 		return max(f.nextProbeAt(r), r.dest.limits.rateEligibleAt(paced))
@@ -36,7 +36,7 @@
 	return f.now
 }
 
-// suspicionBound is which quota of suspect calls applies to one more call to a route.
+// suspicionBound returns which quota of suspect calls applies to one more call to a route.
 func (r *route) suspicionBound() suspicion {
 	if r.suspicion != notSuspect && !r.circuitOpen && len(r.inFlight) > 0 {
 		return occupied
@@ -44,8 +44,8 @@
 	return r.suspicion
 }
 
-// suspectSlotFree reports whether a quota has room for one more suspect call. Unresponsive routes leave
-// slots to the others; each gets one call before any gets a second beyond a few; and those known to be
+// suspectSlotFree reports whether a quota has room for one more suspect call. Suspect routes leave slots to
+// the others; beyond a few calls, each gets one before any gets a second; and routes known to be
 // unresponsive leave most of the room to untested ones.
 func (f *Forwarder) suspectSlotFree(kind suspicion) bool {
 	quota, slots := suspectQuota, float64(f.settings.Slots)
@@ -65,8 +65,8 @@
 	return f.suspectCalls[untested]+f.suspectCalls[unresponsive] < int(math.Ceil(quota*slots))
 }
 
-// sendEligibleAt is when a message may go to an endpoint, as far as the two decide; no send bypasses it.
-// Times are checked first: a condition that may end must not hide when the wait for time ends.
+// sendEligibleAt returns when a message may be sent to an endpoint, as far as the two decide; no send
+// bypasses it. Times are checked first: a condition that may end any time must not hide when a wait ends.
 func (f *Forwarder) sendEligibleAt(m *message, ep *endpoint) (earliest time.Duration) {
 	r, class := ep.route, m.class
 	switch {
@@ -81,7 +81,7 @@
 		earliest = max(earliest, r.allowanceSpentUntil)
 	}
 	if class.Effect == AtMostOnce {
-		// An unclear outcome would lose it: it waits, and leaves probes to repeatable messages.
+		// An unclear outcome would lose the message: it waits, and leaves probes to repeatable ones.
 		earliest = max(earliest, r.unclearShare.until(recentWindow, halfFailingShare))
 		if r.circuitOpen {
 			earliest = max(earliest, f.nextProbeAt(r)+maxProbeInterval)
@@ -103,7 +103,7 @@
 	return f.fenced || m.sends > maxRetries || m.limits.MaxAttempts > 0 && m.attempts >= m.limits.MaxAttempts
 }
 
-// isRepeatable reports whether a message that may have run may be sent to an endpoint again in its time.
+// isRepeatable reports whether a message that may have run may be sent again to an endpoint, in its time.
 func isRepeatable(m *message, ep *endpoint) bool {
 	e := m.class.Effect
 	return e == Idempotent || e == Deduplicated && (!m.class.DedupPerZone || ep.zone == m.runZone)
--- a/internal/decide/endpoint.go
+++ b/internal/decide/endpoint.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// endpoint is one listed endpoint.
+// endpoint is the state of one listed endpoint.
 type endpoint struct {
 	id                  string
 	kind                Kind
@@ -15,37 +15,39 @@
 	state               TargetState
 	weight              float64
 	backup              bool
-	share               float64 // of the calls, relative to others
-	virtualDue          float64 // virtual time when its next call is due
+	share               float64 // of the calls to its route, relative to the other endpoints
+	virtualDue          float64 // virtual time when its next call is due; see nextVirtualDue
 	route               *route
-	snapshotSeq         uint64 // the last snapshot that listed it
+	snapshotSeq         uint64 // number of the last snapshot or delta that listed it
 	inFlight            int
-	idleSince           []time.Duration // since when each open connection is idle
-	recentCalls         decayingCount   // calls
-	lastScheduled       time.Duration   // for round robin
-	consecutiveFailures int             // failures in a row
+	idleSince           []time.Duration // for each idle connection, since when; the most recent last
+	recentCalls         decayingCount
+	lastScheduled       time.Duration // when a call to it was last begun, for round robin
+	consecutiveFailures int           // in a row
 	avoidUntil          time.Duration
 	failureShare        decayingMean // share of calls with an unclear outcome
 	listing             Target       // as last listed
-	enableCount         uint32       // as last listed: times it was enabled by an operator
+	enableCount         uint32       // as last listed: how often an operator has re-enabled it
 	slowStartUntil      time.Duration
 }
 
-// shareOrDefault is the listed share of an endpoint, 1 if none is listed.
+// shareOrDefault returns the listed share of an endpoint, 1 if none is listed.
 func shareOrDefault(listing Target) float64 { return cmp.Or(max(listing.Share, 0), 1) }
 
-// nextDue is an endpoint's place in the weighted round robin of its route. One that was away or was passed
-// over while it failed has one call in hand and no more, so that missed calls do not all go to it on its
-// return.
-func (ep *endpoint) nextDue() float64 { return max(ep.virtualDue, ep.route.virtualTime-1/ep.share) }
+// nextVirtualDue returns the virtual time when the endpoint's next call is due in the weighted round robin of its
+// route. An endpoint that got no calls while it was gone or failing is behind by at most one call, so that it
+// does not get all missed calls on its return.
+func (ep *endpoint) nextVirtualDue() float64 {
+	return max(ep.virtualDue, ep.route.virtualTime-1/ep.share)
+}
 
-// aheadOfShare is how many calls an endpoint is ahead of those of its route that had least for their shares;
-// 0 where all have one share.
-func (ep *endpoint) aheadOfShare() float64 {
+// callsAheadOfShare returns how far an endpoint is ahead of the virtual time of its route, in calls per share;
+// 0 if all endpoints have the same share.
+func (ep *endpoint) callsAheadOfShare() float64 {
 	if !ep.route.weighted {
 		return 0
 	}
-	return ep.nextDue() - ep.route.virtualTime
+	return ep.nextVirtualDue() - ep.route.virtualTime
 }
 
 // isActiveBackup reports whether an endpoint is an active backup.
@@ -72,8 +74,8 @@
 	f.expireDestinations()
 }
 
-// missingEndpoints returns the endpoints that the current snapshot lacks, by ID: the order decides which paces are computed first, and
-// the same events must always lead to the same state.
+// missingEndpoints returns the endpoints that the current snapshot lacks. They are sorted by ID since their order
+// decides which paces are computed first, and the same events must always lead to the same state.
 func (f *Forwarder) missingEndpoints() []*endpoint {
 	var missing []*endpoint
 	for _, ep := range f.endpoints {
@@ -85,7 +87,7 @@
 	return missing
 }
 
-// subscribeIfDue asks discovery for the endpoints where that is needed.
+// subscribeIfDue asks discovery for the endpoints if Settings.MustSubscribe and it has not, or the request failed.
 func (f *Forwarder) subscribeIfDue() {
 	if f.settings.MustSubscribe && !f.subscribed && !f.waitUntil(f.subscribeAt) {
 		f.subscribed = true
@@ -93,7 +95,7 @@
 	}
 }
 
-// endpointFor finds a listed endpoint, or makes it and its route.
+// endpointFor returns the endpoint of a listing, and creates it and its route if need be.
 func (f *Forwarder) endpointFor(listing Target) *endpoint {
 	if ep := f.endpoints[listing.ID]; ep != nil {
 		if ep.route.dest.id == listing.Destination || listing.State == Gone {
@@ -120,7 +122,7 @@
 	return ep
 }
 
-// updateEndpoint applies the listing of one endpoint.
+// updateEndpoint applies a listing to its endpoint.
 func (f *Forwarder) updateEndpoint(ep *endpoint, listing Target) {
 	if listing == ep.listing && listing.State != Gone {
 		return
@@ -128,7 +130,7 @@
 	d := ep.route.dest
 	f.closeAllIntervals(d)
 	if ep.state != Active && listing.State == Active {
-		f.resetTurn(ep)
+		f.resetRoundRobin(ep)
 	}
 	ep.state, ep.zone, ep.weight, ep.backup, ep.share = listing.State, listing.Zone, listing.Weight, listing.Backup, shareOrDefault(listing)
 	if ep.listing = listing; listing.EnableCount > ep.enableCount {
@@ -138,8 +140,8 @@
 	f.invalidate(d)
 }
 
-// enableEndpoint readmits an endpoint that an operator had disabled: it was restarted meanwhile and gets a
-// slow start. So does a route without another warm endpoint.
+// enableEndpoint gives an endpoint that an operator has re-enabled a slow start, since it is taken to have been
+// restarted meanwhile. If its route has no other warm endpoint, the route gets a slow start too.
 func (f *Forwarder) enableEndpoint(ep *endpoint, times uint32) {
 	ep.enableCount, ep.slowStartUntil, ep.consecutiveFailures, ep.avoidUntil = times, f.now+f.settings.SlowStart, 0, 0
 	warm := func(o *endpoint) bool { return o.state == Active && f.endpointCapacity(o) == 1 }
@@ -148,16 +150,16 @@
 	}
 }
 
-// resetTurn gives an endpoint that was not called for a while the round robin place of a random one of its
-// route: else it would be next at every sender that learns of its return.
-func (f *Forwarder) resetTurn(ep *endpoint) {
+// resetRoundRobin gives an endpoint that was not called for a while the round robin place of a random endpoint of
+// its route. Else it would be the next one at every forwarder that learns of its return.
+func (f *Forwarder) resetRoundRobin(ep *endpoint) {
 	if others := ep.route.endpoints; len(others) > 1 {
 		ep.lastScheduled = others[f.rng.IntN(len(others))].lastScheduled
 	}
 }
 
-// detachEndpoint removes an endpoint from its destination for good, since its name is now listed at another
-// one. Calls in flight to it go on.
+// detachEndpoint removes an endpoint from its destination, since its ID is now listed at another one. While calls
+// to it are in flight it is kept under another ID.
 func (f *Forwarder) detachEndpoint(ep *endpoint) {
 	f.updateEndpoint(ep, Target{Zone: ep.zone, State: Gone, Weight: ep.weight})
 	if f.endpoints[ep.id] != ep {
@@ -170,11 +172,11 @@
 	f.endpoints[ep.id] = ep
 }
 
-// detachedSuffix is appended to the name of a detached endpoint, and is part of no listed name.
+// detachedSuffix is appended to the ID of a detached endpoint. No listed ID contains it.
 const detachedSuffix = "\x00"
 
-// removeIfGone removes an endpoint that is gone once no call to it is in flight. What the route that it
-// shared with others learned stays; a route of its own goes with it.
+// removeIfGone removes an endpoint that is gone once no call to it is in flight. A route of its own is removed with
+// it; a route that it shares stays, with all that is known of it.
 func (f *Forwarder) removeIfGone(ep *endpoint) {
 	if ep.state != Gone || ep.inFlight > 0 || f.endpoints[ep.id] != ep {
 		return
--- a/internal/decide/export_test.go
+++ b/internal/decide/export_test.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// HasOrphanedCalls tells whether a call is out that had a message which is over or has its outcome: that one is not handed over.
+// HasOrphanedCalls reports whether a call in flight has an attempt that has its outcome or whose message is completed. Save may leave such a call out.
 func (f *Forwarder) HasOrphanedCalls() bool {
 	for c := f.inFlight.first; c != nil; c = c.next {
 		for _, a := range c.attempts {
@@ -14,7 +14,7 @@
 	return false
 }
 
-// EqualIgnoringSeq tells whether two memories are the same but for how many numbers had been given.
+// EqualIgnoringSeq reports whether two states are equal but for the last sequence number given, which it sets in o to that of m.
 func (m *SavedState) EqualIgnoringSeq(o *SavedState) bool {
 	o.seq = m.seq
 	return reflect.DeepEqual(m, o)
--- a/internal/decide/forwarder.go
+++ b/internal/decide/forwarder.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// Forwarder decides for one forwarder. It is made by New.
+// Forwarder makes the decisions of one forwarder. New creates it.
 type Forwarder struct {
-	settings      Settings
-	defaultLimits Limits // where no others are set
-	classes       map[string]*Class
-	kinds         map[string]Kind
-	tenants       map[string]*tenant
-	idleLoss      [idleSteps]decayingMean // share of calls lost, by idle time of the connection
-	longCallLoss  decayingMean            // share lost of the long calls to working routes
-	latencyFactor map[*Class]float64      // latency of a class, relative to its route's
-	rng           *rand.Rand
-	rngSource     *rand.PCG // of rng
-	now           time.Duration
-
-	messages     map[string]*message
-	pending      int // messages not completed
-	seq          uint64
-	keyQueues    map[string]*keyQueue
-	restingKeys  []*keyQueue // empty, by idleUntil
-	destinations map[int]*destination
-	endpoints    map[string]*endpoint
-	inFlight     callList
-	suspectCalls [suspicionKinds]int // by kind of suspicion
-	snapshotSeq  uint64
-	meanLatency  time.Duration // over all routes; 0 if none was measured
-	startedAt    time.Duration // the first Step
-	stopsAt      time.Duration // when the host stops
-	fenced       bool          // no call may begin; the host must repeat it after a restart
-	nextDue      time.Duration // when something falls due without an event
-
-	hedges       heap[*message]                     // in flight, by the time when a hedged request is due
-	answers      heap[*message]                     // queued, by the time when they must be answered
-	ready        heap[*destination]                 // with messages that may be eligible, in fair order
-	blocked      [suspicionKinds]heap[*destination] // by a quota of suspect calls
-	parked       heap[*destination]                 // by the next eligible time
-	overdue      heap[*route]                       // by the time when a call becomes overdue
+	settings       Settings
+	defaultLimits  Limits // those of a message for which Settings.Limits sets none
+	classes        map[string]*Class
+	kinds          map[string]Kind
+	tenants        map[string]*tenant
+	lossByIdleTime [idleSteps]decayingMean // share of calls lost, by how long the connection had been idle
+	longCallLoss   decayingMean            // share of the long calls to working routes that were lost
+	latencyFactor  map[*Class]float64      // latency of a class relative to that of its route
+	rng            *rand.Rand
+	rngSource      *rand.PCG // of rng
+	now            time.Duration
+
+	messages        map[string]*message
+	openCount       int // messages not completed
+	seq             uint64
+	keyQueues       map[string]*keyQueue
+	pausedKeyQueues []*keyQueue // those without messages, by pausedUntil
+	destinations    map[int]*destination
+	endpoints       map[string]*endpoint
+	inFlight        inFlightList
+	suspectCalls    [suspicionKinds]int // by the suspicion under which they are counted
+	snapshotSeq     uint64
+	meanLatency     time.Duration // over all routes; 0 if none was measured
+	startedAt       time.Duration // time of the first Step
+	stopsAt         time.Duration // when the host stops
+	fenced          bool          // no call may begin; not part of the saved state: the host reports it again after a restart
+	nextWakeAt      time.Duration // when the next Step is needed if no event comes before
+
+	hedges       heap[*message]                     // messages in flight, by the time when a hedged request is due
+	answers      heap[*message]                     // queued messages, by the time when they must be answered
+	ready        heap[*destination]                 // destinations with messages that may be eligible, in fair order
+	blocked      [suspicionKinds]heap[*destination] // destinations that wait for a quota of suspect calls
+	parked       heap[*destination]                 // destinations that wait for their next eligible time, by it
+	overdue      heap[*route]                       // routes by the time when a call becomes overdue
 	overdueStale []*route
-	expiring     heap[*destination] // without endpoints, by the time when they expire
+	expiring     heap[*destination] // destinations without endpoints, by the time when they expire
 	shedIndex    map[shedKey]*heap[*group]
 	shedStale    []*destination
-	spareGroups  []*group
+	freeGroups   []*group // for reuse
 
 	usableRoutes, blockedRoutes []*route        // scratch
-	turningAges                 []time.Duration // scratch
+	scratchAges                 []time.Duration // scratch
 
 	actions     []Action
 	wakeAt      time.Duration
@@ -61,15 +61,15 @@
 
 type tenant struct {
 	quota, tokens float64
-	filled        time.Duration
+	refilledAt    time.Duration
 }
 
-// New makes a Forwarder. The error names the setting that is invalid.
+// New creates a Forwarder. The error names the setting that is invalid.
 func New(s Settings) (*Forwarder, error) {
 	if err := checkSettings(s); err != nil {
 		return nil, err
 	}
-	s.Forwarders, s.OverloadFactor = max(s.Forwarders, 1), cmp.Or(s.OverloadFactor, 1) // by default a cold route gets what it can do
+	s.Forwarders, s.OverloadFactor = max(s.Forwarders, 1), cmp.Or(s.OverloadFactor, 1) // without a factor a returning route gets its present capacity at most
 	source := rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)
 	f := &Forwarder{
 		settings: s, defaultLimits: Limits{MaxAttempts: s.MaxAttempts}, classes: map[string]*Class{}, kinds: map[string]Kind{}, tenants: map[string]*tenant{},
@@ -80,17 +80,17 @@
 		shedIndex: map[shedKey]*heap[*group]{},
 		answers: heap[*message]{less: func(a, b *message) bool {
 			return a.answerBy < b.answerBy || a.answerBy == b.answerBy && a.seq < b.seq
-		}, place: func(m *message) *int { return &m.answerIndex }},
+		}, indexOf: func(m *message) *int { return &m.answerIndex }},
 		hedges: heap[*message]{less: func(a, b *message) bool {
 			return a.hedgeAt < b.hedgeAt || a.hedgeAt == b.hedgeAt && a.seq < b.seq
-		}, place: func(m *message) *int { return &m.hedgeIndex }},
-		ready:    heap[*destination]{less: scheduledBefore, place: func(d *destination) *int { return &d.readyIndex }},
-		parked:   heap[*destination]{less: func(a, b *destination) bool { return a.eligibleAt < b.eligibleAt }, place: func(d *destination) *int { return &d.parkedIndex }},
-		expiring: heap[*destination]{less: func(a, b *destination) bool { return a.expiresAt < b.expiresAt }, place: func(d *destination) *int { return &d.expiryIndex }},
-		overdue:  heap[*route]{less: func(a, b *route) bool { return a.overdueAt < b.overdueAt }, place: func(r *route) *int { return &r.overdueIndex }},
+		}, indexOf: func(m *message) *int { return &m.hedgeIndex }},
+		ready:    heap[*destination]{less: scheduledBefore, indexOf: func(d *destination) *int { return &d.readyIndex }},
+		parked:   heap[*destination]{less: func(a, b *destination) bool { return a.eligibleAt < b.eligibleAt }, indexOf: func(d *destination) *int { return &d.parkedIndex }},
+		expiring: heap[*destination]{less: func(a, b *destination) bool { return a.expiresAt < b.expiresAt }, indexOf: func(d *destination) *int { return &d.expiryIndex }},
+		overdue:  heap[*route]{less: func(a, b *route) bool { return a.overdueAt < b.overdueAt }, indexOf: func(r *route) *int { return &r.overdueIndex }},
 	}
 	for by := range f.blocked {
-		f.blocked[by] = heap[*destination]{less: scheduledBefore, place: func(d *destination) *int { return &d.blockedIndex }}
+		f.blocked[by] = heap[*destination]{less: scheduledBefore, indexOf: func(d *destination) *int { return &d.blockedIndex }}
 	}
 	for i := range s.Classes {
 		f.classes[s.Classes[i].Name] = &s.Classes[i]
@@ -113,30 +113,32 @@
 		return fmt.Errorf("settings: Classes is empty")
 	case s.SlowStart < 0 || s.OverloadOutage < 0 || s.KeyPause < 0 || s.AnswerSlack < 0 || s.DrainGrace < 0 ||
 		s.ConnIdle < 0 || s.ConnectTimeout < 0 || s.MaxRetryAfter < 0 || s.ResubscribeInterval < 0:
-		return fmt.Errorf("settings: a time is negative")
+		return fmt.Errorf("settings: a duration is negative")
 	}
 	for _, c := range s.Classes {
 		if c.Deadline <= 0 || c.OnTime < 0 || c.DedupWindow < 0 {
-			return fmt.Errorf("settings: class %q: impossible Deadline, Aim or Window", c.Name)
+			return fmt.Errorf("settings: class %q: Deadline is not positive, or OnTime or DedupWindow is negative", c.Name)
 		}
 	}
 	return nil
 }
 
-// limitsFor is the limits of a class towards a destination, the platform's included.
+// limitsFor returns the limits of a class at a destination, capped by those of the platform.
 func (f *Forwarder) limitsFor(class string, dest int, route string) *Limits {
 	if f.settings.Limits == nil {
 		return &f.defaultLimits
 	}
 	l := f.settings.Limits(class, dest, route)
-	if most := f.settings.MaxAttempts; most > 0 && (l.MaxAttempts == 0 || l.MaxAttempts > most) {
-		l.MaxAttempts = most
+	if platformMax := f.settings.MaxAttempts; platformMax > 0 && (l.MaxAttempts == 0 || l.MaxAttempts > platformMax) {
+		l.MaxAttempts = platformMax
 	}
 	return &l
 }
 
-// callsFull reports whether no more calls may be in flight, probes included.
-func (l *Limits) callsFull(out int) bool { return l.MaxInFlight > 0 && out >= l.MaxInFlight }
+// inFlightFull reports whether the limit allows no further call in flight; probes count too.
+func (l *Limits) inFlightFull(inFlight int) bool {
+	return l.MaxInFlight > 0 && inFlight >= l.MaxInFlight
+}
 
 // capRate caps a rate at the limit.
 func (l *Limits) capRate(rate float64) float64 {
@@ -146,7 +148,7 @@
 	return rate
 }
 
-// rateEligibleAt is when the next call may begin where a rate is set.
+// rateEligibleAt returns the earliest time of the next call if a rate is set, else 0.
 func (l *Limits) rateEligibleAt(earliest time.Duration) time.Duration {
 	if l.MaxRate > 0 {
 		return earliest
@@ -165,35 +167,35 @@
 // emit appends an action for the host.
 func (f *Forwarder) emit(a Action) { f.actions = append(f.actions, a) }
 
-// waitUntil reports whether a time is still to come; if so, the host is asked for a Step at that time.
+// waitUntil reports whether a time is still to come; if so, it has scheduleWake ask the host for a Step by then.
 func (f *Forwarder) waitUntil(t time.Duration) bool {
 	if f.now < t {
-		f.nextDue = min(f.nextDue, t)
+		f.nextWakeAt = min(f.nextWakeAt, t)
 		return true
 	}
 	return false
 }
 
-// scheduleWake asks for a Step when the next thing falls due, unless one is coming before that.
+// scheduleWake asks the host for a Step at nextWakeAt, unless it was already asked for an earlier one.
 func (f *Forwarder) scheduleWake() {
 	if f.answers.len() > 0 {
 		f.waitUntil(f.answers.min().answerBy)
 	}
-	if f.nextDue < never && (f.wakeAt <= f.now || f.nextDue < f.wakeAt) {
-		f.wakeAt = f.nextDue
-		f.emit(Wake{After: f.nextDue - f.now})
+	if f.nextWakeAt < never && (f.wakeAt <= f.now || f.nextWakeAt < f.wakeAt) {
+		f.wakeAt = f.nextWakeAt
+		f.emit(Wake{After: f.nextWakeAt - f.now})
 	}
 }
 
-// observeHost records what the host reports of itself, and the retry-after times that other senders got.
-func (f *Forwarder) observeHost(e Event) {
+// handleHostEvent handles the events about the host itself, and the retry-after times that other forwarders got.
+func (f *Forwarder) handleHostEvent(e Event) {
 	switch e := e.(type) {
 	case Stopping:
 		f.stopsAt = min(f.stopsAt, f.now+e.TimeLeft)
 	case Fenced:
 		f.fenced = e.On
 	case Woken:
-		f.wakeAt = f.now // the host may have rounded the time: ask again
+		f.wakeAt = f.now // the host may have rounded the time and be early: ask again
 	case PeerRetryAfter:
 		if ep := f.endpoints[e.Target]; ep != nil {
 			f.closeAllIntervals(ep.route.dest)
@@ -203,7 +205,7 @@
 	}
 }
 
-// jitter is a random duration up to a maximum.
-func (f *Forwarder) jitter(most time.Duration) time.Duration {
-	return time.Duration(f.rng.Float64() * float64(most))
+// jitter returns a random duration up to a limit.
+func (f *Forwarder) jitter(limit time.Duration) time.Duration {
+	return time.Duration(f.rng.Float64() * float64(limit))
 }
--- a/internal/decide/group.go
+++ b/internal/decide/group.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// groupKey is what all messages of a group have in common: whether one of them may go depends on nothing
-// else, and its priority on its age alone.
+// groupKey is what all messages of a group have in common. Whether one of them may be sent depends on nothing
+// else, and their order of priority on their age alone.
 type groupKey struct {
 	class        *Class
 	value        float64
-	retried      bool // it was sent before
-	retryGranted bool // its next attempt has been granted
-	mayHaveRun   bool // it may have run
+	retried      bool // they were sent before
+	retryGranted bool // their next attempt has been granted by a retry budget
+	mayHaveRun   bool // an earlier attempt may have run
 	recovered    bool
 	runZone      string
-	endpoints    string // that it may go to; empty for all
+	endpoints    string // key of the endpoints that they may go to; empty for all
 	state        groupState
 }
 
@@ -24,29 +24,29 @@
 
 const (
 	groupReady     groupState = iota
-	groupDelayed              // until a time
+	groupDelayed              // not eligible until a time
 	groupBehindKey            // an earlier message with its key is not completed
 )
 
-// group is the messages of one kind that are queued for one destination, by age.
+// group holds the messages with one groupKey that are queued for one destination, by age.
 type group struct {
 	key  groupKey
 	dest *destination
 	root *message
 	size int
 
-	shedIndex     int           // in the shed index
-	shedCreatedAt time.Duration // its place there
+	shedIndex     int           // index in its heap of the shed index
+	shedCreatedAt time.Duration // with shedSeq: what it is ordered by there
 	shedSeq       uint64
 }
 
-// isOlder is the order within a group: by creation, and then as accepted.
+// isOlder is the order within a group: by creation time, then by sequence number.
 func isOlder(a, b *message) bool {
 	return a.createdAt < b.createdAt || a.createdAt == b.createdAt && a.seq < b.seq
 }
 
-// A group is a treap: a search tree by age that is a heap by a hash of the
-// sequence number, which keeps it flat whatever the order of coming and going.
+// A group is a treap: a search tree by age that is also a heap by a hash of the
+// sequence number, which keeps it balanced whatever the order of insertions and removals.
 
 func (g *group) insert(m *message) {
 	m.left, m.right, m.treapPriority = nil, nil, hashSequence(m.seq)
@@ -83,7 +83,7 @@
 	return t
 }
 
-// treapSplit splits a tree into what is older than m and what is not.
+// treapSplit splits a tree into the messages older than m and the others.
 func treapSplit(t, m *message) (before, after *message) {
 	l, r := &before, &after
 	for t != nil {
@@ -101,7 +101,7 @@
 	return before, after
 }
 
-// treapJoin joins two trees, all of the first older than all of the second.
+// treapJoin joins two trees; all messages of the first must be older than all of the second.
 func treapJoin(a, b *message) (root *message) {
 	link := &root
 	for a != nil && b != nil {
@@ -130,7 +130,7 @@
 	return uint32(x >> 32)
 }
 
-// oldest is the first message of the group, or nil.
+// oldest returns the oldest message of the group, or nil.
 func (g *group) oldest() *message {
 	m := g.root
 	for m != nil && m.left != nil {
@@ -147,10 +147,10 @@
 	return m
 }
 
-// around finds the last message created at a time or before, and the first created after it.
-func (g *group) around(born time.Duration) (before, after *message) {
+// createdAround returns the last message created at a time or before it, and the first created after it.
+func (g *group) createdAround(createdAt time.Duration) (before, after *message) {
 	for m := g.root; m != nil; {
-		if m.createdAt <= born {
+		if m.createdAt <= createdAt {
 			before, m = m, m.right
 		} else {
 			after, m = m, m.left
@@ -159,10 +159,10 @@
 	return before, after
 }
 
-// firstCreated finds the first message created at a time or after it.
-func (g *group) firstCreated(born time.Duration) (first *message) {
+// createdFrom returns the first message created at a time or after it.
+func (g *group) createdFrom(createdAt time.Duration) (first *message) {
 	for m := g.root; m != nil; {
-		if m.createdAt >= born {
+		if m.createdAt >= createdAt {
 			first, m = m, m.left
 		} else {
 			m = m.right
@@ -171,9 +171,9 @@
 	return first
 }
 
-// pick finds the message of a group with the highest score, and of equals the oldest. Between turning points
-// the score is monotonic in age: so the highest is at one of them, or at an end.
-func (g *group) pick(f *Forwarder, mode selectionMode, latency time.Duration) (best *message, highest float64) {
+// highestScore returns the message of a group with the highest score, the oldest of equals, and its score. Between
+// turning points the score is monotonic in age, so the highest one is at a turning point or at an end.
+func (g *group) highestScore(f *Forwarder, mode selectionMode, latency time.Duration) (best *message, highest float64) {
 	best = g.oldest()
 	highest = f.score(best, mode, latency)
 	if g.size == 1 {
@@ -192,20 +192,20 @@
 		}
 	}
 	for _, b := range ages {
-		before, after := g.around(f.now - b)
+		before, after := g.createdAround(f.now - b)
 		consider(after)
 		if before != nil {
-			consider(g.firstCreated(before.createdAt)) // the oldest of those created then
+			consider(g.createdFrom(before.createdAt)) // the oldest of those created at the same time
 		}
 	}
-	consider(g.firstCreated(g.youngest().createdAt))
+	consider(g.createdFrom(g.youngest().createdAt))
 	return best, highest
 }
 
-// turningPoints are the ages of a class between which the score rises with age, falls or stays; before the
-// first of them it does not fall.
+// turningPoints returns the ages at which the score of a class may turn from rising to falling with age or back.
+// Before the first of them it does not fall.
 func (f *Forwarder) turningPoints(class *Class, mode selectionMode, latency time.Duration) []time.Duration {
-	b := f.turningAges[:0]
+	b := f.scratchAges[:0]
 	if mode == forProbe {
 		b = append(b, class.Deadline-overdueAfter(latency)+1)
 	} else {
@@ -216,7 +216,7 @@
 			b = append(b, floor-valueLossSpan-latency, floor-latency)
 		}
 	}
-	f.turningAges = b
+	f.scratchAges = b
 	return b
 }
 
@@ -233,7 +233,7 @@
 		key.state = groupDelayed
 		m.dest.delayed.fix(m)
 	}
-	m.group = m.dest.group(f, key)
+	m.group = m.dest.findGroup(f, key)
 	m.group.insert(m)
 }
 
@@ -249,29 +249,29 @@
 			f.shedIndex[shedKey{g.key.class, g.key.value}].remove(g)
 		}
 		g.dest.groups = withoutItem(g.dest.groups, g)
-		if len(f.spareGroups) < 64 {
-			f.spareGroups = append(f.spareGroups, g)
+		if len(f.freeGroups) < 64 {
+			f.freeGroups = append(f.freeGroups, g)
 		}
 	}
 }
 
-// group finds the group of a key, or makes it.
-func (d *destination) group(f *Forwarder, key groupKey) *group {
+// findGroup returns the group of a key, and creates it if need be.
+func (d *destination) findGroup(f *Forwarder, key groupKey) *group {
 	for _, g := range d.groups {
 		if g.key == key {
 			return g
 		}
 	}
 	g := &group{}
-	if n := len(f.spareGroups); n > 0 {
-		g, f.spareGroups = f.spareGroups[n-1], f.spareGroups[:n-1]
+	if n := len(f.freeGroups); n > 0 {
+		g, f.freeGroups = f.freeGroups[n-1], f.freeGroups[:n-1]
 	}
 	*g = group{key: key, dest: d}
 	d.groups = append(d.groups, g)
 	return g
 }
 
-// releaseDelayed moves delayed messages whose time has come to the ready groups.
+// releaseDelayed moves the delayed messages whose earliest time has come to the ready groups.
 func (f *Forwarder) releaseDelayed(d *destination) {
 	for d.delayed.len() > 0 && f.now >= d.delayed.min().earliest() {
 		m := d.delayed.min()
--- a/internal/decide/heap.go
+++ b/internal/decide/heap.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// heap is a binary heap whose items know their position, so that one can be moved or removed. The position
-// is kept plus one: 0 is not in the heap.
+// heap is a binary heap whose items store their index, so that one can be moved or removed. The stored index is
+// one more than that in items; 0 means that the item is not in the heap.
 type heap[T any] struct {
-	items []T
-	less  func(a, b T) bool
-	place func(T) *int
+	items   []T
+	less    func(a, b T) bool
+	indexOf func(T) *int
 }
 
 func (h *heap[T]) len() int { return len(h.items) }
 
-// min is the least item; the heap must not be empty.
+// min returns the least item; the heap must not be empty.
 func (h *heap[T]) min() T { return h.items[0] }
 
-// fix moves an item to its position, in the heap already or not.
+// fix adds an item, or moves it to its place after its order has changed.
 func (h *heap[T]) fix(x T) {
-	p := h.place(x)
+	p := h.indexOf(x)
 	if *p == 0 {
 		h.items = append(h.items, x)
 		*p = len(h.items)
@@ -29,7 +29,7 @@
 
 // remove removes an item, if it is in the heap.
 func (h *heap[T]) remove(x T) {
-	p := h.place(x)
+	p := h.indexOf(x)
 	if *p == 0 {
 		return
 	}
@@ -41,12 +41,12 @@
 	h.items = h.items[:last]
 	if i < last {
 		h.items[i] = moved
-		*h.place(moved) = i + 1
+		*h.indexOf(moved) = i + 1
 		if !h.up(i) {
 			h.down(i)
 		}
 	}
-	if cap(h.items) > 64 && len(h.items) < cap(h.items)/8 { // a peak's memory is released
+	if cap(h.items) > 64 && len(h.items) < cap(h.items)/8 { // releases the memory of a peak
 		h.items = slices.Clone(h.items)
 	}
 }
@@ -87,5 +87,5 @@
 
 func (h *heap[T]) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	*h.place(h.items[i]), *h.place(h.items[j]) = i+1, j+1
+	*h.indexOf(h.items[i]), *h.indexOf(h.items[j]) = i+1, j+1
 }
--- a/internal/decide/hedging.go
+++ b/internal/decide/hedging.go
@@ -1,7 +1,7 @@
 package decide
 
-// sendHedges sends hedged requests: for messages safe to repeat whose first attempt is out as long as the
-// operator set, to another endpoint, within the retry budget, while half of the slots are free.
+// sendHedges sends hedged requests: for idempotent messages whose first attempt has been in flight for the
+// operator's hedge delay, to another endpoint, within the retry budget, while half of the slots are free.
 func (f *Forwarder) sendHedges() {
 	for f.hedges.len() > 0 && !f.waitUntil(f.hedges.min().hedgeAt) {
 		m := f.hedges.pop()
--- a/internal/decide/index.go
+++ b/internal/decide/index.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// What keeps the cost of a message from growing with the destinations and the
-// messages held: heaps and ordered trees in the place of walks. Nothing here
-// decides anything; scan_test.go has the walks that it must agree with.
+// The indexes keep the cost of a message from growing with the number of destinations
+// and queued messages: heaps and search trees replace scans. No decision is made here;
+// scan_test.go has the scans that the indexes must agree with.
 
-// nextDestination is the next destination in fair order: of those at which something may have changed, and
-// of those that wait for a quota of suspect calls, if there is room in it.
+// nextDestination returns the next destination in fair order: of those at which something may have changed, and of
+// those that wait for a quota of suspect calls that has room. It returns nil if there is none.
 func (f *Forwarder) nextDestination() (next *destination) {
 	consider := func(h *heap[*destination]) {
 		if h.len() > 0 && (next == nil || scheduledBefore(h.min(), next)) {
@@ -23,7 +23,8 @@
 	return next
 }
 
-// scheduledBefore is the fair order: fewest calls in flight, scheduled longest ago, queued longest.
+// scheduledBefore is the fair order: the destination with the fewest calls in flight comes first, then the one that
+// was scheduled longest ago, then the one that has had messages queued for longest.
 func scheduledBefore(a, b *destination) bool {
 	switch a, b := a.rank, b.rank; {
 	case a.inFlight != b.inFlight:
@@ -35,14 +36,14 @@
 	}
 }
 
-// rank is what a destination is ordered by, as of when it was last reconsidered.
+// rank is the key of the fair order, as of when the destination was last reconsidered.
 type rank struct {
 	inFlight      int
 	lastScheduled time.Duration
 	queuedSeq     uint64
 }
 
-// reconsider notes that a destination must be looked at again.
+// reconsider notes that sendFrom must look at a destination again, if messages are queued for it.
 func (f *Forwarder) reconsider(d *destination) {
 	f.parked.remove(d)
 	f.unblock(d)
@@ -55,8 +56,8 @@
 	f.invalidateShedIndex(d)
 }
 
-// parkDestination notes from when on a destination must be looked at again if nothing happens there, and
-// which quota it waits for.
+// parkDestination notes when sendFrom must look at a destination again if nothing changes there, and which quota of
+// suspect calls it waits for.
 func (f *Forwarder) parkDestination(d *destination, eligibleAt time.Duration, bound suspicion) {
 	f.ready.remove(d)
 	f.unblock(d)
--- a/internal/decide/index_test.go
+++ b/internal/decide/index_test.go
@@ -14,37 +14,38 @@
 	. "scaleroute/internal/decide"
 )
 
-// stepper is what the module and its oracle have in common.
+// stepper is implemented by Forwarder and by its oracle, the scanner.
 type stepper interface {
 	Step(time.Duration, []Event) []Action
 }
 
-// stream draws events and keeps to what a host may do: each Send gets one outcome, and a
-// Step comes when it was asked for.
+// stream draws random events as a host may report them: each Send gets one outcome, and a
+// Step comes when a Wake asked for it.
 type stream struct {
-	rng     *rand.Rand
-	set     Settings
-	now     time.Duration
-	wake    time.Duration
-	dests   int
-	targets map[string]Target
-	next    int
-	calls   int
-	held    map[string]bool
-	ids     []string
-	sent    map[string]*flight
-	tries   map[string]int
-	mood    float64 // share of outcomes that are no good
-	silence float64 // share of calls that no one answers until their time-out
+	rng          *rand.Rand
+	settings     Settings
+	now          time.Duration
+	wakeAt       time.Duration // 0 if no Wake is pending
+	destinations int
+	targets      map[string]Target        // as last listed
+	messageCount int                      // drawn so far
+	callCount    int                      // carried out so far
+	open         map[string]bool          // messages not completed
+	messageIDs   []string                 // of all messages drawn
+	inFlight     map[string]*inFlightCall // by message
+	attempts     map[string]int           // by message
+	failureShare float64                  // share of calls that fail or are refused
+	timeoutShare float64                  // share of calls to half of the endpoints that are not answered before their timeout
 }
 
-type flight struct {
-	target string
-	n      int
-	due    time.Duration
-	result Result
-	wait   time.Duration
-	order  int
+// inFlightCall is an attempt whose outcome is drawn already and reported at endsAt.
+type inFlightCall struct {
+	endpoint   string
+	attempt    int
+	endsAt     time.Duration
+	result     Result
+	retryAfter time.Duration
+	order      int // number of the call
 }
 
 func drawSettings(t *rapid.T) Settings {
@@ -53,16 +54,16 @@
 	}
 	return Settings{
 		Seed: rapid.Uint64().Draw(t, "seed"), Slots: rapid.IntRange(1, 24).Draw(t, "slots"),
-		MaxOpen: rapid.SampledFrom([]int{0, 10, 60}).Draw(t, "held"), MaxAttempts: rapid.IntRange(0, 6).Draw(t, "attempts"),
+		MaxOpen: rapid.SampledFrom([]int{0, 10, 60}).Draw(t, "open"), MaxAttempts: rapid.IntRange(0, 6).Draw(t, "attempts"),
 		MayCancel: rapid.Bool().Draw(t, "cancel"), Forwarders: rapid.SampledFrom([]int{1, 2, 30}).Draw(t, "forwarders"), Zone: "a",
 		Decay:          rapid.SampledFrom([]Decay{Linear, Exponential}).Draw(t, "decay"),
 		OverQuotaValue: rapid.SampledFrom([]float64{0, .3, 1}).Draw(t, "over"),
 		Tenants:        []Tenant{{Name: "small", Quota: 2}, {Name: "free"}},
 		Weights:        rapid.SampledFrom([]Weights{NoWeights, ExactWeights}).Draw(t, "weights"),
 		Classes: []Class{
-			{Name: "pure", Effect: Idempotent, OnTime: ms(0, 4000, "aim"), Deadline: ms(3000, 30000, "deadline"), Value: 1, LateShare: .4},
+			{Name: "pure", Effect: Idempotent, OnTime: ms(0, 4000, "onTime"), Deadline: ms(3000, 30000, "deadline"), Value: 1, LateShare: .4},
 			{Name: "count", Effect: Idempotent, OnTime: time.Second, Deadline: 10 * time.Second, Value: 1, LateShare: 1},
-			{Name: "unsafe", Effect: AtMostOnce, OnTime: ms(0, 4000, "aim"), Deadline: ms(3000, 30000, "deadline"), Value: 3, LateShare: .4},
+			{Name: "unsafe", Effect: AtMostOnce, OnTime: ms(0, 4000, "onTime"), Deadline: ms(3000, 30000, "deadline"), Value: 3, LateShare: .4},
 			{Name: "keyed", Effect: Deduplicated, DedupPerZone: true, DedupWindow: 3 * time.Second, OnTime: time.Second,
 				Deadline: 10 * time.Second, Value: 1, LateShare: 0, Ordered: true},
 			{Name: "token", Effect: Deduplicated, DedupWindow: 5 * time.Second, OnTime: 2 * time.Second, Deadline: 9 * time.Second, Value: 2, LateShare: .1},
@@ -76,20 +77,20 @@
 
 func newStream(t *rapid.T, set Settings) *stream {
 	seed := rapid.Uint64().Draw(t, "stream")
-	return &stream{rng: rand.New(rand.NewPCG(seed, 1)), set: set, dests: rapid.IntRange(1, 30).Draw(t, "destinations"),
-		mood:    rapid.SampledFrom([]float64{0, .05, .3, .9}).Draw(t, "mood"),
-		silence: rapid.SampledFrom([]float64{0, .1, .6}).Draw(t, "silence"),
-		targets: map[string]Target{}, held: map[string]bool{}, sent: map[string]*flight{}, tries: map[string]int{}}
+	return &stream{rng: rand.New(rand.NewPCG(seed, 1)), settings: set, destinations: rapid.IntRange(1, 30).Draw(t, "destinations"),
+		failureShare: rapid.SampledFrom([]float64{0, .05, .3, .9}).Draw(t, "failureShare"),
+		timeoutShare: rapid.SampledFrom([]float64{0, .1, .6}).Draw(t, "timeoutShare"),
+		targets:      map[string]Target{}, open: map[string]bool{}, inFlight: map[string]*inFlightCall{}, attempts: map[string]int{}}
 }
 
 func (s *stream) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (s *stream) list() TargetList {
+func (s *stream) drawSnapshot() TargetList {
 	kinds := []string{"plain", "apart", "many"}
 	entry := func(name string) Target {
 		t, ok := s.targets[name]
 		if !ok {
-			d := s.rng.IntN(s.dests)
+			d := s.rng.IntN(s.destinations)
 			t = Target{ID: name, Destination: d, Kind: kinds[d%3], Zone: "ab"[s.rng.IntN(2):][:1], Weight: float64(s.rng.IntN(40)), Backup: s.chance(.2)}
 		}
 		t.State = []TargetState{Active, Active, Active, Draining, Gone}[s.rng.IntN(5)]
@@ -99,64 +100,64 @@
 	snapshot := TargetList{Scope: []ListScope{Snapshot, Delta, Delta, Delta, LastKnown, Unavailable}[s.rng.IntN(6)]}
 	n := 1 + s.rng.IntN(4)
 	if snapshot.Scope == Snapshot || snapshot.Scope == LastKnown {
-		n = 2 * s.dests
+		n = 2 * s.destinations
 	}
 	if snapshot.Scope == Unavailable {
 		return snapshot
 	}
 	for range n {
-		snapshot.Targets = append(snapshot.Targets, entry(fmt.Sprint("t", s.rng.IntN(3*s.dests))))
+		snapshot.Targets = append(snapshot.Targets, entry(fmt.Sprint("t", s.rng.IntN(3*s.destinations))))
 	}
 	return snapshot
 }
 
-// among draws targets for a message, mostly of its own destination.
-func (s *stream) among(dest int) *EndpointFilter {
-	a := &EndpointFilter{}
-	for i := range 3 * s.dests {
+// drawFilter draws a filter for a message, mostly with endpoints of its own destination.
+func (s *stream) drawFilter(dest int) *EndpointFilter {
+	filter := &EndpointFilter{}
+	for i := range 3 * s.destinations {
 		id := fmt.Sprint("t", i)
 		if s.targets[id].Destination != dest && !s.chance(.05) {
 			continue
 		}
 		if s.chance(.5) {
-			a.Only = append(a.Only, id)
+			filter.Only = append(filter.Only, id)
 		}
 		if s.chance(.5) {
-			a.Prefer = append(a.Prefer, id)
+			filter.Prefer = append(filter.Prefer, id)
 		}
 	}
-	return a
+	return filter
 }
 
-// events draws what happens next, and when.
-func (s *stream) events() []Event {
+// drawEvents advances the clock by a random time and draws the events until then.
+func (s *stream) drawEvents() []Event {
 	switch {
 	case s.chance(.01):
-		s.now += time.Duration(s.rng.IntN(70000)) * time.Millisecond // a quiet minute
+		s.now += time.Duration(s.rng.IntN(70000)) * time.Millisecond // up to 70 s without events
 	case s.chance(.3):
 		s.now += time.Duration(s.rng.IntN(400)) * time.Millisecond
 	case s.chance(.9):
 		s.now += time.Duration(s.rng.IntN(20)) * time.Millisecond
 	}
 	var events []Event
-	if s.wake > 0 && s.now >= s.wake { // a host is there on time, as far as it can be
+	if s.wakeAt > 0 && s.now >= s.wakeAt { // the host is mostly on time
 		if s.chance(.9) {
-			s.now = s.wake
+			s.now = s.wakeAt
 		}
-		s.wake = 0
+		s.wakeAt = 0
 		events = append(events, Woken{})
 	}
 	var ended []string
-	for id, c := range s.sent {
-		if s.now >= c.due {
+	for id, c := range s.inFlight {
+		if s.now >= c.endsAt {
 			ended = append(ended, id)
 		}
 	}
-	slices.SortFunc(ended, func(a, b string) int { return s.sent[a].order - s.sent[b].order })
+	slices.SortFunc(ended, func(a, b string) int { return s.inFlight[a].order - s.inFlight[b].order })
 	for _, id := range ended {
-		c := s.sent[id]
-		delete(s.sent, id)
-		o := Outcome{Message: id, Attempt: c.n, Target: c.target, Result: c.result, RetryAfter: c.wait, NoAnswerNeeded: c.result == Succeeded,
+		c := s.inFlight[id]
+		delete(s.inFlight, id)
+		o := Outcome{Message: id, Attempt: c.attempt, Target: c.endpoint, Result: c.result, RetryAfter: c.retryAfter, NoAnswerNeeded: c.result == Succeeded,
 			Latency: time.Duration(1+s.rng.IntN(400)) * time.Millisecond}
 		if s.chance(.2) {
 			o.Allowance = Allowance{Reported: true, Remaining: s.rng.Float64(), Rate: float64(s.rng.IntN(30))}
@@ -165,7 +166,7 @@
 			o.RetryDelay = time.Duration(s.rng.IntN(3000)) * time.Millisecond
 		}
 		if o.NoAnswerNeeded {
-			delete(s.held, id)
+			delete(s.open, id)
 		}
 		events = append(events, o)
 	}
@@ -174,29 +175,29 @@
 		n = 40
 	}
 	for range n {
-		s.next++
-		c := s.set.Classes[s.rng.IntN(len(s.set.Classes))]
-		m := Message{ID: fmt.Sprint("m", s.next), Class: c.Name, Destination: s.rng.IntN(s.dests), Key: fmt.Sprint("k", s.rng.IntN(3*s.dests)),
+		s.messageCount++
+		c := s.settings.Classes[s.rng.IntN(len(s.settings.Classes))]
+		m := Message{ID: fmt.Sprint("m", s.messageCount), Class: c.Name, Destination: s.rng.IntN(s.destinations), Key: fmt.Sprint("k", s.rng.IntN(3*s.destinations)),
 			Tenant: []string{"", "small", "free"}[s.rng.IntN(3)], TimeLeft: time.Duration(s.rng.Float64() * 1.05 * float64(c.Deadline))}
 		if s.chance(.02) {
 			m.Recovered, m.Attempts, m.MayHaveRun = true, s.rng.IntN(4), s.chance(.5)
 			m.HasOpenAttempt = m.MayHaveRun && m.Attempts > 0 && s.chance(.5)
-			s.tries[m.ID] = m.Attempts
+			s.attempts[m.ID] = m.Attempts
 		}
 		if s.chance(.15) {
-			m.Filter = s.among(m.Destination)
+			m.Filter = s.drawFilter(m.Destination)
 		}
-		s.held[m.ID] = true
-		s.ids = append(s.ids, m.ID)
+		s.open[m.ID] = true
+		s.messageIDs = append(s.messageIDs, m.ID)
 		events = append(events, m)
 	}
-	if s.chance(.05) && len(s.ids) > 0 {
-		id := s.ids[s.rng.IntN(len(s.ids))]
-		delete(s.held, id)
+	if s.chance(.05) && len(s.messageIDs) > 0 {
+		id := s.messageIDs[s.rng.IntN(len(s.messageIDs))]
+		delete(s.open, id)
 		events = append(events, Withdrawn{id})
 	}
 	if s.chance(.05) || len(s.targets) == 0 {
-		events = append(events, s.list())
+		events = append(events, s.drawSnapshot())
 	}
 	if s.chance(.02) && len(s.targets) > 0 {
 		names := slices.Sorted(maps.Keys(s.targets))
@@ -211,43 +212,43 @@
 	return events
 }
 
-// carry takes what was decided.
-func (s *stream) carry(actions []Action) {
+// execute carries out actions and draws the outcomes of the calls.
+func (s *stream) execute(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			c := &flight{target: a.Target, n: s.tries[a.Message], order: s.calls}
-			s.calls++
-			s.tries[a.Message]++
+			c := &inFlightCall{endpoint: a.Target, attempt: s.attempts[a.Message], order: s.callCount}
+			s.callCount++
+			s.attempts[a.Message]++
 			took := time.Duration(1+s.rng.IntN(300)) * time.Millisecond
 			c.result = Succeeded
 			switch {
-			case s.chance(s.silence) && (a.Target[len(a.Target)-1])%2 == 0:
+			case s.chance(s.timeoutShare) && (a.Target[len(a.Target)-1])%2 == 0:
 				c.result, took = TimedOut, a.Timeout
-			case s.chance(s.mood):
+			case s.chance(s.failureShare):
 				c.result = []Result{Errored, Overloaded, Overloaded, ConnectFailed, Reset, NotSent}[s.rng.IntN(6)]
 				if c.result == Overloaded && s.chance(.5) {
-					c.wait = time.Duration(s.rng.IntN(4000)) * time.Millisecond
+					c.retryAfter = time.Duration(s.rng.IntN(4000)) * time.Millisecond
 				}
 			}
-			c.due = s.now + min(took, max(0, a.Timeout))
-			s.sent[a.Message] = c
+			c.endsAt = s.now + min(took, max(0, a.Timeout))
+			s.inFlight[a.Message] = c
 		case Cancel:
-			if c := s.sent[a.Message]; c != nil && c.n == a.Attempt {
-				c.result, c.due = Cancelled, s.now
+			if c := s.inFlight[a.Message]; c != nil && c.attempt == a.Attempt {
+				c.result, c.endsAt = Cancelled, s.now
 			}
 		case Refuse:
-			delete(s.held, a.Message)
+			delete(s.open, a.Message)
 		case Fail:
-			delete(s.held, a.Message)
+			delete(s.open, a.Message)
 		case Wake:
-			s.wake = s.now + a.After
+			s.wakeAt = s.now + a.After
 		}
 	}
 }
 
-// manyStreams has rapid play so many streams, always the same ones, unless flags say otherwise.
-func manyStreams(t *testing.T, n string) {
+// setStreamCount has rapid draw n streams from a fixed seed, unless flags are set.
+func setStreamCount(t *testing.T, n string) {
 	for name, value := range map[string]string{"rapid.checks": n, "rapid.seed": "7"} {
 		f := flag.Lookup(name)
 		if f.Value.String() != f.DefValue {
@@ -258,15 +259,15 @@
 	}
 }
 
-// TestIndexAgreesWithScans plays streams of events to the module and to its oracle: what both do must
-// be the same, action by action.
+// TestIndexAgreesWithScans passes streams of events to a Forwarder and to its oracle, which scans where the
+// Forwarder has indexes: both must return the same actions.
 func TestIndexAgreesWithScans(t *testing.T) {
-	manyStreams(t, "2000")
-	sends, others := 0, 0
+	setStreamCount(t, "2000")
+	sends, otherActions := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		set := drawSettings(t)
 		s := newStream(t, set)
-		module, err := New(set)
+		forwarder, err := New(set)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -275,8 +276,8 @@
 			t.Fatal(err)
 		}
 		for step := range rapid.IntRange(1, 400).Draw(t, "steps") {
-			events := s.events()
-			got, want := module.Step(s.now, events), oracle.Step(s.now, events)
+			events := s.drawEvents()
+			got, want := forwarder.Step(s.now, events), oracle.Step(s.now, events)
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("step %d at %v, events %+v:\n got %+v\nwant %+v", step, s.now, events, got, want)
 			}
@@ -286,13 +287,13 @@
 					sends++
 				case Wake:
 				default:
-					others++
+					otherActions++
 				}
 			}
-			s.carry(got)
+			s.execute(got)
 		}
 	})
-	if sends < 1000 || others < 100 {
-		t.Errorf("%d sends and %d other actions: the streams say too little", sends, others)
+	if sends < 1000 || otherActions < 100 {
+		t.Errorf("%d sends and %d other actions: too few to compare them", sends, otherActions)
 	}
 }
--- a/internal/decide/limits_test.go
+++ b/internal/decide/limits_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestLimits: the attempts and the time for an answer that are set for one destination hold there and nowhere else, and
-// never above the platform's.
-func TestLimits(t *testing.T) {
+// TestMessageLimits: the maximum of attempts and the attempt timeout set for one destination apply there and nowhere else, and
+// never raise the platform's maximum of attempts.
+func TestMessageLimits(t *testing.T) {
 	for _, c := range []struct {
 		dest, platform, attempts int
 		answer                   time.Duration
@@ -30,38 +30,38 @@
 		}
 		events := []Event{TargetList{Scope: Snapshot, Targets: []Target{{ID: "a", Destination: c.dest}, {ID: "b", Destination: c.dest}}},
 			Message{ID: "m", Class: "note", Destination: c.dest, TimeLeft: 10 * time.Minute}}
-		sends, over := 0, false
-		for now := time.Duration(0); now < 10*time.Minute && !over; now += 10 * time.Millisecond {
+		sends, answered := 0, false
+		for now := time.Duration(0); now < 10*time.Minute && !answered; now += 10 * time.Millisecond {
 			actions := f.Step(now, events)
 			events = []Event{Woken{}}
 			for _, a := range actions {
 				switch a := a.(type) {
 				case Send:
 					if c.answer > 0 && a.Timeout > c.answer {
-						t.Errorf("to %d: waits %v for an answer, %v is set", c.dest, a.Timeout, c.answer)
+						t.Errorf("destination %d: attempt timeout %v, limit %v", c.dest, a.Timeout, c.answer)
 					}
 					events = append(events, Outcome{Message: "m", Attempt: sends, Target: a.Target, Result: Overloaded})
 					sends++
 				case Refuse, Fail:
-					over = true
+					answered = true
 				}
 			}
 		}
-		if sends != c.attempts || !over {
-			t.Errorf("to %d: %d attempts, want %d; over %v", c.dest, sends, c.attempts, over)
+		if sends != c.attempts || !answered {
+			t.Errorf("destination %d: %d attempts, want %d; answered: %v", c.dest, sends, c.attempts, answered)
 		}
 	}
 }
 
-// TestDestinationLimits: calls out at once, calls a second, further tries as a share of first tries and the first wait hold for
-// the destination that they are set for, also from the next message on after they were changed, and for no other.
+// TestDestinationLimits: the limits of calls in flight, of calls a second, of the retry ratio and the delay of the first retry
+// apply to the destination for which they are set and to no other. A change applies from the next message on.
 func TestDestinationLimits(t *testing.T) {
-	set := Limits{MaxInFlight: 3, MaxRate: 40, MaxRetryRatio: 0.05, RetryDelay: 2 * time.Second}
+	limits := Limits{MaxInFlight: 3, MaxRate: 40, MaxRetryRatio: 0.05, RetryDelay: 2 * time.Second}
 	f, err := New(Settings{Slots: 200, Seed: 5, MaxAttempts: 6, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second, StartCapacity: 1,
 		OverloadFactor: 2, OverloadOutage: time.Second, Classes: []Class{{Name: "note", Deadline: 30 * time.Second, OnTime: 3 * time.Second, Value: 1}},
 		Limits: func(_ string, dest int, _ string) Limits {
 			if dest == 1 {
-				return set
+				return limits
 			}
 			return Limits{}
 		}})
@@ -69,42 +69,42 @@
 		t.Fatal(err)
 	}
 	type state struct {
-		out, most, sent, first, further int
-		paused                          time.Duration // before further tries, in all
+		inFlight, maxInFlight, calls, firstAttempts, retries int
+		totalRetryDelay                                      time.Duration // sum of the delays before retries
 	}
-	type sent struct {
+	type inFlightCall struct {
 		dest, attempt int
 		at, end       time.Duration
 	}
-	calls, last := map[string]sent{}, map[string]time.Duration{}
-	tries := map[string]int{}
-	down, silent := false, false
-	count := map[int]*state{1: {}, 2: {}}
+	open, failedAt := map[string]inFlightCall{}, map[string]time.Duration{}
+	attempts := map[string]int{}
+	down, timingOut := false, false
+	stats := map[int]*state{1: {}, 2: {}}
 	events := []Event{TargetList{Scope: Snapshot, Targets: []Target{{ID: "a", Destination: 1}, {ID: "b", Destination: 1}, {ID: "c", Destination: 2}}}}
-	run := func(earliest, to time.Duration, each int) {
-		count[1], count[2] = &state{out: count[1].out}, &state{out: count[2].out}
-		for now := earliest; now < to; now += 10 * time.Millisecond {
+	run := func(from, to time.Duration, each int) {
+		stats[1], stats[2] = &state{inFlight: stats[1].inFlight}, &state{inFlight: stats[2].inFlight}
+		for now := from; now < to; now += 10 * time.Millisecond {
 			for i := range each {
 				for dest := 1; dest <= 2; dest++ {
 					events = append(events, Message{ID: fmt.Sprint(dest, now, i), Class: "note", Destination: dest, TimeLeft: 30 * time.Second})
 				}
 			}
-			for id, c := range calls {
+			for id, c := range open {
 				if now >= c.end {
 					o := Outcome{Message: id, Attempt: c.attempt, Target: "x", Result: Succeeded, NoAnswerNeeded: true, Latency: c.end - c.at}
-					if silent && c.dest == 1 {
+					if timingOut && c.dest == 1 {
 						o.Result, o.NoAnswerNeeded = TimedOut, false
-						last[id] = now
+						failedAt[id] = now
 					} else if down {
 						o.Result, o.NoAnswerNeeded = ConnectFailed, false
-						last[id] = now
+						failedAt[id] = now
 					} else if len(id)%7 == 0 || now/time.Millisecond%130 == 0 { // some fail
 						o.Result, o.NoAnswerNeeded = Errored, false
-						last[id] = now
+						failedAt[id] = now
 					}
 					events = append(events, o)
-					count[c.dest].out--
-					delete(calls, id)
+					stats[c.dest].inFlight--
+					delete(open, id)
 				}
 			}
 			for _, a := range f.Step(now, events) {
@@ -116,53 +116,53 @@
 				if s.Target == "c" {
 					dest = 2
 				}
-				n := count[dest]
-				n.out++
-				n.sent++
-				n.most = max(n.most, n.out)
-				if tries[s.Message] > 0 {
-					n.further++
-					n.paused += now - last[s.Message]
+				n := stats[dest]
+				n.inFlight++
+				n.calls++
+				n.maxInFlight = max(n.maxInFlight, n.inFlight)
+				if attempts[s.Message] > 0 {
+					n.retries++
+					n.totalRetryDelay += now - failedAt[s.Message]
 				} else {
-					n.first++
+					n.firstAttempts++
 				}
-				took := 150 * time.Millisecond
-				if silent && dest == 1 {
-					took = s.Timeout
+				latency := 150 * time.Millisecond
+				if timingOut && dest == 1 {
+					latency = s.Timeout
 				}
-				calls[s.Message] = sent{dest, tries[s.Message], now, now + took}
-				tries[s.Message]++
+				open[s.Message] = inFlightCall{dest, attempts[s.Message], now, now + latency}
+				attempts[s.Message]++
 			}
 			events = []Event{Woken{}}
 		}
 	}
 	run(0, 10*time.Second, 1)
-	if one, two := *count[1], *count[2]; one.most > 3 || one.sent > 200+1 || float64(one.further) > 0.05*float64(one.first)+1 || two.most < 10 || two.sent < 900 || two.further == 0 {
-		t.Errorf("limited: %+v; not limited: %+v", one, two)
+	if one, two := *stats[1], *stats[2]; one.maxInFlight > 3 || one.calls > 200+1 || float64(one.retries) > 0.05*float64(one.firstAttempts)+1 || two.maxInFlight < 10 || two.calls < 900 || two.retries == 0 {
+		t.Errorf("with limits: %+v; without: %+v", one, two)
 	}
-	if one, two := count[1], count[2]; one.further == 0 || one.paused/time.Duration(max(1, one.further)) < 500*time.Millisecond || two.paused/time.Duration(max(1, two.further)) > 400*time.Millisecond {
-		t.Errorf("paused %v and %v before further tries", one.paused/time.Duration(max(1, one.further)), two.paused/time.Duration(max(1, two.further)))
+	if one, two := stats[1], stats[2]; one.retries == 0 || one.totalRetryDelay/time.Duration(max(1, one.retries)) < 500*time.Millisecond || two.totalRetryDelay/time.Duration(max(1, two.retries)) > 400*time.Millisecond {
+		t.Errorf("mean delay of retries %v with limits and %v without", one.totalRetryDelay/time.Duration(max(1, one.retries)), two.totalRetryDelay/time.Duration(max(1, two.retries)))
 	}
-	set = Limits{MaxInFlight: 2, MaxRate: 1000}
+	limits = Limits{MaxInFlight: 2, MaxRate: 1000}
 	run(10*time.Second, 20*time.Second, 1)
-	if one := *count[1]; one.most > 3 || one.sent < 100 || one.sent > 10*1000/150*2+3 {
-		t.Errorf("with other limits: %+v", one)
+	if one := *stats[1]; one.maxInFlight > 3 || one.calls < 100 || one.calls > 10*1000/150*2+3 {
+		t.Errorf("with changed limits: %+v", one)
 	}
-	set = Limits{MaxRate: 5}
+	limits = Limits{MaxRate: 5}
 	run(20*time.Second, 30*time.Second, 1)
-	if one := *count[1]; one.sent > 55 {
-		t.Errorf("at 5 a second for 10 s: %+v", one)
+	if one := *stats[1]; one.calls > 55 {
+		t.Errorf("with 5 calls a second for 10 s: %+v", one)
 	}
-	set, silent = Limits{MaxInFlight: 3}, true // calls last so long that the route is taken for silent
+	limits, timingOut = Limits{MaxInFlight: 3}, true // calls take so long that the route counts as unresponsive
 	run(30*time.Second, 45*time.Second, 1)
-	if one := *count[1]; one.most > 3 || one.sent < 3 {
-		t.Errorf("with three out at once, and silent: %+v", one)
+	if one := *stats[1]; one.maxInFlight > 3 || one.calls < 3 {
+		t.Errorf("with three calls in flight, and timeouts: %+v", one)
 	}
-	set, silent, down = Limits{}, false, true
+	limits, timingOut, down = Limits{}, false, true
 	run(45*time.Second, 55*time.Second, 1)
-	set = Limits{MaxRate: 0.1}
+	limits = Limits{MaxRate: 0.1}
 	run(55*time.Second, 75*time.Second, 1)
-	if one := *count[1]; one.sent > 4 || one.sent < 1 {
-		t.Errorf("at one in ten seconds for 20 s, and down: %+v", one)
+	if one := *stats[1]; one.calls > 4 || one.calls < 1 {
+		t.Errorf("with one call in ten seconds for 20 s, and failing connections: %+v", one)
 	}
 }
--- a/internal/decide/message.go
+++ b/internal/decide/message.go
@@ -9,35 +9,35 @@
 // message is an accepted message that is not yet completed.
 type message struct {
 	id          string
-	seq         uint64 // in the order accepted
+	seq         uint64 // messages are numbered in the order accepted
 	class       *Class
 	dest        *destination
-	keyQueue    *keyQueue // its key's queue, or nil
-	keyPrevious *message  // in that queue
+	keyQueue    *keyQueue // queue of its key, or nil
+	keyPrevious *message  // the one before it in that queue
 	keyNext     *message
 	createdAt   time.Duration // when it was first handed in
 	deadline    time.Duration
 	value       float64
 	limits      *Limits
 	filter      *keyedFilter
-	attempts    int  // as the host numbers them
-	sends       int  // attempts that were really sent
-	recovered   bool // after a restart, and not sent since: it is not shed
+	attempts    int  // number of the next attempt, as the host counts them
+	sends       int  // attempts without those that the host did not send
+	recovered   bool // accepted before a restart and not sent since: it is not shed
 	inFlight    int  // attempts without an outcome
 	completed   bool
 	mayHaveRun  bool          // an earlier attempt may have run
-	runZone     string        // of the first such attempt
-	runSentAt   time.Duration // of the first such attempt
+	runZone     string        // zone of the first such attempt
+	runSentAt   time.Duration // when the first such attempt was sent
 	notBefore   time.Duration // not sent before this
-	retryGrant  *route        // whose budget has granted its next attempt, or nil
-	latest      *attempt      // in flight, or nil
-	earlier     *attempt      // sent before latest and still in flight, or nil
-	hedgeAt     time.Duration // when a hedged request is due
-	hedging     bool          // a hedged request is being sent
+	retryGrant  *route        // the route whose retry budget has granted its next attempt, or nil
+	latest      *attempt      // latest attempt in flight, or nil
+	earlier     *attempt      // another attempt in flight, sent before latest, or nil
+	hedgeAt     time.Duration // when its hedged request is due
+	hedging     bool          // its hedged request is being sent
 
-	// While it is queued.
+	// These are set while the message is queued.
 	group         *group
-	left, right   *message // in the group's treap
+	left, right   *message // children in the treap of its group
 	treapPriority uint32
 	answerBy      time.Duration // when it must be answered
 	answerIndex   int
@@ -45,8 +45,9 @@
 	hedgeIndex    int
 }
 
-// takeAttempt removes the attempt with a number from those in flight and returns it; m may be nil.
-func (m *message) takeAttempt(n int) (a *attempt) {
+// removeAttempt removes the attempt with number n from those in flight and returns it, or nil if there is none.
+// m may be nil.
+func (m *message) removeAttempt(n int) (a *attempt) {
 	switch {
 	case m == nil:
 	case m.latest != nil && m.latest.number == n:
@@ -57,20 +58,20 @@
 	return a
 }
 
-// inFlightTo reports whether an attempt is in flight to an endpoint.
+// inFlightTo reports whether the latest attempt is in flight to an endpoint.
 func (m *message) inFlightTo(ep *endpoint) bool {
 	return m.latest != nil && m.latest.call.endpoint == ep
 }
 
-// earliest is when a message may be sent at the earliest.
+// earliest returns the earliest time at which the message may be sent.
 func (m *message) earliest() time.Duration {
 	if m.keyQueue != nil && m.sends == 0 {
-		return max(m.notBefore, m.keyQueue.idleUntil)
+		return max(m.notBefore, m.keyQueue.pausedUntil)
 	}
 	return m.notBefore
 }
 
-// limitTimeout caps a timeout at the message's limit for one answer.
+// limitTimeout caps a timeout at the message's limit for one attempt.
 func (m *message) limitTimeout(t time.Duration) time.Duration {
 	if m.limits.AttemptTimeout > 0 {
 		return min(t, m.limits.AttemptTimeout)
@@ -78,10 +79,11 @@
 	return t
 }
 
-// windowEndMargin is how long before the end of its window the first byte of a keyed repeat is written at the latest.
+// windowEndMargin: the first byte of a deduplicated repeat is written at least this long before its window ends.
 const windowEndMargin = 100 * time.Millisecond
 
-// sendWithin is the time that is left for the first byte of a keyed repeat; 0 for any other attempt. The attempt may wait long for its connection.
+// sendWithin returns the time that is left for the first byte of a deduplicated repeat, and 0 for any other attempt.
+// It is needed since an attempt may wait long for its connection.
 func (m *message) sendWithin(now time.Duration) time.Duration {
 	if !m.mayHaveRun || m.class.Effect != Deduplicated {
 		return 0
@@ -96,20 +98,20 @@
 	call    *call
 }
 
-// notPure reports whether a second delivery of the attempt's message has an effect.
-func (a *attempt) notPure() bool { return a.message.class.Effect != Idempotent }
+// notIdempotent reports whether the attempt's message is of a class that is not Idempotent.
+func (a *attempt) notIdempotent() bool { return a.message.class.Effect != Idempotent }
 
-// keyedFilter is an Among with a key by which groups are told apart.
+// keyedFilter is an EndpointFilter with a key by which messages are grouped.
 type keyedFilter struct {
 	EndpointFilter
-	key string // the same for the same endpoints; empty for all
+	key string // the same for the same permitted endpoints; empty for all
 }
 
-var anyEndpoint = &keyedFilter{}
+var noFilter = &keyedFilter{}
 
 func newKeyedFilter(a *EndpointFilter) *keyedFilter {
 	if a == nil {
-		return anyEndpoint
+		return noFilter
 	}
 	return &keyedFilter{*a, strings.Join(slices.Compact(slices.Sorted(slices.Values(a.Only))), "\x00")}
 }
@@ -122,10 +124,10 @@
 type keyQueue struct {
 	key         string
 	first, last *message
-	idleUntil   time.Duration // no message may go before, after an unclear outcome
+	pausedUntil time.Duration // no first attempt of its messages before this time, after an unclear outcome
 }
 
-// newMessage registers a message that is accepted now.
+// newMessage registers a message that is accepted.
 func (f *Forwarder) newMessage(e Message, class *Class) *message {
 	f.seq++
 	m := &message{id: e.ID, seq: f.seq, class: class, dest: f.destination(e.Destination), value: class.Value,
@@ -135,18 +137,19 @@
 		f.enqueueByKey(m, e.Key)
 	}
 	f.messages[m.id] = m
-	f.pending++
+	f.openCount++
 	return m
 }
 
-// exceedsQuota reports whether a tenant has used up this forwarder's part of its quota.
+// exceedsQuota reports whether a tenant has used up this forwarder's part of its quota, and counts one more
+// message towards it if not.
 func (f *Forwarder) exceedsQuota(name string) bool {
 	t := f.tenants[name]
 	if t == nil || t.quota <= 0 {
 		return false
 	}
-	t.tokens = min(2*t.quota, t.tokens+t.quota*(f.now-t.filled).Seconds())
-	t.filled = f.now
+	t.tokens = min(2*t.quota, t.tokens+t.quota*(f.now-t.refilledAt).Seconds())
+	t.refilledAt = f.now
 	if t.tokens < 1 {
 		return true
 	}
@@ -170,7 +173,7 @@
 	queue.last = m
 }
 
-// leaveKeyQueue removes a message from the queue of its key. The new first one may then be eligible.
+// leaveKeyQueue removes a message from the queue of its key. The next in the queue may then become eligible.
 func (f *Forwarder) leaveKeyQueue(m *message) {
 	queue := m.keyQueue
 	if m.keyPrevious != nil {
@@ -184,10 +187,10 @@
 		queue.last = m.keyPrevious
 	}
 	switch first := queue.first; {
-	case first == nil && f.now >= queue.idleUntil:
+	case first == nil && f.now >= queue.pausedUntil:
 		delete(f.keyQueues, queue.key)
 	case first == nil:
-		f.restingKeys = append(f.restingKeys, queue)
+		f.pausedKeyQueues = append(f.pausedKeyQueues, queue)
 	case m.keyPrevious == nil && first.group != nil:
 		f.removeFromGroup(first)
 		f.addToGroup(first)
@@ -196,16 +199,16 @@
 	m.keyPrevious, m.keyNext = nil, nil
 }
 
-// expireKeyQueues removes key queues that are empty and have been idle for their time.
+// expireKeyQueues removes the empty key queues whose pause is over.
 func (f *Forwarder) expireKeyQueues() {
 	n := 0
-	for n < len(f.restingKeys) && f.now >= f.restingKeys[n].idleUntil {
-		if queue := f.restingKeys[n]; queue.first == nil && f.keyQueues[queue.key] == queue {
+	for n < len(f.pausedKeyQueues) && f.now >= f.pausedKeyQueues[n].pausedUntil {
+		if queue := f.pausedKeyQueues[n]; queue.first == nil && f.keyQueues[queue.key] == queue {
 			delete(f.keyQueues, queue.key)
 		}
 		n++
 	}
-	f.restingKeys = slices.Delete(f.restingKeys, 0, n)
+	f.pausedKeyQueues = slices.Delete(f.pausedKeyQueues, 0, n)
 }
 
 // enqueue adds a message to those queued for its destination.
@@ -222,7 +225,7 @@
 	f.invalidate(d)
 }
 
-// dequeue removes a message from those queued for its destination, if it is one.
+// dequeue removes a message from those queued for its destination, if it is queued.
 func (f *Forwarder) dequeue(m *message) {
 	if m.group == nil {
 		return
@@ -234,19 +237,19 @@
 	f.invalidate(m.dest)
 }
 
-// completeMessage removes a message that is completed; its place in its key's queue stays until no attempt
-// is in flight.
+// completeMessage completes a message. It is removed, with its place in its key's queue, once no attempt is in
+// flight.
 func (f *Forwarder) completeMessage(m *message) {
 	if !m.completed {
 		m.completed = true
-		f.pending--
+		f.openCount--
 		if m.retryGrant != nil {
 			m.retryGrant.reservedRetries--
 			m.retryGrant = nil
 		}
 		f.dequeue(m)
 		f.hedges.remove(m)
-		if m.inFlight > 0 && m.limits.HedgeDelay > 0 && m.latest != nil && f.settings.MayCancel { // its hedged request is of no use any more
+		if m.inFlight > 0 && m.limits.HedgeDelay > 0 && m.latest != nil && f.settings.MayCancel { // one of two attempts has completed it: the other is of no use any more
 			f.emit(Cancel{Message: m.id, Attempt: m.latest.number})
 		}
 	}
@@ -266,7 +269,7 @@
 	}
 }
 
-func sentBefore(a, b *message) bool {
+func eligibleBefore(a, b *message) bool {
 	x, y := a.earliest(), b.earliest()
 	return x < y || x == y && a.seq < b.seq
 }
--- a/internal/decide/overdue.go
+++ b/internal/decide/overdue.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	minOverdue           = 600 * time.Millisecond // no call is overdue before it
-	lateLatencyFactor    = 4                      // latencies: overdue if others are too
-	lostLatencyFactor    = 7                      // latencies: overdue on its own
+	minOverdue           = 600 * time.Millisecond // no call is overdue earlier
+	lateLatencyFactor    = 4                      // in latencies: overdue; two such calls prove an outage
+	lostLatencyFactor    = 7                      // in latencies: one such call proves an outage
 	minTimeout           = 1500 * time.Millisecond
-	timeoutLatencyFactor = 10  // latencies: timeout of a repeatable call
-	longCallFactor       = 4.0 // times as long for a call to a working route
+	timeoutLatencyFactor = 10  // in latencies: timeout of a message that may be repeated
+	longCallFactor       = 4.0 // times cancelAfter: limit for a call to a working route
 	lostLongCallFactor   = 1.5 // the same where all long calls were lost
-	maxCancelDoublings   = 3   // doublings of the time before a suspect call is cancelled
+	maxCancelDoublings   = 3   // of the time before a suspect call is cancelled
 )
 
-// overdueAfter is how long a call must be out before its silence is evidence against its route.
+// overdueAfter is the time in flight after which a missing answer is evidence against the route of a call.
 func overdueAfter(latency time.Duration) time.Duration {
 	return max(minOverdue, lateLatencyFactor*latency)
 }
 
-// attemptTimeout is how long to wait for an answer: a repeatable message times out well after its expected
-// latency; one that must not be repeated is lost by a timeout, so it waits until its deadline.
+// attemptTimeout is how long to wait for an answer. A message that may be repeated times out well after its
+// expected latency; an AtMostOnce message is lost by a timeout, so it waits until its deadline.
 func (f *Forwarder) attemptTimeout(m *message, c *call) time.Duration {
 	left := m.limitTimeout(m.deadline - f.now)
 	if m.class.Effect == AtMostOnce {
@@ -46,7 +46,7 @@
 	}
 }
 
-// checkNewCalls does the same after this Step's calls, and schedules a Step for the next overdue one.
+// checkNewCalls does the same after the calls of this Step, and schedules a Step for the next overdue call.
 func (f *Forwarder) checkNewCalls() {
 	f.checkOverdue()
 	if f.overdue.len() > 0 {
@@ -54,8 +54,7 @@
 	}
 }
 
-// checkUnresponsive reports whether calls are overdue while none sent later came back, and when the next
-// call becomes overdue.
+// checkUnresponsive reports whether a route no longer answers, and when its next call becomes overdue.
 func (f *Forwarder) checkUnresponsive(r *route) (silent bool, next time.Duration) {
 	latency := cmp.Or(r.meanLatency, assumedLatency)
 	late, overdue := 0, 0
@@ -63,7 +62,7 @@
 	for _, c := range r.inFlight {
 		if at := c.sentAt + overdueAfter(latency); f.now < at {
 			next = min(next, at)
-			break // those sent later are overdue later
+			break // calls sent later are overdue later
 		}
 		f.countLoss(c)
 		if c.sentAt <= r.lastSuccessSentAt {
@@ -86,8 +85,8 @@
 	return late >= 2, next
 }
 
-// cancelAfter is how long a call may be out when slots are short. A message that could not be refused after
-// that gets longer; a keyed one is left time for a repeat within its window.
+// cancelAfter is how long a call may be in flight when slots are short. It is longer for a message that could
+// not be refused afterwards; a deduplicated one keeps time for a repeat within its window.
 func (f *Forwarder) cancelAfter(m *message, latency time.Duration) time.Duration {
 	own := time.Duration(float64(latency) * f.classLatencyFactor(m.class))
 	short, long := lateLatencyFactor*own, max(2*minOverdue, lostLatencyFactor*own)
@@ -101,7 +100,7 @@
 }
 
 // freeSlots cancels the most overdue call when slots run out, so that lost calls do not block the others. A
-// call with a message that must not be repeated gets longer, since that message is lost.
+// call with a message that must not be repeated gets more time, since cancelling loses the message.
 func (f *Forwarder) freeSlots() {
 	if !f.settings.MayCancel {
 		return
@@ -113,42 +112,42 @@
 	if f.cancelSuspects(1) {
 		return
 	}
-	var worst *call
-	most := 1.0
+	var mostOverdue *call
+	maxRatio := 1.0
 	for c := f.inFlight.first; c != nil; c = c.next {
-		if soonest := c.sentAt + minOverdue; soonest > f.now && soonest >= f.nextDue {
-			break // none from here on will be overdue before the next Step
+		if soonest := c.sentAt + minOverdue; soonest > f.now && soonest >= f.nextWakeAt {
+			break // no later call is overdue before the next Step
 		}
 		latency, limit := f.expectedLatency(c.route.dest.routes), minOverdue
 		for _, a := range c.attempts {
 			limit = max(limit, f.cancelAfter(a.message, latency))
 		}
-		if r := c.route; !r.circuitOpen && c.sentAt <= r.lastSuccessSentAt { // it is long rather than lost
+		if r := c.route; !r.circuitOpen && c.sentAt <= r.lastSuccessSentAt { // it is slow rather than lost
 			lost := f.longCallLoss.get(f.now, forgetAfter)
 			factor := longCallFactor - (longCallFactor-lostLongCallFactor)*lost
 			limit = time.Duration(float64(limit) * factor)
 		}
-		over := float64(f.now-c.sentAt) / float64(limit)
-		if !c.cancelled && !f.waitUntil(c.sentAt+limit) && over >= most {
-			worst, most = c, over
+		ratio := float64(f.now-c.sentAt) / float64(limit)
+		if !c.cancelled && !f.waitUntil(c.sentAt+limit) && ratio >= maxRatio {
+			mostOverdue, maxRatio = c, ratio
 		}
 	}
-	if worst != nil {
-		f.cancelCall(worst)
+	if mostOverdue != nil {
+		f.cancelCall(mostOverdue)
 	}
 }
 
-// cancelSuspects frees slots of suspect calls while destinations wait for them, after the usual latency of
-// their routes. Only repeatable messages are cancelled, and each time the route gets longer.
+// cancelSuspects cancels overdue suspect calls while destinations wait for their slots. It cancels only calls
+// of idempotent messages, and gives a route more time after each cancellation.
 func (f *Forwarder) cancelSuspects(need int) (freed bool) {
 	for c := f.inFlight.first; c != nil && need > 0; c = c.next {
-		if soonest := c.sentAt + minOverdue; soonest > f.now && soonest >= f.nextDue {
+		if soonest := c.sentAt + minOverdue; soonest > f.now && soonest >= f.nextWakeAt {
 			break
 		}
-		if c.suspicion == notSuspect || slices.ContainsFunc(c.attempts, (*attempt).notPure) {
+		if c.suspicion == notSuspect || slices.ContainsFunc(c.attempts, (*attempt).notIdempotent) {
 			continue
 		}
-		if c.cancelled { // its slot comes free
+		if c.cancelled { // its slot will be free soon
 			need--
 			continue
 		}
--- a/internal/decide/policy.go
+++ b/internal/decide/policy.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	recentWindow   = 10 * time.Second // span of the counts of attempts and outcomes
-	forgetAfter    = 60 * time.Second // an unused route is reset after it; losses decay over it
+	recentWindow   = 10 * time.Second // time over which counts of attempts and outcomes decay
+	forgetAfter    = 60 * time.Second // an unused route is reset after it; shares of losses decay over it
 	adjustInterval = time.Second
-	assumedLatency = 400 * time.Millisecond // before any was measured
+	assumedLatency = 400 * time.Millisecond // until one is measured
 )
 
-// Step takes the clock and what happened since the last Step, and returns what to do, in order.
+// Step takes the clock and the events since the last Step, and returns the actions to carry out, in order.
 func (f *Forwarder) Step(now time.Duration, events []Event) []Action {
 	f.now = max(f.now, now)
 	if f.startedAt == never {
 		f.startedAt = f.now
 	}
-	f.actions, f.nextDue = nil, never
+	f.actions, f.nextWakeAt = nil, never
 	for _, e := range events {
 		switch e := e.(type) {
 		case TargetList:
@@ -31,7 +31,7 @@
 				f.answerMessage(m)
 			}
 		default:
-			f.observeHost(e)
+			f.handleHostEvent(e)
 		}
 	}
 	f.expireKeyQueues()
--- a/internal/decide/policy_test.go
+++ b/internal/decide/policy_test.go
@@ -281,10 +281,10 @@
 		}
 		now += 4 * time.Second
 	}
-	if !f.idleTooLong(idleStep(4 * time.Second)) {
+	if !f.losesWhenIdle(idleStep(4 * time.Second)) {
 		t.Error("connections idle for 4 s are still trusted")
 	}
-	if f.idleTooLong(idleStep(100 * ms)) {
+	if f.losesWhenIdle(idleStep(100 * ms)) {
 		t.Error("connections used just now are not trusted")
 	}
 }
--- a/internal/decide/rejected_test.go
+++ b/internal/decide/rejected_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestRejected: a message that a target will never take is answered at once as harmless to hand in again, whatever its class, and is not
-// tried again; the target is no worse for it, also while it is out of order.
-func TestRejected(t *testing.T) {
+// TestRejectedIsRefusedAtOnce: a message that an endpoint rejects for good is refused at once, whatever its class, and is not retried. The rejection does
+// not count as a failure: the circuit stays closed.
+func TestRejectedIsRefusedAtOnce(t *testing.T) {
 	for _, effect := range []Effect{Idempotent, Deduplicated, AtMostOnce} {
 		f, err := New(Settings{Slots: 64, ConnIdle: time.Minute, ConnectTimeout: time.Second, MaxRetryAfter: time.Second, StartCapacity: 1,
 			OverloadFactor: 2, OverloadOutage: time.Second, Classes: []Class{{Name: "note", Effect: effect, DedupWindow: time.Minute, Deadline: 10 * time.Second, OnTime: 3 * time.Second, Value: 1}}})
@@ -24,19 +24,19 @@
 				}
 			}
 			if sent != 1 {
-				t.Fatalf("%d: %d sends: rejections have shut the destination", n, sent)
+				t.Fatalf("message %d: %d sends, want 1: did rejections open the circuit?", n, sent)
 			}
 			refused := false
 			for _, a := range f.Step(now+10*time.Millisecond, []Event{Outcome{Message: id, Target: "a", Result: Rejected, Latency: 10 * time.Millisecond}}) {
 				switch a.(type) {
 				case Send, Fail:
-					t.Fatalf("%T after a rejection", a)
+					t.Fatalf("%T after a rejection, want only Refuse", a)
 				case Refuse:
 					refused = true
 				}
 			}
 			if !refused {
-				t.Fatal("no answer at once")
+				t.Fatal("the message was not refused at once")
 			}
 		}
 	}
--- a/internal/decide/retry_budget.go
+++ b/internal/decide/retry_budget.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	initialRetryRatio    = 0.2  // at the start, and the cap
-	minRetryRatio        = 0.01 // the floor
-	highFailureShare     = 0.3  // above it the budget halves
-	lowFailureShare      = 0.05
+	initialRetryRatio    = 0.2  // first value and upper bound of retryRatio
+	minRetryRatio        = 0.01 // lower bound of retryRatio
+	highFailureShare     = 0.3  // above this failure rate the budget is halved
+	lowFailureShare      = 0.05 // below it the budget is raised
 	retryRatioGrowth     = 0.1
-	minOutcomes          = 10  // to judge a failure rate by
-	allowanceNearlySpent = 0.1 // with less left there are no retries
+	minOutcomes          = 10  // fewer give no failure rate
+	allowanceNearlySpent = 0.1 // with less allowance left there are no retries
 )
 
-// closeIntervals closes the adjustment intervals that are over, each at its end. Too few outcomes count on in
-// the next one, or else the retry budget of a route with few calls would fluctuate.
+// closeIntervals closes the adjustment intervals that are over, each at its end. Fewer outcomes than
+// minOutcomes are carried over; else the retry budget of a route with few calls would fluctuate.
 func (f *Forwarder) closeIntervals(r *route) {
 	for f.now-r.intervalStart >= adjustInterval {
 		if !r.paceLimited && r.outcomes < minOutcomes && r.nextTokenAt <= r.intervalStart {
@@ -25,13 +25,13 @@
 	}
 }
 
-// closeInterval raises the pace after an interval without rejections, halves the retry budget at a high
-// failure rate and raises it at a low one.
+// closeInterval raises the pace after an interval without overload refusals. It halves the retry budget at
+// a high failure rate and raises it at a low one.
 func (f *Forwarder) closeInterval(r *route, end time.Duration) {
-	if r.paceLimited && r.rejections == 0 && r.successes > 0 && !r.circuitOpen && !f.inSlowStart(r, end) {
+	if r.paceLimited && r.overloads == 0 && r.successes > 0 && !r.circuitOpen && !f.inSlowStart(r, end) {
 		r.adaptiveRate *= rateGrowth
 	}
-	r.rejections, r.successes, r.intervalStart = 0, 0, end
+	r.overloads, r.successes, r.intervalStart = 0, 0, end
 	f.updatePace(r, end)
 	if r.outcomes < minOutcomes {
 		return
@@ -45,8 +45,8 @@
 	r.outcomes, r.failures = 0, 0
 }
 
-// retryBudgetLeft reports whether one more retry fits the budget: recent and granted retries stay under
-// retryRatio of the recent first attempts. One is allowed when none was made.
+// retryBudgetLeft reports whether one more retry fits the budget: the recent and the granted retries are at
+// most retryRatio times the recent first attempts. So one is allowed when there was none.
 func (f *Forwarder) retryBudgetLeft(r *route) bool {
 	room := r.dest.limits.capRatio(r.retryRatio) * r.firstAttempts.get(f.now, recentWindow)
 	return r.retries.get(f.now, recentWindow)+float64(r.reservedRetries) <= room
--- a/internal/decide/rotation_agree_test.go
+++ b/internal/decide/rotation_agree_test.go
@@ -8,10 +8,10 @@
 	. "scaleroute/internal/decide"
 )
 
-// TestRotationAgreesWithWalk: over any stream of events, read after each Step or seldom, the rotation is what a walk over all endpoints counts.
-func TestRotationAgreesWithWalk(t *testing.T) {
-	manyStreams(t, "300")
-	rested := 0
+// TestRotationMatchesFullCount: over random streams of events, whether read after each Step or rarely, Rotation returns what a count of all endpoints gives.
+func TestRotationMatchesFullCount(t *testing.T) {
+	setStreamCount(t, "300")
+	unavailableSeen := 0
 	rapid.Check(t, func(t *rapid.T) {
 		set := drawSettings(t)
 		s := newStream(t, set)
@@ -19,21 +19,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		every := rapid.IntRange(1, 20).Draw(t, "every")
+		interval := rapid.IntRange(1, 20).Draw(t, "every")
 		for step := range rapid.IntRange(1, 400).Draw(t, "steps") {
-			s.carry(f.Step(s.now, s.events()))
-			if step%every != 0 {
+			s.execute(f.Step(s.now, s.drawEvents()))
+			if step%interval != 0 {
 				continue
 			}
-			listed, out := f.Rotation()
-			wantListed, wantOut := f.WalkRotation()
-			if listed != wantListed || out != wantOut {
-				t.Fatalf("step %d: %d of %d are out, a walk counts %d of %d", step, out, listed, wantOut, wantListed)
+			listed, unavailable := f.Rotation()
+			wantListed, wantUnavailable := f.CountRotation()
+			if listed != wantListed || unavailable != wantUnavailable {
+				t.Fatalf("step %d: %d of %d endpoints are unavailable, a full count gives %d of %d", step, unavailable, listed, wantUnavailable, wantListed)
 			}
-			rested += out
+			unavailableSeen += unavailable
 		}
 	})
-	if rested < 1000 {
-		t.Errorf("%d times an endpoint was out: the streams say too little", rested)
+	if unavailableSeen < 1000 {
+		t.Errorf("%d unavailable endpoints were seen: too few to test the count", unavailableSeen)
 	}
 }
--- a/internal/decide/rotation_test.go
+++ b/internal/decide/rotation_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// WalkRotation counts the rotation by a walk over all endpoints.
-func (f *Forwarder) WalkRotation() (listed, out int) {
+// CountRotation returns the same as Rotation, by a count of all endpoints.
+func (f *Forwarder) CountRotation() (listed, unavailable int) {
 	for _, ep := range f.endpoints {
 		if ep.state == Gone {
 			continue
 		}
 		listed++
-		if f.isOutOfRotation(ep) {
-			out++
+		if f.isUnavailable(ep) {
+			unavailable++
 		}
 	}
-	return listed, out
+	return listed, unavailable
 }
 
-// TestRotationForgets: destinations that are gone are not kept for the rotation, whether it is read or not.
-func TestRotationForgets(t *testing.T) {
+// TestRotationDropsRemovedDestinations: the rotation keeps no reference to destinations that were removed.
+func TestRotationDropsRemovedDestinations(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	f.Rotation()
 	now := time.Duration(0)
@@ -37,12 +37,12 @@
 	now += 2 * forgetAfter
 	f.Step(now, []Event{TargetList{}})
 	f.Rotation()
-	if kept := len(f.rotation.resting) + len(f.rotation.stale); kept > 100 {
-		t.Errorf("%d destinations are kept for the rotation", kept)
+	if kept := len(f.rotation.withUnavailable) + len(f.rotation.stale); kept > 100 {
+		t.Errorf("the rotation still refers to %d destinations", kept)
 	}
 }
 
-// BenchmarkRotation reads it among many endpoints of which few change.
+// BenchmarkRotation reads the rotation of many endpoints of which few have changed.
 func BenchmarkRotation(b *testing.B) {
 	f := newForwarder(b, plain("x"))
 	list := TargetList{}
@@ -52,7 +52,7 @@
 	f.Step(time.Second, []Event{list})
 	f.Rotation()
 	for i := 0; b.Loop(); i++ {
-		f.rotation.note(f.destinations[i%20_000])
+		f.rotation.markStale(f.destinations[i%20_000])
 		f.Rotation()
 	}
 }
--- a/internal/decide/memory.go
+++ b/internal/decide/saved_state.go
@@ -5,113 +5,113 @@
 	"time"
 )
 
-// The state of a Forwarder, for the hot restart into one of the same settings: routes and endpoints with
-// their retry-after times, outages, retry budgets and paces, the calls in flight, and what is known of each
-// message. Times are on the clock of the Forwarder that saved it; the host continues that clock for the
-// other one. Nothing here decides anything.
+// The state of a Forwarder, for a hot restart into one with the same settings: routes and endpoints with their
+// retry-after times, outages, retry budgets and paces, the calls in flight, and what is known of each message.
+// Times are on the clock of the Forwarder that saved the state; the host continues that clock for the other
+// one. No decision is made here.
 
-// memoryFormat changes whenever what is written does.
-const memoryFormat = 4
+// stateFormat is the version of the encoding. It is raised with every change of the encoding.
+const stateFormat = 4
 
-// SavedState is the state decoded from a Save.
+// SavedState is the decoded result of Forwarder.Save.
 type SavedState struct {
 	meanLatency, startedAt time.Duration
 	seq                    uint64
 	rngState               string // state of the random number generator
-	idleLoss               [idleSteps]decayingMean
+	lossByIdleTime         [idleSteps]decayingMean
 	longCallLoss           decayingMean
 	latencyFactor          map[string]float64
 	tenants                map[string]tenant
-	destinations           []destinationMemory
-	endpoints              []endpointMemory
-	calls                  []callMemory
-	messages               map[string]*messageMemory
-	restingKeys            map[string]time.Duration // by key
+	destinations           []savedDestination
+	endpoints              []savedEndpoint
+	calls                  []savedCall
+	messages               map[string]*savedMessage
+	pausedKeys             map[string]time.Duration // pausedUntil, by key
 }
 
-type destinationMemory struct {
+type savedDestination struct {
 	id               int
 	seq, queuedSeq   uint64
 	lastScheduled    time.Duration
 	accepted         decayingCount
 	connectedLimit   float64
 	connectedLimitAt time.Duration
-	routes           []routeMemory
+	routes           []savedRoute
 }
 
-// routeMemory is a route as it is serialized, with the names of its endpoints in their order.
-type routeMemory struct {
+// savedRoute is a route with the IDs of its endpoints in their order.
+type savedRoute struct {
 	route
 	endpointOrder []string
 }
 
-type endpointMemory struct {
+type savedEndpoint struct {
 	listing Target
 	endpoint
 }
 
-type callMemory struct {
+type savedCall struct {
 	endpointID string
 	call
-	restored  *call // by Restore
-	positions []int // of its attempts, in the order that they came
+	restored  *call // the call that Restore has created for it
+	positions []int // saved positions of the attempts restored so far, ascending
 }
 
-type messageMemory struct {
+type savedMessage struct {
 	message
-	retryGrant       string // the route's name after =, or after - if it is gone; empty for none
+	retryGrant       string // name of the route after "=", or after "-" if the route is gone; empty for none
 	hedgeDue         bool   // a hedged request is due
-	inFlightAttempts []attemptMemory
+	inFlightAttempts []savedAttempt
 }
 
-// attemptMemory is an attempt that is in flight.
-type attemptMemory struct{ number, call, position int }
+// savedAttempt is an attempt in flight: its number, the index of its call and its position in the call.
+type savedAttempt struct{ number, call, position int }
 
-// DecodeState decodes what Save returned.
+// DecodeState decodes a result of Forwarder.Save.
 func DecodeState(b []byte) (*SavedState, error) {
 	m := &SavedState{}
-	c := &stateCodec{buf: b, reading: true}
+	c := &stateCodec{buf: b, decoding: true}
 	if m.serialize(c); c.err == nil && len(c.buf) > 0 {
-		c.fail("more than there should be")
+		c.fail("unexpected data after the state")
 	}
 	return m, c.err
 }
 
 func (m *SavedState) serialize(c *stateCodec) {
-	format := memoryFormat
-	if c.ints(&format); c.err == nil && format != memoryFormat {
-		c.fail(fmt.Sprintf("format %d, and this program reads %d", format, memoryFormat))
+	format := stateFormat
+	if c.ints(&format); c.err == nil && format != stateFormat {
+		c.fail(fmt.Sprintf("format %d is not supported, only %d", format, stateFormat))
 	}
 	c.times(&m.meanLatency, &m.startedAt)
 	c.uint(&m.seq)
 	c.text(&m.rngState)
 	c.counts(&m.longCallLoss.decayingCount)
-	for i := range m.idleLoss {
-		c.counts(&m.idleLoss[i].decayingCount)
+	for i := range m.lossByIdleTime {
+		c.counts(&m.lossByIdleTime[i].decayingCount)
 	}
 	serializeMap(c, &m.latencyFactor, func(v *float64) { c.floats(v) })
 	serializeMap(c, &m.tenants, func(t *tenant) {
 		c.floats(&t.tokens)
-		c.times(&t.filled)
+		c.times(&t.refilledAt)
 	})
-	serializeList(c, &m.destinations, func(d *destinationMemory) { d.serialize(c) })
-	serializeList(c, &m.endpoints, func(t *endpointMemory) { t.serialize(c) })
-	serializeList(c, &m.calls, func(k *callMemory) { k.serialize(c) })
-	serializeMap(c, &m.messages, func(v **messageMemory) {
+	serializeList(c, &m.destinations, func(d *savedDestination) { d.serialize(c) })
+	serializeList(c, &m.endpoints, func(t *savedEndpoint) { t.serialize(c) })
+	serializeList(c, &m.calls, func(k *savedCall) { k.serialize(c) })
+	serializeMap(c, &m.messages, func(v **savedMessage) {
 		if *v == nil {
-			*v = &messageMemory{}
+			*v = &savedMessage{}
 		}
 		(*v).serialize(c)
 		for _, p := range (*v).inFlightAttempts {
 			if p.call < 0 || p.call >= len(m.calls) {
-				c.fail("an attempt of no call")
+				c.fail("call index of an attempt out of range")
 			}
 		}
 	})
-	serializeMap(c, &m.restingKeys, func(at *time.Duration) { c.times(at) })
+	serializeMap(c, &m.pausedKeys, func(at *time.Duration) { c.times(at) })
 }
 
-func (d *destinationMemory) serialize(c *stateCodec) {
+func (d *savedDestination) serialize(c *stateCodec) {
 	c.ints(&d.id)
 	c.uint(&d.seq)
 	c.uint(&d.queuedSeq)
@@ -119,26 +119,26 @@
 	c.counts(&d.accepted)
 	c.floats(&d.connectedLimit)
 	c.times(&d.connectedLimitAt)
-	serializeList(c, &d.routes, func(r *routeMemory) { r.serialize(c) })
+	serializeList(c, &d.routes, func(r *savedRoute) { r.serialize(c) })
 }
 
-func (r *routeMemory) serialize(c *stateCodec) {
+func (r *savedRoute) serialize(c *stateCodec) {
 	serializeList(c, &r.endpointOrder, c.text)
 	c.text(&r.name)
 	c.times(&r.lastUsedAt, &r.retryAfter, &r.allowanceSpentUntil, &r.intervalStart, &r.meanLatency, &r.lastSuccessAt, &r.lastSuccessSentAt, &r.closedAt, &r.failingSince, &r.lastProbeAt, &r.probeInterval, &r.slowStartAt,
 		&r.tokensAt, &r.nextTokenAt, &r.nextCutAt, &r.allowanceAt)
-	c.ints(&r.outcomes, &r.failures, &r.rejections, &r.successes, &r.totalFirstAttempts, &r.totalAttempts, &r.cancelledCalls, &r.successfulProbes)
+	c.ints(&r.outcomes, &r.failures, &r.overloads, &r.successes, &r.totalFirstAttempts, &r.totalAttempts, &r.cancelledCalls, &r.successfulProbes)
 	c.floats(&r.virtualTime, &r.retryRatio, &r.consecutiveFailures, &r.outageEvidence, &r.probeJitter, &r.adaptiveRate, &r.currentRate, &r.tokens, &r.serverLimit, &r.allowanceLeft, &r.totalDemand)
 	c.bools(&r.weighted, &r.circuitOpen, &r.needsSlowStart, &r.slowStart, &r.paceLimited)
 	c.counts(&r.firstAttempts, &r.retries, &r.recentSuccesses, &r.recentCalls, &r.unclearShare.decayingCount)
 	c.text(&r.openReason)
 	serializeInt(c, &r.suspicion)
 	if r.suspicion < 0 || r.suspicion >= suspicionKinds {
-		c.fail("a doubt of no kind")
+		c.fail("unknown suspicion of a route")
 	}
 }
 
-func (t *endpointMemory) serialize(c *stateCodec) {
+func (t *savedEndpoint) serialize(c *stateCodec) {
 	c.text(&t.listing.ID)
 	c.ints(&t.listing.Destination)
 	c.text(&t.listing.Kind)
@@ -150,18 +150,18 @@
 	serializeList(c, &t.idleSince, func(at *time.Duration) { c.times(at) })
 }
 
-func (k *callMemory) serialize(c *stateCodec) {
+func (k *savedCall) serialize(c *stateCodec) {
 	c.text(&k.endpointID)
 	c.times(&k.sentAt)
 	c.bools(&k.isProbe, &k.cancelled, &k.lossCounted, &k.shortTimeout)
 	c.ints(&k.idleStep)
 	serializeInt(c, &k.suspicion)
 	if k.suspicion < 0 || k.suspicion >= suspicionKinds || k.idleStep < 0 || k.idleStep >= idleSteps {
-		c.fail("a call of no kind")
+		c.fail("unknown suspicion or idle time of a call")
 	}
 }
 
-func (m *messageMemory) serialize(c *stateCodec) {
+func (m *savedMessage) serialize(c *stateCodec) {
 	c.text(&m.id)
 	c.uint(&m.seq)
 	c.times(&m.createdAt, &m.deadline, &m.runSentAt, &m.notBefore, &m.hedgeAt)
@@ -171,8 +171,8 @@
 	c.text(&m.runZone)
 	c.text(&m.retryGrant)
 	n := c.length(len(m.inFlightAttempts))
-	if c.reading {
-		m.inFlightAttempts = make([]attemptMemory, n)
+	if c.decoding {
+		m.inFlightAttempts = make([]savedAttempt, n)
 	}
 	for i := range m.inFlightAttempts {
 		c.ints(&m.inFlightAttempts[i].number, &m.inFlightAttempts[i].call, &m.inFlightAttempts[i].position)
--- a/internal/decide/scheduling.go
+++ b/internal/decide/scheduling.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// sendQueued gives the free slots to the destinations with queued messages, in fair order.
+// sendQueued gives free slots to destinations with queued messages, in fair order.
 func (f *Forwarder) sendQueued() {
 	for f.stopsAt < never && f.blocked[untested].len() > 0 {
 		f.reconsider(f.blocked[untested].min())
@@ -22,13 +22,13 @@
 			f.parkDestination(d, eligibleAt, bound)
 		}
 	}
-	if f.inFlight.size < f.settings.Slots && f.parked.len() > 0 { // else the end of a call comes first
+	if f.inFlight.size < f.settings.Slots && f.parked.len() > 0 { // else the end of a call frees a slot first
 		f.waitUntil(f.parked.min().eligibleAt)
 	}
 }
 
-// sendFrom makes one call to a destination, if any message there may go. If none may, it returns when that
-// changes unless something happens there, and which quota of suspect calls blocks it.
+// sendFrom makes one call to a destination, if a message may be sent there. If none may, it returns when one
+// may unless something changes before, and which quota of suspect calls blocks the destination.
 func (f *Forwarder) sendFrom(d *destination) (sent bool, eligibleAt time.Duration, bound suspicion) {
 	usable, blocked := f.usableRoutes[:0], f.blockedRoutes[:0]
 	eligibleAt = never
@@ -55,11 +55,11 @@
 	}
 	m, earliest := f.chooseMessage(d, usable, mode, nil)
 	if m == nil {
-		other, bound := f.blockingQuota(d, blocked, mode)
-		return false, min(eligibleAt, earliest, other), bound
+		blockedAt, bound := f.blockingQuota(d, blocked, mode)
+		return false, min(eligibleAt, earliest, blockedAt), bound
 	}
 	ep := f.chooseEndpoint(m, usable)
-	if n := f.idleConnections(ep); n > 0 && f.idleTooLong(idleStep(f.now-ep.idleSince[n-1])) {
+	if n := f.idleConnections(ep); n > 0 && f.losesWhenIdle(idleStep(f.now-ep.idleSince[n-1])) {
 		f.closeIdleConnections(ep)
 	}
 	c := f.startCall(ep)
@@ -73,8 +73,8 @@
 	return true, 0, notSuspect
 }
 
-// blockingQuota returns which quota blocks the messages for some routes, if any message may go there, and
-// when one becomes eligible.
+// blockingQuota returns which quota of suspect calls blocks some routes, if a message could be sent to them,
+// and when one becomes eligible.
 func (f *Forwarder) blockingQuota(d *destination, blocked []*route,
 	mode selectionMode) (time.Duration, suspicion) {
 	at, quota := never, notSuspect
@@ -88,16 +88,16 @@
 	return at, quota
 }
 
-// selectionMode is how a message is chosen among those of a destination.
+// selectionMode says how a message is chosen among those queued for a destination.
 type selectionMode int
 
 const (
 	byPriority  selectionMode = iota
-	forProbe                  // the least valuable: a probe risks its message
-	forUntested               // by priority, repeatable messages first
+	forProbe                  // the least valuable first, since a probe risks its message
+	forUntested               // idempotent messages first, then by priority
 )
 
-// chooseMessage picks the next message for an endpoint or any, or returns when one becomes eligible.
+// chooseMessage picks the next message, for one endpoint or any, or returns when one becomes eligible.
 func (f *Forwarder) chooseMessage(d *destination, usable []*route, mode selectionMode,
 	only *endpoint) (best *message, eligibleAt time.Duration) {
 	eligibleAt = never
@@ -113,7 +113,7 @@
 			eligibleAt = min(eligibleAt, earliest)
 			continue
 		}
-		m, s := g.pick(f, mode, latency)
+		m, s := g.highestScore(f, mode, latency)
 		if best == nil || s > highest || s == highest && isOlder(m, best) {
 			best, highest = m, s
 		}
@@ -121,7 +121,7 @@
 	return best, eligibleAt
 }
 
-// earliestSend is when a message may go to an endpoint of some routes.
+// earliestSend returns when a message may be sent to an endpoint of some routes.
 func (f *Forwarder) earliestSend(m *message, usable []*route, only *endpoint) time.Duration {
 	earliest := never
 	for _, r := range usable {
@@ -134,12 +134,12 @@
 	return earliest
 }
 
-// score ranks the messages of a destination, given the expected latency.
+// score ranks the messages of a destination, given its expected latency; the highest is sent first.
 func (f *Forwarder) score(m *message, mode selectionMode, latency time.Duration) float64 {
 	switch mode {
 	case forProbe:
 		s := -m.value*f.valueShare(m.class, f.now-m.createdAt) - 100*float64(m.class.Effect)
-		if m.deadline-f.now < overdueAfter(latency) { // its timeout would prove nothing
+		if m.deadline-f.now < overdueAfter(latency) { // a timeout would prove nothing
 			s -= 1e6
 		}
 		return s
@@ -149,8 +149,8 @@
 	return f.priority(m, latency)
 }
 
-// priority ranks messages by the value that they lose by a short delay; then come those that lose nothing
-// yet, by value and age, and last those with nothing left to lose.
+// priority ranks messages by the value that they lose by a short delay. Those that lose none yet come next,
+// by value and age; last come those that have none left to lose.
 func (f *Forwarder) priority(m *message, latency time.Duration) float64 {
 	age := f.now - m.createdAt
 	if loss := m.value * f.valueLoss(m.class, age+latency); loss > 0 {
@@ -164,21 +164,23 @@
 
 const valueLossSpan = time.Second
 
-// valueLoss is the share of its value that a message loses in valueLossSpan after an age.
+// valueLoss is the share of its value that a message loses from an age on within valueLossSpan.
 func (f *Forwarder) valueLoss(class *Class, age time.Duration) float64 {
-	if f.settings.Decay == Linear && class.OnTime > 0 && age >= class.OnTime && age+valueLossSpan < class.Deadline {
-		// The same for all, to the last bit: rounding must not rank them.
+	if f.settings.Decay == Linear && class.OnTime > 0 &&
+		age >= class.OnTime && age+valueLossSpan < class.Deadline {
+		// Computed without the age: rounding errors must not rank the messages.
 		return (1 - class.LateShare) * float64(valueLossSpan) / float64(class.Deadline-class.OnTime)
 	}
 	return f.valueShare(class, age) - f.valueShare(class, age+valueLossSpan)
 }
 
-// sendMessage makes one attempt at a message as a part of a call.
+// sendMessage makes one attempt at a message as part of a call.
 func (f *Forwarder) sendMessage(m *message, c *call) {
 	f.startAttempt(m, c)
 	limit := f.attemptTimeout(m, c)
 	c.shortTimeout = limit < overdueAfter(f.expectedLatency(m.dest.routes))
-	if m.limits.HedgeDelay > 0 && f.settings.Hedging && m.class.Effect == Idempotent && m.sends == 1 && !c.isProbe {
+	if m.limits.HedgeDelay > 0 && f.settings.Hedging &&
+		m.class.Effect == Idempotent && m.sends == 1 && !c.isProbe {
 		m.hedgeAt = f.now + m.limits.HedgeDelay
 		f.hedges.fix(m)
 	}
--- a/internal/decide/shed_index.go
+++ b/internal/decide/shed_index.go
@@ -1,13 +1,14 @@
 package decide
 
-// shedKey is a kind of message of which the oldest is worth least, the wait before it included.
+// shedKey identifies a kind of message: among messages of one kind the oldest one, with the time to drain the queue
+// before it added to its age, has the least value when it is sent.
 type shedKey struct {
 	class *Class
 	value float64
 }
 
-// forEachSheddable brings the shed index up to date and passes on the group of each kind whose oldest
-// message is worth least.
+// forEachSheddable brings the shed index up to date and calls a function with the group of each kind whose oldest
+// message has the least value when it is sent.
 func (f *Forwarder) forEachSheddable(each func(g *group)) {
 	for _, d := range f.shedStale {
 		d.shedStale = false
@@ -19,7 +20,7 @@
 			k := shedKey{g.key.class, g.key.value}
 			h := f.shedIndex[k]
 			if h == nil {
-				h = &heap[*group]{less: shedBefore, place: func(g *group) *int { return &g.shedIndex }}
+				h = &heap[*group]{less: shedBefore, indexOf: func(g *group) *int { return &g.shedIndex }}
 				f.shedIndex[k] = h
 			}
 			first := g.oldest()
@@ -29,10 +30,10 @@
 	}
 	clear(f.shedStale)
 	f.shedStale = f.shedStale[:0]
-	for i := range f.settings.Classes { // not over the map: the order must not be random
+	for i := range f.settings.Classes { // not over the map, whose order is random
 		class := &f.settings.Classes[i]
-		for _, worth := range [...]float64{class.Value, class.Value * f.settings.OverQuotaValue} {
-			if h := f.shedIndex[shedKey{class, worth}]; h != nil && h.len() > 0 {
+		for _, value := range [...]float64{class.Value, class.Value * f.settings.OverQuotaValue} {
+			if h := f.shedIndex[shedKey{class, value}]; h != nil && h.len() > 0 {
 				each(h.min())
 			}
 		}
@@ -43,7 +44,7 @@
 	return a.shedCreatedAt < b.shedCreatedAt || a.shedCreatedAt == b.shedCreatedAt && a.shedSeq < b.shedSeq
 }
 
-// invalidateShedIndex notes that a destination's place in the shed index must be computed anew.
+// invalidateShedIndex notes that the places of a destination's groups in the shed index must be recomputed.
 func (f *Forwarder) invalidateShedIndex(d *destination) {
 	if f.settings.MaxOpen > 0 && !d.shedStale {
 		d.shedStale = true
--- a/internal/decide/shedding.go
+++ b/internal/decide/shedding.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	shedThreshold = 0.9 // of MaxHeld: from here on messages are shed
-	earlyShedCost = 0.3 // of its value: the cost of shedding an accepted message
-	earlyShedAge  = 0.7 // before so much of its time has passed
+	shedThreshold = 0.9 // of Settings.MaxOpen: from this share on messages are shed
+	earlyShedCost = 0.3 // cost of shedding an accepted message, as a share of its value
+	earlyShedAge  = 0.7 // that cost applies until this share of its time has passed
 )
 
-// acceptMessage queues a new or recovered message, or rejects it.
+// acceptMessage queues a new or recovered message, or refuses it.
 func (f *Forwarder) acceptMessage(e Message) {
 	if f.messages[e.ID] != nil {
 		return
@@ -21,11 +21,11 @@
 	case e.Recovered && class == nil:
 		f.emit(Fail{Message: e.ID})
 		return
-	case e.Recovered: // it was accepted: it must get its answer
+	case e.Recovered: // it was accepted and must be completed
 	case class == nil || e.TimeLeft <= 0:
 		f.emit(Refuse{Message: e.ID})
 		return
-	case f.fenced, f.settings.MaxOpen > 0 && f.pending >= f.settings.MaxOpen:
+	case f.fenced, f.settings.MaxOpen > 0 && f.openCount >= f.settings.MaxOpen:
 		f.emit(Refuse{Message: e.ID, RetryAfter: f.retryAdvice(f.destination(e.Destination))})
 		return
 	}
@@ -46,36 +46,36 @@
 	f.shedIfFull(m)
 }
 
-// recoverMessage resumes a message from before a restart. An attempt that the restart interrupted is no
-// failure of its destination, so the next one is no retry. Knowledge of outages is lost, and the queue may
-// have built up during one: routes begin with a slow start.
+// recoverMessage resumes a message from before a restart. An attempt that the restart interrupted is not a
+// failure of its destination, so the next one is not a retry. Outages from before the restart are not known,
+// and the queue may have built up during one, so routes begin with a slow start.
 func (f *Forwarder) recoverMessage(m *message, e Message) {
 	m.attempts, m.sends, m.mayHaveRun, m.recovered = e.Attempts, e.Attempts, e.MayHaveRun, true
 	if e.HasOpenAttempt {
 		m.sends--
 	}
-	m.sends = min(m.sends, maxRetries) // the host counts unsent attempts too: one is left
+	m.sends = min(m.sends, maxRetries) // the host also counts attempts not sent: leave one
 	if m.mayHaveRun && m.class.Effect != Idempotent || f.attemptsExhausted(m) || f.now >= m.answerDeadline() {
-		f.answerMessage(m) // the time at which a keyed one ran is lost
+		f.answerMessage(m) // when a deduplicated one ran is not known any more
 		return
 	}
 	for _, r := range m.dest.routes {
 		if r.lastSuccessSentAt < 0 && !r.slowStart {
 			r.slowStart, r.slowStartAt = true, f.now
 		}
-		if f.equalShare(r) <= 0 { // without a limit the queue alone sets the pace
+		if f.equalShare(r) <= 0 { // without a limit the messages alone set the pace
 			m.dest.accepted.add(f.now, forgetAfter)
-			f.startedAt = min(f.startedAt, m.createdAt) // since when it came
+			f.startedAt = min(f.startedAt, m.createdAt) // since when they came
 		}
 	}
 	f.enqueue(m)
 }
 
-// shedIfFull rejects the least valuable message when the queues are almost full, so that messages for
-// failing destinations do not displace the others. If others are queued before it, a new message is rejected
-// before an old one of slightly less value, since its client has no acceptance yet.
+// shedIfFull sheds the least valuable message when the queues are almost full, so that messages for failing
+// destinations do not displace the others. A new message behind others in its queue is shed before an old
+// one of slightly less value, since its client has no acceptance yet.
 func (f *Forwarder) shedIfFull(incoming *message) {
-	if f.settings.MaxOpen == 0 || float64(f.pending) < shedThreshold*float64(f.settings.MaxOpen) {
+	if f.settings.MaxOpen == 0 || float64(f.openCount) < shedThreshold*float64(f.settings.MaxOpen) {
 		return
 	}
 	if m := f.leastValuable(); m != nil {
@@ -88,12 +88,12 @@
 	}
 }
 
-// valueWhenSent is the value that a message will have once all queued for its destination are sent.
+// valueWhenSent is the value that a message has when all that are queued for its destination are sent.
 func (f *Forwarder) valueWhenSent(m *message) float64 {
 	return m.value * f.valueShare(m.class, f.now+m.dest.drainTime-m.createdAt)
 }
 
-// leastValuable is the rejectable message with the lowest value when sent.
+// leastValuable returns the message with the lowest value when sent, of those that may be refused.
 func (f *Forwarder) leastValuable() (least *message) {
 	var lowest float64
 	f.forEachSheddable(func(g *group) {
@@ -106,8 +106,8 @@
 	return least
 }
 
-// queueDrainTime is how long it takes to send all that is queued for a destination. With all circuits open
-// only probes go out, so messages for a failing destination are worth least and are shed first.
+// queueDrainTime is the time to send all messages queued for a destination. With all circuits open only
+// probes are sent, so messages for a failing destination have the least value when sent and are shed first.
 func (f *Forwarder) queueDrainTime(d *destination) time.Duration {
 	each := f.expectedLatency(d.routes)
 	if len(d.routes) > 0 && allCircuitsOpen(d.routes) {
--- a/internal/decide/state_codec.go
+++ b/internal/decide/state_codec.go
@@ -10,30 +10,31 @@
 	"time"
 )
 
-var errMemory = errors.New("what the process before remembers can't be read")
+var errDecodeState = errors.New("invalid saved state of the decision module")
 
-// stateCodec encodes or decodes one value after the other: one list of fields serves both ways.
+// stateCodec encodes or decodes one value after the other, so that one list of fields serves both directions.
+// After an error it decodes nothing more.
 type stateCodec struct {
-	buf     []byte
-	reading bool
-	err     error
+	buf      []byte
+	decoding bool
+	err      error
 }
 
 func (c *stateCodec) fail(what string) {
 	if c.err == nil {
-		c.err = fmt.Errorf("%w: %s, %d bytes before its end", errMemory, what, len(c.buf))
+		c.err = fmt.Errorf("%w: %s, %d bytes before its end", errDecodeState, what, len(c.buf))
 	}
 	c.buf = nil
 }
 
 func (c *stateCodec) uint(v *uint64) {
-	if !c.reading {
+	if !c.decoding {
 		c.buf = binary.AppendUvarint(c.buf, *v)
 		return
 	}
 	got, n := binary.Uvarint(c.buf)
 	if n <= 0 {
-		c.fail("a number that is cut short")
+		c.fail("truncated or oversized integer")
 		return
 	}
 	*v, c.buf = got, c.buf[n:]
@@ -41,7 +42,7 @@
 
 func serializeInt[T ~int | ~int8 | ~int64](c *stateCodec, v *T) {
 	u := uint64(int64(*v)<<1) ^ uint64(int64(*v)>>63)
-	if c.uint(&u); c.reading {
+	if c.uint(&u); c.decoding {
 		*v = T(int64(u>>1) ^ -int64(u&1))
 	}
 }
@@ -55,7 +56,7 @@
 func (c *stateCodec) ints(list ...*int) {
 	for _, v := range list {
 		if serializeInt(c, v); *v < 0 {
-			c.fail("less than nothing")
+			c.fail("negative number")
 			*v = 0
 		}
 	}
@@ -64,11 +65,11 @@
 func (c *stateCodec) floats(list ...*float64) {
 	for _, v := range list {
 		u := math.Float64bits(*v)
-		if c.uint(&u); !c.reading {
+		if c.uint(&u); !c.decoding {
 			continue
 		}
 		if *v = math.Float64frombits(u); math.IsNaN(*v) {
-			c.fail("no number")
+			c.fail("not-a-number value")
 		}
 	}
 }
@@ -76,7 +77,7 @@
 func (c *stateCodec) bools(list ...*bool) {
 	for _, v := range list {
 		n := int(oneIf(*v))
-		if serializeInt(c, &n); c.reading {
+		if serializeInt(c, &n); c.decoding {
 			*v = n == 1
 		}
 	}
@@ -91,31 +92,31 @@
 
 func (c *stateCodec) text(v *string) {
 	n := c.length(len(*v))
-	if !c.reading {
+	if !c.decoding {
 		c.buf = append(c.buf, *v...)
 	} else if c.err == nil {
 		*v, c.buf = string(c.buf[:n]), c.buf[n:]
 	}
 }
 
-// length serializes how many items follow, each a byte at least.
+// length encodes or decodes how many items follow, each of at least one byte.
 func (c *stateCodec) length(n int) int {
 	u := uint64(n)
-	if c.uint(&u); c.reading && u > uint64(len(c.buf)) {
-		c.fail("more items than bytes")
+	if c.uint(&u); c.decoding && u > uint64(len(c.buf)) {
+		c.fail("truncated list or text")
 		return 0
 	}
 	return int(u)
 }
 
-// serializeList serializes a list by a function for its items.
+// serializeList encodes or decodes a list, by a function for its items.
 func serializeList[T any](c *stateCodec, list *[]T, serialize func(*T)) {
 	n := c.length(len(*list))
-	if c.reading {
+	if c.decoding {
 		*list = make([]T, 0, min(n, 1024))
 	}
 	for i := 0; i < n && c.err == nil; i++ {
-		if c.reading {
+		if c.decoding {
 			var zero T
 			*list = append(*list, zero)
 		}
@@ -123,10 +124,10 @@
 	}
 }
 
-// serializeMap serializes a map in the order of its keys.
+// serializeMap encodes or decodes a map, in the order of its keys.
 func serializeMap[T any](c *stateCodec, m *map[string]T, serialize func(*T)) {
 	names := slices.Sorted(maps.Keys(*m))
-	if c.reading {
+	if c.decoding {
 		*m = map[string]T{}
 	}
 	serializeList(c, &names, func(name *string) {
--- a/internal/decide/view.go
+++ b/internal/decide/view.go
@@ -27,11 +27,11 @@
 // TargetView is the state of an endpoint as operators see it.
 type TargetView struct {
 	Target
-	InFlight, Connections int    // calls in flight; those and idle connections
-	BlockedReason         string // why it would not be called now; empty if it would
+	InFlight, Connections int    // number of calls in flight; of these and idle connections
+	BlockedReason         string // why it gets no calls, or fewer than others, now; empty if neither
 }
 
-// Targets lists the endpoints that are known and not gone, by name.
+// Targets returns the endpoints that are known and not gone, sorted by ID.
 func (f *Forwarder) Targets(now time.Duration) (list []TargetView) {
 	for _, ep := range f.endpoints {
 		if ep.state == Gone {
--- a/internal/decide/missing_test.go
+++ b/internal/decide/zero_settings_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// TestSettingsMissing: another customer's settings may have a 0 for any of them, or leave it out. Where all else is well each message is sent all the same, and
-// answered in its time; one that was taken up from before a restart, too.
-func TestSettingsMissing(t *testing.T) {
-	set := map[string]func(*Settings){"nothing": func(*Settings) {}, "slots of 1": func(s *Settings) { s.Slots = 1 }, "kinds": func(s *Settings) { s.Kinds = nil },
-		"short lives": func(s *Settings) {
+// TestZeroSettings: the settings of a deployment may leave any of them at 0. If all else is well, each message is still sent, and completed in its time, also
+// one that was recovered after a restart.
+func TestZeroSettings(t *testing.T) {
+	changes := map[string]func(*Settings){"all set": func(*Settings) {}, "slots of 1": func(s *Settings) { s.Slots = 1 }, "no kinds": func(s *Settings) { s.Kinds = nil },
+		"short deadlines": func(s *Settings) {
 			for i := range s.Classes {
 				s.Classes[i].OnTime, s.Classes[i].Deadline = 100*ms, 300*ms
 			}
@@ -19,19 +19,19 @@
 	settings, class := reflect.TypeFor[Settings](), reflect.TypeFor[Class]()
 	for i := range settings.NumField() {
 		if k := settings.Field(i).Type.Kind(); settings.Field(i).Name != "Slots" && k != reflect.Slice {
-			set["Settings."+settings.Field(i).Name] = func(s *Settings) { reflect.ValueOf(s).Elem().Field(i).SetZero() }
+			changes["Settings."+settings.Field(i).Name] = func(s *Settings) { reflect.ValueOf(s).Elem().Field(i).SetZero() }
 		}
 	}
 	for i := range class.NumField() {
 		if name := class.Field(i).Name; name != "Name" && name != "Deadline" {
-			set["Class."+name] = func(s *Settings) {
+			changes["Class."+name] = func(s *Settings) {
 				for c := range s.Classes {
 					reflect.ValueOf(&s.Classes[c]).Elem().Field(i).SetZero()
 				}
 			}
 		}
 	}
-	for name, change := range set {
+	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
 			s.Weights, s.ResubscribeInterval, s.CrossZonePrice, s.ZoneFee = ExactWeights, time.Second, .02, map[string]float64{"a": .1}
@@ -40,21 +40,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			left := s.Classes[0].Deadline
+			timeLeft := s.Classes[0].Deadline
 			x := plain("x")
 			x.Weight = 20
 			events := []Event{TargetList{Scope: LastKnown, Targets: []Target{x}}}
-			waiting := map[string]time.Duration{}
+			answerBy := map[string]time.Duration{}
 			for n := range 5 {
-				m := recovered(fmt.Sprint("old", n), s.Classes[n%2].Name, 0, false, false, left)
-				events, waiting[m.ID] = append(events, m), left
+				m := recoveredMessage(fmt.Sprint("old", n), s.Classes[n%2].Name, 0, false, false, timeLeft)
+				events, answerBy[m.ID] = append(events, m), timeLeft
 			}
 			sent := 0
 			for now := time.Duration(0); now < 15*time.Second; now += 5 * ms {
 				if n := now / (200 * ms); now%(200*ms) == 0 && n < 20 {
 					m := msg(fmt.Sprint("new", int(n)), s.Classes[int(n)%3].Name, "")
-					m.TimeLeft = left
-					events, waiting[m.ID] = append(events, m), now+left
+					m.TimeLeft = timeLeft
+					events, answerBy[m.ID] = append(events, m), now+timeLeft
 				}
 				actions := f.Step(now, events)
 				events = nil
@@ -62,22 +62,22 @@
 					switch a := a.(type) {
 					case Send:
 						sent++
-						delete(waiting, a.Message)
+						delete(answerBy, a.Message)
 						events = append(events, Outcome{Message: a.Message, Target: "x", Result: Succeeded, Latency: 5 * ms, NoAnswerNeeded: true})
 					case Refuse:
-						delete(waiting, a.Message)
+						delete(answerBy, a.Message)
 					case Fail:
-						delete(waiting, a.Message)
+						delete(answerBy, a.Message)
 					}
 				}
-				for id, by := range waiting {
+				for id, by := range answerBy {
 					if now > by+s.AnswerSlack+5*ms {
-						t.Fatalf("%s was not answered in its time", id)
+						t.Fatalf("message %s was not completed in its time", id)
 					}
 				}
 			}
-			if least := 23; sent < least && name != "short lives" || sent == 0 {
-				t.Errorf("%d of 25 were sent", sent)
+			if least := 23; sent < least && name != "short deadlines" || sent == 0 {
+				t.Errorf("%d of 25 messages were sent", sent)
 			}
 		})
 	}
