--- a/internal/decide/policy_test.go
+++ b/internal/decide/policy_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// testSettings are made up for the tests.
+// testSettings returns settings for tests, with short times and small limits.
 func testSettings() Settings {
 	return Settings{
 		Seed: 7, Slots: 10, MaxOpen: 100, MaxAttempts: 6, MayCancel: true, Forwarders: 2, Zone: "a",
@@ -55,7 +55,7 @@
 	return ids
 }
 
-// policyFiles are the files that `policy` in a deploy file names.
+// policyFiles returns the paths of the files that the policy setting of a deploy file lists.
 func policyFiles(t *testing.T, deploy string) []string {
 	t.Helper()
 	const root = "../../"
@@ -78,10 +78,10 @@
 	return files
 }
 
-func TestPolicyFits(t *testing.T) {
+func TestPolicyFilesWithinSizeLimit(t *testing.T) {
 	files := policyFiles(t, "balancer.toml")
 	if same := policyFiles(t, "steps.toml"); !slices.Equal(files, same) {
-		t.Errorf("balancer.toml names the policy files %v, steps.toml %v", files, same)
+		t.Errorf("balancer.toml lists the policy files %v, steps.toml lists %v", files, same)
 	}
 	if !slices.Contains(files, "../../internal/decide/policy.go") {
 		t.Errorf("policy.go is not among the policy files %v", files)
@@ -91,11 +91,11 @@
 		lines += policyLines(t, name)
 	}
 	if lines > 1200 {
-		t.Errorf("%d lines that are not blank, 1200 allowed", lines)
+		t.Errorf("the policy files have %d lines that are not blank, 1200 are allowed", lines)
 	}
 }
 
-// policyLines counts the lines of a policy file that are not blank, and bounds the length of each.
+// policyLines counts the lines of a policy file that are not blank, and fails the test for lines of more than 110 characters.
 func policyLines(t *testing.T, name string) (lines int) {
 	t.Helper()
 	file, err := os.Open(name)
@@ -114,7 +114,7 @@
 	return lines
 }
 
-func TestToldWaitHoldsAll(t *testing.T) {
+func TestRetryAfterBlocksAllMessages(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	if got := sends(f.Step(0, []Event{msg("m1", "pure", "")})); len(got) != 1 {
 		t.Fatalf("sent %v", got)
@@ -126,31 +126,31 @@
 		}
 	}
 	if got := sends(f.Step(600*ms, nil)); len(got) == 0 {
-		t.Error("nothing sent at the end of the wait")
+		t.Error("nothing sent at the retry-after time")
 	}
 }
 
-func TestOneKeyAtATimeAndRest(t *testing.T) {
+func TestKeyIsSerialAndPausesAfterTimeout(t *testing.T) {
 	f := newForwarder(t, plain("x"))
-	f.destinations[1].routes[0].recentSuccesses.value = 9 // one time-out must not open the route
+	f.destinations[1].routes[0].recentSuccesses.value = 9 // one timeout must not open the circuit
 	got := sends(f.Step(0, []Event{msg("m1", "keyed", "k"), msg("m2", "keyed", "k"), msg("m3", "keyed", "j")}))
 	if strings.Join(got, " ") != "m1 m3" {
 		t.Fatalf("sent %v", got)
 	}
 	f.Step(50*ms, []Event{Withdrawn{"m1"}})
 	if got := sends(f.Step(60*ms, nil)); len(got) > 0 {
-		t.Fatalf("sent %v while an attempt of the key was out", got)
+		t.Fatalf("sent %v while an attempt with the same key was in flight", got)
 	}
 	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: TimedOut, NoAnswerNeeded: true}})
 	if got := sends(f.Step(199*ms, nil)); len(got) > 0 {
-		t.Fatalf("sent %v while the key rested", got)
+		t.Fatalf("sent %v while the key was paused", got)
 	}
 	if got := sends(f.Step(200*ms, nil)); len(got) != 1 {
-		t.Errorf("sent %v after the rest", got)
+		t.Errorf("sent %v after the pause of the key", got)
 	}
 }
 
-func TestUnsafeDoubtIsFailed(t *testing.T) {
+func TestUnsafeWithUnclearOutcomeFails(t *testing.T) {
 	for _, result := range []Result{Errored, TimedOut, Reset} {
 		f := newForwarder(t, plain("x"))
 		f.Step(0, []Event{msg("m1", "unsafe", "")})
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestDrainingGetsNothing(t *testing.T) {
+func TestDrainingEndpointGetsNoMessage(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	x := plain("x")
 	x.State = Draining
@@ -171,8 +171,9 @@
 	}
 }
 
-// A call of several messages may end for one of them first; a wait told then holds the route.
-func TestWaitToldWithinSharedCall(t *testing.T) {
+// A call of several messages may end for one of them first. A retry-after time in that outcome applies to the
+// whole route at once.
+func TestRetryAfterWithinSharedCall(t *testing.T) {
 	x := Target{ID: "x", Destination: 1, Kind: "apart", Zone: "a"}
 	f := newForwarder(t, x)
 	if got := sends(f.Step(0, []Event{msg("m1", "pure", ""), msg("m2", "pure", "")})); len(got) != 2 {
@@ -181,30 +182,30 @@
 	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Overloaded, RetryAfter: time.Second}})
 	f.Step(110*ms, []Event{Outcome{Message: "m2", Target: "x", Result: TimedOut}})
 	if got := sends(f.Step(500*ms, []Event{msg("m3", "pure", "")})); len(got) > 0 {
-		t.Errorf("sent %v during the wait", got)
+		t.Errorf("sent %v before the retry-after time", got)
 	}
 }
 
-// A call lost while later ones are answered says nothing of its route (incident 001).
-func TestLostCallDoesNotOpenRoute(t *testing.T) {
+// A call that is lost while later ones are answered is no evidence against its route (incident 001).
+func TestLostCallDoesNotOpenCircuit(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	f.Step(0, []Event{msg("lost", "pure", "")})
 	f.Step(100*ms, []Event{msg("m2", "pure", "")})
 	f.Step(300*ms, []Event{Outcome{Message: "m2", Target: "x", Result: Succeeded, Latency: 200 * ms, NoAnswerNeeded: true}})
 	f.Step(1400*ms, nil)
 	if r := f.Routes()[0]; r.CircuitOpen {
-		t.Errorf("route is held as %q", r.OpenReason)
+		t.Errorf("the circuit is open: %q", r.OpenReason)
 	}
 	if got := sends(f.Step(3*time.Second, []Event{msg("m3", "pure", "")})); len(got) != 1 {
 		t.Errorf("sent %v", got)
 	}
 }
 
-// Swallowed calls must not keep all slots (incident 001).
-func TestOverdueCallFreesSlot(t *testing.T) {
+// Calls that never get an answer must not occupy all slots (incident 001).
+func TestOverdueCallIsCancelledWhenSlotsRunOut(t *testing.T) {
 	f := newForwarder(t, plain("x"), Target{ID: "y", Destination: 2, Kind: "plain", Zone: "a"},
 		Target{ID: "z", Destination: 3, Kind: "plain", Zone: "a"})
-	for _, d := range f.destinations { // they have answered before
+	for _, d := range f.destinations { // as if they had answered before
 		d.routes[0].suspicion = notSuspect
 	}
 	var events []Event
@@ -227,16 +228,17 @@
 		}
 	}
 	if cancels != 1 {
-		t.Errorf("%d calls called off, 1 wanted", cancels)
+		t.Errorf("%d calls cancelled, want 1", cancels)
 	}
 }
 
-// Two outcomes a second say little: the budget must not lurch on them (incident 003).
-func TestBudgetJudgesFromEnoughOutcomes(t *testing.T) {
+// Two outcomes a second are too few to judge a failure rate by: the retry budget must not fluctuate on them
+// (incident 003).
+func TestRetryBudgetNeedsEnoughOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		seen, bad  int
-		start, end float64
+		name               string
+		outcomes, failures int
+		ratio, want        float64
 	}{
 		{"too few", 3, 2, .2, .2},
 		{"many fail", 10, 4, .2, .1},
@@ -247,20 +249,20 @@
 	} {
 		f := newForwarder(t, plain("x"))
 		r := f.destinations[1].routes[0]
-		r.outcomes, r.failures, r.retryRatio = c.seen, c.bad, c.start
+		r.outcomes, r.failures, r.retryRatio = c.outcomes, c.failures, c.ratio
 		f.Step(time.Second, nil)
 		f.closeIntervals(r)
-		if d := r.retryRatio - c.end; d > 1e-9 || d < -1e-9 {
-			t.Errorf("%s: %v, want %v", c.name, r.retryRatio, c.end)
+		if d := r.retryRatio - c.want; d > 1e-9 || d < -1e-9 {
+			t.Errorf("%s: %v, want %v", c.name, r.retryRatio, c.want)
 		}
 	}
 }
 
-// Calls on connections that were idle for long go unanswered, those on new ones do not: idle
-// connections are then closed before a send (incident 004).
+// If calls on connections that were idle for long get no answer while calls on new connections do, idle
+// connections are closed before a send (incident 004).
 func TestStaleConnectionsAreClosed(t *testing.T) {
 	f := newForwarder(t, plain("x"))
-	now, open := time.Duration(0), false // open: the one connection that an idle one would be
+	now, open := time.Duration(0), false // open: there is an idle connection to the endpoint
 	step := func(at time.Duration, events ...Event) {
 		for _, a := range f.Step(at, events) {
 			if _, ok := a.(CloseIdle); ok {
@@ -268,13 +270,13 @@
 			}
 		}
 	}
-	for i := range 24 { // at this pace a few losses open the route, and its trials use new connections
+	for i := range 24 { // at this pace a few losses open the circuit, and its probes use new connections
 		id := "m" + time.Duration(i).String()
 		step(now, msg(id, "pure", ""))
 		if open {
 			step(now + 900*ms)
 			step(now+1500*ms, Outcome{Message: id, Target: "x", Result: TimedOut}, Withdrawn{id})
-			open = false // a call is given up by closing its connection
+			open = false // an abandoned call closes its connection
 		} else {
 			step(now+100*ms, Outcome{Message: id, Target: "x", Result: Succeeded, Latency: 100 * ms, NoAnswerNeeded: true})
 			open = true
@@ -282,18 +284,18 @@
 		now += 4 * time.Second
 	}
 	if !f.losesWhenIdle(idleStep(4 * time.Second)) {
-		t.Error("connections idle for 4 s are still trusted")
+		t.Error("connections that were idle for 4 s are still used")
 	}
 	if f.losesWhenIdle(idleStep(100 * ms)) {
-		t.Error("connections used just now are not trusted")
+		t.Error("connections that were used 100 ms ago are not used")
 	}
 }
 
-// One endpoint resets calls now and then, the other does not: the other is preferred (incident 005).
+// One endpoint resets a quarter of its calls, the other none: the other is preferred (incident 005).
 func TestPrefersEndpointThatFailsLess(t *testing.T) {
 	f := newForwarder(t, plain("x"), plain("y"))
 	now := time.Duration(0)
-	last := map[string]int{}
+	lateSends := map[string]int{}
 	for i := range 60 {
 		id := "m" + time.Duration(i).String()
 		for _, a := range f.Step(now, []Event{msg(id, "pure", "")}) {
@@ -304,20 +306,20 @@
 				}
 				f.Step(now+50*ms, []Event{o, Withdrawn{id}})
 				if i >= 40 {
-					last[s.Target]++
+					lateSends[s.Target]++
 				}
 			}
 		}
 		now += 300 * ms
 	}
-	if last["y"] < 10 || last["y"] < 3*last["x"] {
-		t.Errorf("sends of the last third: %v", last)
+	if lateSends["y"] < 10 || lateSends["y"] < 3*lateSends["x"] {
+		t.Errorf("sends of the last third, by endpoint: %v", lateSends)
 	}
 }
 
-// When slots are short, a keyed call that could not be refused after it is left out longer than a
-// safe one, yet leaves time for a repeat in its window.
-func TestPatience(t *testing.T) {
+// When slots run out, a call whose message could not be refused after a cancellation stays in flight longer
+// than one that is safe to repeat. A keyed one still leaves time for a repeat within its window.
+func TestCancelAfterByClass(t *testing.T) {
 	f := newForwarder(t)
 	latency := 250 * ms
 	for _, c := range []struct {
@@ -333,34 +335,35 @@
 	}
 }
 
-// A quiet route starts afresh, but a told wait outlives its quiet: ageing out must not end it.
-func TestAgeingOutKeepsWait(t *testing.T) {
+// A route that is unused for forgetAfter is reset. A retry-after time that lasts longer must survive the reset.
+func TestRouteResetKeepsRetryAfter(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	f.Step(0, []Event{msg("m1", "pure", "")})
 	f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Overloaded, RetryAfter: 2 * time.Minute}, Withdrawn{"m1"}})
 	f.Step(61*time.Second, nil)
 	f.Step(62*time.Second, nil)
 	if got := sends(f.Step(63*time.Second, []Event{msg("m2", "pure", "")})); len(got) > 0 {
-		t.Errorf("sent %v during the wait", got)
+		t.Errorf("sent %v before the retry-after time", got)
 	}
 }
 
-// What is woken for is what falls due next, not a fixed poll, and a Step scans no quiet route.
-func TestWakesForWhatFallsDue(t *testing.T) {
+// The forwarder asks to be woken when something falls due next, here at a retry-after time, and not at fixed
+// intervals; a Step scans no idle route.
+func TestWakeIsAtNextDueTime(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	f.Step(0, []Event{msg("m1", "pure", "")})
 	got := f.Step(100*ms, []Event{Outcome{Message: "m1", Target: "x", Result: Overloaded, RetryAfter: 700 * ms}})
 	if !slices.Contains(got, Action(Wake{700 * ms})) {
-		t.Errorf("got %v, want one wake at the end of the told wait", got)
+		t.Errorf("got %v, want one Wake at the retry-after time", got)
 	}
 }
 
-// BenchmarkStep reports how many Steps a held message costs and the time of a Step with many
-// listed routes and held messages.
+// BenchmarkStep measures a Step that finds nothing due while many routes are listed and many messages are
+// queued.
 func BenchmarkStep(b *testing.B) {
 	for _, routes := range []int{10, 1000} {
-		for _, held := range []int{1, 100} {
-			b.Run(fmt.Sprintf("routes=%d/held=%d", routes, held), func(b *testing.B) {
+		for _, queued := range []int{1, 100} {
+			b.Run(fmt.Sprintf("routes=%d/held=%d", routes, queued), func(b *testing.B) {
 				s := testSettings()
 				s.Slots, s.MaxOpen = 1, 0
 				f, _ := New(s)
@@ -369,7 +372,7 @@
 					list = append(list, Target{ID: fmt.Sprint("t", i), Destination: i, Kind: "plain", Zone: "a"})
 				}
 				events := []Event{TargetList{Scope: Snapshot, Targets: list}}
-				for i := range held {
+				for i := range queued {
 					m := msg(fmt.Sprint("m", i), "pure", "")
 					m.Destination, m.TimeLeft = i%routes, 10*time.Second
 					events = append(events, m)
@@ -386,18 +389,18 @@
 	}
 }
 
-// All who saw a partner fail try it again: the more of them there are, and the fewer messages each
-// has for it, the rarer its trial calls. A single refused connection is enough to hold a route of
-// which nothing good was heard lately.
-func TestTrialCallsOfManyAreRare(t *testing.T) {
+// All senders that saw a destination fail probe it: the more senders there are, and the fewer messages each
+// has for it, the fewer probes each may send. A single refused connection is enough to open the circuit of a
+// route without recent successes.
+func TestProbesOfManySendersAreRare(t *testing.T) {
 	for _, c := range []struct {
-		forwarders, waiting, most int
+		forwarders, queued, maxCalls int
 	}{{2, 1, 20}, {500, 1, 5}, {500, 20, 20}} {
 		f := newForwarder(t, plain("x"))
 		f.settings.Forwarders = c.forwarders
 		sent, now := 0, time.Duration(0)
 		var events []Event
-		for i := range c.waiting {
+		for i := range c.queued {
 			events = append(events, Message{ID: fmt.Sprint("m", i), Class: "pure", Destination: 1, TimeLeft: 10 * time.Second})
 		}
 		for ; now < 9*time.Second; now += 5 * ms {
@@ -410,18 +413,18 @@
 				}
 			}
 			if events = failed; now == 5*ms && !f.Routes()[0].CircuitOpen {
-				t.Errorf("%+v: the route was not opened", c)
+				t.Errorf("%+v: the circuit was not opened", c)
 			}
 		}
-		if sent > c.most || sent < 2 {
-			t.Errorf("%+v: %d calls", c, sent)
+		if sent > c.maxCalls || sent < 2 {
+			t.Errorf("%+v: %d calls sent", c, sent)
 		}
 	}
 }
 
-// Very many senders that each leave an idle connection behind fill a partner's table: a connection
-// is kept only if it is used so often that the new ones saved are worth its room.
-func TestSeldomUsedConnectionsAreClosed(t *testing.T) {
+// Many senders that each keep an idle connection fill the connection table of a destination: a connection is
+// kept only if it is used so often that the saved handshakes outweigh the room that it takes.
+func TestRarelyUsedConnectionsAreClosed(t *testing.T) {
 	for _, c := range []struct {
 		forwarders int
 		price      float64
@@ -447,10 +450,11 @@
 	}
 }
 
-// A sender that seldom calls a route must not keep to next to nothing, nor withhold further tries,
-// because its last answer, some time ago, told of little room: it goes by its own part, which is what its
-// own messages make up, and not by all the room that there may be, or all senders would take that at once.
-func TestToldRoomAges(t *testing.T) {
+// A reported allowance goes stale. A sender that rarely calls a route must neither slow down to almost nothing
+// nor withhold retries because its last answer, some time ago, reported that little of the limit was left. It
+// goes by its own share, which is the rate of its own messages, and not by the whole limit, or all senders
+// would take that at once.
+func TestReportedAllowanceGoesStale(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	f.settings.Forwarders = 500
 	f.Step(0, []Event{msg("m1", "pure", "")})
@@ -460,26 +464,26 @@
 		t.Errorf("sent %v", got)
 	}
 	f.Step(4100*ms, []Event{Outcome{Message: "m2", Target: "x", Result: Succeeded, Latency: 100 * ms, NoAnswerNeeded: true}})
-	for at := 4200 * ms; ; at += 100 * ms { // 3 messages in 4.2 s: one in 1.4 s, and with what is refused on the way half of that
+	for at := 4200 * ms; ; at += 100 * ms { // 3 messages in 4.2 s are one in 1.4 s; half of that is allowed too, for calls that are rejected on the way
 		events := []Event{Woken{}}
 		if at == 4200*ms {
 			events = []Event{msg("m3", "pure", "")}
 		}
 		if got := sends(f.Step(at, events)); len(got) > 0 {
 			if at < 4500*ms || at > 6*time.Second {
-				t.Errorf("the third goes at %v", at)
+				t.Errorf("the third message is sent at %v", at)
 			}
 			break
 		}
 		if at > 10*time.Second {
-			t.Fatal("the third never goes")
+			t.Fatal("the third message is never sent")
 		}
 	}
 }
 
-// A host that rounds the time of a Wake down wakes a little early: what falls due a moment later,
-// here the answer that rule 1 asks for, must not be left to the next event.
-func TestWokenALittleEarlyAsksAgain(t *testing.T) {
+// A host that rounds the time of a Wake down calls Step slightly early. What falls due a moment later, here
+// the answer that rule 1 requires, must not be left until the next event.
+func TestEarlyWokenSchedulesAnotherWake(t *testing.T) {
 	f := newForwarder(t)
 	m := msg("m1", "pure", "")
 	m.TimeLeft += 300 * time.Nanosecond
@@ -487,12 +491,12 @@
 	due := got[len(got)-1].(Wake).After
 	got = f.Step(due-300*time.Nanosecond, []Event{Woken{}})
 	if !slices.Contains(got, Action(Wake{300})) {
-		t.Errorf("got %v, want a wake for the rest", got)
+		t.Errorf("got %v, want a Wake for the remaining 300 ns", got)
 	}
 }
 
-// Senders that seldom call find all endpoints of a partner equal: together they must not all call the
-// one that is listed first.
+// To senders that rarely call, all endpoints of a destination look equal: they must not all call the one that
+// is listed first.
 func TestSendersSpreadOverEqualEndpoints(t *testing.T) {
 	calls := map[string]int{}
 	for seed := range uint64(60) {
@@ -509,13 +513,13 @@
 		}
 	}
 	if calls["x"] < 10 || calls["y"] < 10 || calls["z"] < 10 {
-		t.Errorf("calls %v", calls)
+		t.Errorf("calls by endpoint: %v", calls)
 	}
 }
 
-// A partner that failed half of the calls comes back as cold as one that failed all: a good trial
-// call must not end the outage at once, without the slow return.
-func TestHalfFailingIsFollowedBySlowReturn(t *testing.T) {
+// A destination that failed half of its calls is as cold on its return as one that failed all of them: one
+// successful probe must not end the outage at once, without a slow start.
+func TestPartialOutageIsFollowedBySlowStart(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	now := time.Duration(0)
 	for i := 0; i < 60 && !f.Routes()[0].CircuitOpen; i++ {
@@ -531,7 +535,7 @@
 	}
 	r := f.destinations[1].routes[0]
 	if r.openReason != "half failing" {
-		t.Fatalf("the route is held as %q", r.openReason)
+		t.Fatalf("the circuit is open for the reason %q", r.openReason)
 	}
 	for i := 0; i < 20 && r.circuitOpen; i++ {
 		id := fmt.Sprint("t", i)
@@ -540,13 +544,13 @@
 		f.Step(now+50*ms, []Event{Outcome{Message: id, Target: "x", Result: Succeeded, Latency: 50 * ms, NoAnswerNeeded: true}})
 	}
 	if r.circuitOpen || !r.slowStart {
-		t.Errorf("open %v, slow return %v", r.circuitOpen, r.slowStart)
+		t.Errorf("circuit open: %v, slow start: %v", r.circuitOpen, r.slowStart)
 	}
 }
 
-// All who were told that a partner is shut were told the same time: they must not all call it then.
-func TestEndOfALongWaitIsSpread(t *testing.T) {
-	soon := 0
+// All senders that a destination rejects get the same long retry-after time: they must not all call it then.
+func TestProbesAfterLongRetryAfterAreSpread(t *testing.T) {
+	early := 0
 	for seed := range uint64(50) {
 		s := testSettings()
 		s.Seed, s.Forwarders = seed, 50
@@ -557,31 +561,31 @@
 		f.Step(0, []Event{TargetList{Targets: []Target{plain("x")}}, msg("m", "pure", "")})
 		f.Step(100*ms, []Event{Outcome{Message: "m", Target: "x", Result: Overloaded, RetryAfter: 5 * time.Second}})
 		if got := sends(f.Step(5200*ms, nil)); len(got) > 0 {
-			soon++
+			early++
 		}
 	}
-	if soon > 10 {
-		t.Errorf("%d of 50 called at once when the wait was over", soon)
+	if early > 10 {
+		t.Errorf("%d of 50 senders called within 100 ms of the retry-after time", early)
 	}
 }
 
-// A partner that is shut and tells no wait refuses every call: for a sender that seldom calls, two
-// refusals with nothing good of late must do to hold the route, or all senders push its return.
-func TestRefusalsInARowOpenASparseRoute(t *testing.T) {
+// A destination may reject every call and give no retry-after time. For a sender with little traffic to it, two
+// rejections without a recent success must open the circuit, or else the calls of all senders would overload
+// the destination on its return.
+func TestConsecutiveRejectionsOpenLowTrafficCircuit(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	for i := range 2 {
 		id, now := fmt.Sprint("m", i), time.Duration(i)*15*time.Second
 		f.Step(now, []Event{msg(id, "pure", "")})
 		f.Step(now+50*ms, []Event{Outcome{Message: id, Target: "x", Result: Overloaded}, Withdrawn{id}})
 		if open := f.Routes()[0].CircuitOpen; open != (i == 1) {
-			t.Errorf("after %d refusals: open %v", i+1, open)
+			t.Errorf("after %d rejections: circuit open %v", i+1, open)
 		}
 	}
 }
 
-// A partner that is full is still full a tenth of a second later: the further try must not be spent
-// then.
-func TestUntoldRefusalBacksOffLonger(t *testing.T) {
+// A destination that is full is still full 100 ms later: the retry must not be spent then.
+func TestRejectionWithoutRetryAfterBacksOffLonger(t *testing.T) {
 	late := 0
 	for seed := range uint64(40) {
 		s := testSettings()
@@ -597,15 +601,15 @@
 		}
 	}
 	if late < 25 {
-		t.Errorf("only %d of 40 waited for longer than the first backoff of other failures", late)
+		t.Errorf("only %d of 40 retries waited longer than the first back-off after other failures", late)
 	}
 }
 
-// TestGoneTargetsAreForgotten: targets come and go all day under new ids. What is kept must not grow
-// with them, and what the route that they share has learned must outlast them.
-func TestGoneTargetsAreForgotten(t *testing.T) {
+// TestGoneEndpointsAreRemoved: endpoints come and go all day under new ids. The state must not grow with them,
+// and what the route that they share has learned must outlast them.
+func TestGoneEndpointsAreRemoved(t *testing.T) {
 	f := newForwarder(t, plain("t0"), Target{ID: "a0", Destination: 2, Kind: "apart", Zone: "a"})
-	f.Step(0, []Event{msg("m", "pure", "")}) // out to t0 until the end
+	f.Step(0, []Event{msg("m", "pure", "")}) // in flight to t0 until the end
 	f.destinations[1].routes[0].retryAfter = time.Hour
 	for n := 1; n <= 100; n++ {
 		now := time.Duration(n) * time.Second
@@ -615,28 +619,29 @@
 			{ID: fmt.Sprintf("b%d", n), Destination: 100 + n, Kind: "plain"}, {ID: fmt.Sprintf("b%d", n-1), State: Gone},
 		}}})
 	}
-	if n := len(f.endpoints); n != 4 { // the newest three, and the one with a call out
-		t.Errorf("%d targets kept", n)
+	if n := len(f.endpoints); n != 4 { // the newest three, and the one with a call in flight
+		t.Errorf("%d endpoints kept", n)
 	}
 	f.Step(101*time.Second, []Event{Outcome{Message: "m", Target: "t0", Result: Succeeded, NoAnswerNeeded: true}})
 	if n := len(f.endpoints); n != 3 || len(f.messages) != 0 {
-		t.Errorf("%d targets and %d messages kept", n, len(f.messages))
+		t.Errorf("%d endpoints and %d messages kept", n, len(f.messages))
 	}
 	r := f.destinations[1].routes
 	if len(r) != 1 || r[0].retryAfter != time.Hour || len(r[0].endpoints) != 1 || r[0].endpoints[0].id != "t100" {
 		t.Errorf("the shared route: %+v", r)
 	}
 	if r := f.destinations[2].routes; len(r) != 1 || r[0].name != "a100" {
-		t.Errorf("routes apart: %v", r)
+		t.Errorf("separate routes: %v", r)
 	}
 	if n := len(f.destinations); n > 2+int(forgetAfter/time.Second)+2 {
 		t.Errorf("%d destinations kept", n)
 	}
 }
 
-// TestTrialNeedsTime: a trial call with a message that is about to expire ends with that message, and
-// would say that the route fails though it has come back. Such an end is no failure either.
-func TestTrialNeedsTime(t *testing.T) {
+// TestProbeMessageNeedsTimeLeft: a probe with a message that is about to expire times out with that message,
+// and would indicate that the route fails although it has recovered. So another message is sent as the probe,
+// and such a timeout is not counted as a failure.
+func TestProbeMessageNeedsTimeLeft(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	r := f.destinations[1].routes[0]
 	r.meanLatency = 200 * ms
@@ -649,7 +654,7 @@
 		got = sends(f.Step(now, nil))
 	}
 	if len(got) != 1 || got[0] != "young" {
-		t.Fatalf("the trial call took %v", got)
+		t.Fatalf("the probe was sent with %v, want young", got)
 	}
 
 	f = newForwarder(t, plain("x"))
@@ -664,13 +669,13 @@
 		f.Step(now+100*ms, []Event{Outcome{Message: id, Target: "x", Result: TimedOut, Latency: 100 * ms}})
 	}
 	if r := f.destinations[1].routes[0]; r.circuitOpen || r.consecutiveFailures > 0 || r.failures > 0 {
-		t.Errorf("judged by calls without time: open %v, fails %v", r.circuitOpen, r.consecutiveFailures)
+		t.Errorf("timeouts of expiring messages count as failures: circuit open %v, %v failures in a row", r.circuitOpen, r.consecutiveFailures)
 	}
 }
 
-// TestIdleTimePerConnection: the connection used last is used next, and each has an idle time of its own,
-// from its last answer on. One whose call broke is not there any more.
-func TestIdleTimePerConnection(t *testing.T) {
+// TestEachConnectionHasItsIdleTime: the connection used last is used next, and each has its own idle time, from
+// its last answer on. A connection whose call was reset does not exist any more.
+func TestEachConnectionHasItsIdleTime(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	x := f.endpoints["x"]
 	f.Step(0, []Event{msg("m1", "pure", ""), msg("m2", "pure", ""), msg("m3", "pure", "")})
@@ -679,7 +684,7 @@
 		f.Step(at, []Event{Outcome{Message: fmt.Sprint("m", n+1), Target: "x", Result: result, NoAnswerNeeded: true}})
 	}
 	if want := []time.Duration{100 * ms, 300 * ms}; !slices.Equal(x.idleSince, want) {
-		t.Fatalf("free since %v, want %v", x.idleSince, want)
+		t.Fatalf("connections are idle since %v, want %v", x.idleSince, want)
 	}
 	f.Step(400*ms, []Event{msg("m4", "pure", ""), msg("m5", "pure", ""), msg("m6", "pure", "")})
 	var idle []int
@@ -691,17 +696,18 @@
 	}
 }
 
-// TestLongCallIsNotLost: when slots run out, a call that takes long at a route that answers later ones is
-// left alone for longer. Its message would take as long again; a call that was swallowed is called off.
-func TestLongCallIsNotLost(t *testing.T) {
+// TestLongCallIsNotCancelledAsLost: when slots run out, a long call to a route that answers later calls is
+// cancelled later than others, since a retry of its message would take as long. A call to a route that answers
+// nothing is cancelled.
+func TestLongCallIsNotCancelledAsLost(t *testing.T) {
 	for _, c := range []struct {
 		answered bool
-		want     int // calls called off
+		want     int // cancelled calls
 	}{{true, 0}, {false, 1}} {
 		f := newForwarder(t, plain("x"), Target{ID: "y", Destination: 2, Kind: "plain", Zone: "a"})
 		f.settings.Slots = 2
 		f.destinations[1].routes[0].meanLatency = 200 * ms
-		for _, d := range f.destinations { // they have answered before
+		for _, d := range f.destinations { // as if they had answered before
 			d.routes[0].suspicion = notSuspect
 		}
 		f.Step(0, []Event{msg("long", "pure", "")})
@@ -717,19 +723,19 @@
 			}
 		}
 		if cancelled != c.want {
-			t.Errorf("later one answered %v: %d calls called off", c.answered, cancelled)
+			t.Errorf("a later call answered: %v; %d calls cancelled", c.answered, cancelled)
 		}
 	}
 }
 
-// TestSilenceDoesNotSpread: half of many destinations never answer, and nothing is known of any. Those that
-// answer get all of their messages through while the silent ones hold no more than their part of the
-// slots; and no message that may not be repeated is called off to make room.
-func TestSilenceDoesNotSpread(t *testing.T) {
+// TestUnresponsiveDestinationsDoNotBlockOthers: half of many destinations never answer, and nothing is known of
+// any at first. All messages for those that answer are delivered while the unresponsive ones occupy no more
+// than their quota of the slots, and no call of a message that must not be repeated is cancelled to free a slot.
+func TestUnresponsiveDestinationsDoNotBlockOthers(t *testing.T) {
 	const dests, each, slots = 200, 5, 50
-	set := testSettings()
-	set.Slots, set.MaxOpen = slots, 0
-	f, err := New(set)
+	settings := testSettings()
+	settings.Slots, settings.MaxOpen = slots, 0
+	f, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -747,18 +753,18 @@
 		}
 	}
 	f.Step(0, []Event{list})
-	type out struct {
-		o  Outcome
-		at time.Duration
+	type flight struct {
+		outcome Outcome
+		due     time.Duration
 	}
-	var calls []out
-	tries := map[string]int{}
-	delivered, silent, most := 0, 0, 0
+	var calls []flight
+	attempts := map[string]int{}
+	delivered, silent, maxSilent := 0, 0, 0
 	for now := time.Duration(0); now < 10*time.Second && delivered < dests/2*each; now += 5 * ms {
 		for i := 0; i < len(calls); {
-			if c := calls[i]; c.at <= now {
-				events = append(events, c.o)
-				if c.o.NoAnswerNeeded {
+			if c := calls[i]; c.due <= now {
+				events = append(events, c.outcome)
+				if c.outcome.NoAnswerNeeded {
 					delivered++
 				} else {
 					silent--
@@ -773,27 +779,27 @@
 			case Send:
 				n := 0
 				fmt.Sscanf(a.Target, "t%d", &n)
-				c := out{Outcome{Message: a.Message, Attempt: tries[a.Message], Target: a.Target, Result: TimedOut}, now + a.Timeout}
+				c := flight{Outcome{Message: a.Message, Attempt: attempts[a.Message], Target: a.Target, Result: TimedOut}, now + a.Timeout}
 				if n%2 == 0 {
-					c = out{Outcome{Message: a.Message, Attempt: tries[a.Message], Target: a.Target, Result: Succeeded, NoAnswerNeeded: true, Latency: 20 * ms}, now + 20*ms}
+					c = flight{Outcome{Message: a.Message, Attempt: attempts[a.Message], Target: a.Target, Result: Succeeded, NoAnswerNeeded: true, Latency: 20 * ms}, now + 20*ms}
 				} else {
 					silent++
 				}
-				tries[a.Message]++
+				attempts[a.Message]++
 				calls = append(calls, c)
 			case Cancel:
 				if unsafe[a.Message] {
-					t.Errorf("%s was called off", a.Message)
+					t.Errorf("the call of %s was cancelled", a.Message)
 				}
 				for i := range calls {
-					if calls[i].o.Message == a.Message {
-						calls[i].o.Result, calls[i].at = Cancelled, now
+					if calls[i].outcome.Message == a.Message {
+						calls[i].outcome.Result, calls[i].due = Cancelled, now
 					}
 				}
 			}
 		}
 		events = nil
-		most = max(most, silent)
+		maxSilent = max(maxSilent, silent)
 		if now == 4*time.Second && delivered < dests/2*each*9/10 {
 			t.Errorf("%d of %d delivered after 4 s", delivered, dests/2*each)
 		}
@@ -801,20 +807,20 @@
 	if delivered < dests/2*each {
 		t.Errorf("%d of %d delivered after 10 s", delivered, dests/2*each)
 	}
-	if most > slots*3/4+1 || most < slots/4 {
-		t.Errorf("silent destinations held %d of %d slots", most, slots)
+	if maxSilent > slots*3/4+1 || maxSilent < slots/4 {
+		t.Errorf("unresponsive destinations occupied up to %d of %d slots", maxSilent, slots)
 	}
 }
 
-// TestShutDestinationMakesRoom: in a hold that is almost full, what waits for a destination that is shut goes
-// before what waits for one that answers, though it is as old and worth as much.
-func TestShutDestinationMakesRoom(t *testing.T) {
+// TestSheddingStartsAtOpenCircuit: when the queue is almost full, messages for a destination whose circuit is
+// open are shed before messages of the same age and value for one that answers.
+func TestSheddingStartsAtOpenCircuit(t *testing.T) {
 	f := newForwarder(t, plain("x"), Target{ID: "y", Destination: 2, Kind: "plain", Zone: "a"})
 	f.settings.MaxOpen = 40
-	shut, well := f.destinations[1].routes[0], f.destinations[2].routes[0]
-	f.openCircuit(shut, "silent")
-	shut.probeInterval, well.meanLatency, shut.meanLatency = maxProbeInterval, 50*ms, 50*ms
-	f.settings.Slots = 1 // all wait
+	failing, healthy := f.destinations[1].routes[0], f.destinations[2].routes[0]
+	f.openCircuit(failing, "silent")
+	failing.probeInterval, healthy.meanLatency, failing.meanLatency = maxProbeInterval, 50*ms, 50*ms
+	f.settings.Slots = 1 // all others stay queued
 	refused := map[int]int{}
 	for i := range 60 {
 		m := msg(fmt.Sprint("m", i), "pure", "")
@@ -828,13 +834,14 @@
 		}
 	}
 	if refused[1] < 20 || refused[2] > 0 {
-		t.Errorf("refused: %d for the one that is shut, %d for the other", refused[1], refused[2])
+		t.Errorf("refused: %d for the destination with the open circuit, %d for the other", refused[1], refused[2])
 	}
 }
 
-// TestFullHoldTurnsAwayAtTheDoor: of messages worth the same, a full hold refuses the one that comes, whose client has not heard that it is taken on, and not one that was promised; that one goes
-// for what is worth more, and once most of its time is over.
-func TestFullHoldTurnsAwayAtTheDoor(t *testing.T) {
+// TestFullQueueRejectsNewMessageFirst: of messages of the same value, a full queue refuses the new one, whose
+// client has no acceptance yet, and not one that was accepted before. An accepted one is refused for a message
+// of more value, and once most of its time has passed.
+func TestFullQueueRejectsNewMessageFirst(t *testing.T) {
 	f := newForwarder(t, plain("x"), Target{ID: "y", Destination: 2, Kind: "plain", Zone: "a"})
 	f.settings.MaxOpen, f.settings.Slots = 20, 1
 	refused := func(at time.Duration, m Message) (id string) {
@@ -847,34 +854,34 @@
 	}
 	for i := range 17 {
 		if id := refused(0, msg(fmt.Sprint("held", i), "pure", "")); id != "" {
-			t.Fatalf("%s is refused with %d held", id, i)
+			t.Fatalf("%s is refused with %d queued", id, i)
 		}
 	}
 	if id := refused(100*ms, msg("same", "pure", "")); id != "same" {
-		t.Errorf("refused %q for one that is worth the same", id)
+		t.Errorf("refused %q for a message of the same value", id)
 	}
 	if id := refused(200*ms, msg("more", "unsafe", "")); id != "held1" {
-		t.Errorf("refused %q for one that is worth more", id)
+		t.Errorf("refused %q for a message of more value", id)
 	}
 	other := msg("other", "pure", "")
 	other.Destination = 2
 	if id := refused(300*ms, other); id != "held2" {
-		t.Errorf("refused %q for one before which nobody waits", id)
+		t.Errorf("refused %q for a message whose destination has no other queued", id)
 	}
-	f.settings.Slots = 0 // they wait on, and get late
+	f.settings.Slots = 0 // nothing is sent until little time is left
 	if id := refused(7500*ms, msg("late", "pure", "")); id != "held3" {
-		t.Errorf("refused %q for one that comes when they have little time left", id)
+		t.Errorf("refused %q for a message that arrives when the queued ones have little time left", id)
 	}
 }
 
-// TestCrowdedHost: a host without room gets some from what waits for a destination that is shut, and nothing is
-// taken from one that answers.
-func TestCrowdedHost(t *testing.T) {
-	for _, shut := range []bool{true, false} {
+// TestCrowdedHostShedsAtOpenCircuit: for a host without room to store messages, one that is queued for a
+// destination with an open circuit is refused; none is for a destination that answers.
+func TestCrowdedHostShedsAtOpenCircuit(t *testing.T) {
+	for _, open := range []bool{true, false} {
 		f := newForwarder(t, plain("x"))
 		f.settings.Slots = 1
 		f.Step(0, []Event{msg("m1", "pure", ""), msg("m2", "pure", ""), msg("m3", "unsafe", "")})
-		if shut {
+		if open {
 			f.openCircuit(f.destinations[1].routes[0], "silent")
 		}
 		var refused []string
@@ -883,8 +890,8 @@
 				refused = append(refused, r.Message)
 			}
 		}
-		if shut && !slices.Equal(refused, []string{"m2"}) || !shut && len(refused) > 0 {
-			t.Errorf("shut %v: refused %v", shut, refused)
+		if open && !slices.Equal(refused, []string{"m2"}) || !open && len(refused) > 0 {
+			t.Errorf("circuit open %v: refused %v", open, refused)
 		}
 	}
 }
--- a/internal/decide/rules_test.go
+++ b/internal/decide/rules_test.go
@@ -8,40 +8,43 @@
 	"time"
 )
 
-// ledger follows what a forwarder was told and what it does, and tells which rule it breaks. It
-// models no destination: outcomes are drawn at random.
-type ledger struct {
-	t       *testing.T
-	set     Settings
-	now     time.Duration
-	msgs    map[string]*entry
-	order   []*entry
-	drained map[string]time.Duration
-	waits   map[string]time.Duration
-	targets map[string]Target
-	rests   map[string]time.Duration
+// ruleChecker records the events that a forwarder receives and the actions that it returns, and fails the test
+// with the number of the rule that an action breaks. It models no destination: outcomes are random.
+type ruleChecker struct {
+	t              *testing.T
+	settings       Settings
+	now            time.Duration
+	messages       map[string]*trackedMessage
+	order          []*trackedMessage        // in the order accepted
+	drainedAt      map[string]time.Duration // by endpoint
+	retryAfter     map[string]time.Duration // by route
+	targets        map[string]Target
+	keyPausedUntil map[string]time.Duration // by key
 }
 
-type entry struct {
+// trackedMessage is a message that was handed to the forwarder, with what the events and actions say of it.
+type trackedMessage struct {
 	Message
-	class    Class
-	deadline time.Duration
-	answered bool
-	dropped  time.Duration // when the client withdrew it
-	out      []*sent
-	tries    int
-	ran      *sent // the first attempt that may have run
+	class       Class
+	deadline    time.Duration
+	answered    bool
+	withdrawnAt time.Duration // when the client withdrew the message
+	inFlight    []*trackedAttempt
+	sends       int
+	firstRun    *trackedAttempt // the first attempt that may have run
 }
 
-type sent struct {
-	n      int
-	target Target
-	at     time.Duration
-	until  time.Duration
+// trackedAttempt is one attempt at a message.
+type trackedAttempt struct {
+	number    int
+	target    Target
+	sentAt    time.Duration
+	timeoutAt time.Duration
 }
 
-func (l *ledger) route(t Target) string {
-	for _, k := range l.set.Kinds {
+// routeOf returns the name of an endpoint's route, to which retry-after times apply.
+func (c *ruleChecker) routeOf(t Target) string {
+	for _, k := range c.settings.Kinds {
 		if k.Name == t.Kind && k.SeparateRoutes {
 			return t.ID
 		}
@@ -49,104 +52,107 @@
 	return fmt.Sprint(t.Destination)
 }
 
-func (l *ledger) check(actions []Action) {
+// check checks the actions of a Step, and that no message is past its deadline without an answer.
+func (c *ruleChecker) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			l.send(a)
+			c.checkSend(a)
 		case Refuse:
-			e := l.answer(a.Message)
-			free := e.ran == nil && len(e.out) == 0 || e.class.Effect == Idempotent || e.class.Effect == Deduplicated && !e.class.DedupPerZone
-			if !free {
-				l.t.Fatalf("%v: rule 2: %s refused though it may have run", l.now, a.Message)
+			e := c.recordAnswer(a.Message)
+			harmless := e.firstRun == nil && len(e.inFlight) == 0 || e.class.Effect == Idempotent || e.class.Effect == Deduplicated && !e.class.DedupPerZone
+			if !harmless {
+				c.t.Fatalf("%v: rule 2: %s refused although it may have run", c.now, a.Message)
 			}
 		case Fail:
-			l.answer(a.Message)
+			c.recordAnswer(a.Message)
 		}
 	}
-	for _, e := range l.order {
-		if !e.answered && l.now > e.deadline+l.set.AnswerSlack {
-			l.t.Fatalf("%v: rule 1: %s not answered by %v", l.now, e.ID, e.deadline)
+	for _, e := range c.order {
+		if !e.answered && c.now > e.deadline+c.settings.AnswerSlack {
+			c.t.Fatalf("%v: rule 1: %s not answered by %v", c.now, e.ID, e.deadline)
 		}
 	}
 }
 
-func (l *ledger) answer(id string) *entry {
-	e := l.msgs[id]
-	if e != nil && e.dropped == l.now { // told in the batch in which it was answered
+// recordAnswer records the final answer of a message, which must be its only one.
+func (c *ruleChecker) recordAnswer(id string) *trackedMessage {
+	e := c.messages[id]
+	if e != nil && e.withdrawnAt == c.now { // the withdrawal was reported in the Step that answered it
 		return e
 	}
 	if e == nil || e.answered {
-		l.t.Fatalf("%v: rule 1: second answer for %s", l.now, id)
+		c.t.Fatalf("%v: rule 1: answer for %s, which is unknown or was answered before", c.now, id)
 	}
 	e.answered = true
 	return e
 }
 
-func (l *ledger) send(a Send) {
-	e, t := l.msgs[a.Message], l.targets[a.Target]
+// checkSend checks that an attempt is permitted now, and records it.
+func (c *ruleChecker) checkSend(a Send) {
+	e, t := c.messages[a.Message], c.targets[a.Target]
 	switch {
 	case e == nil || e.answered:
-		l.t.Fatalf("%v: rule 1: %s sent after its end", l.now, a.Message)
+		c.t.Fatalf("%v: rule 1: %s sent after its final answer", c.now, a.Message)
 	case t.Destination != e.Destination:
-		l.t.Fatalf("%v: %s sent elsewhere", l.now, a.Message)
-	case len(e.out) > 0:
-		l.t.Fatalf("%v: rule 2: two attempts of %s", l.now, a.Message)
-	case e.ran != nil && e.class.Effect == AtMostOnce:
-		l.t.Fatalf("%v: rule 2: unsafe %s sent again", l.now, a.Message)
-	case e.ran != nil && e.class.Effect == Deduplicated && (l.now > e.ran.at+e.class.DedupWindow || t.Zone != e.ran.target.Zone):
-		l.t.Fatalf("%v: rule 2: keyed %s sent out of its group or window", l.now, a.Message)
-	case e.tries > 3:
-		l.t.Fatalf("%v: %s sent a fifth time", l.now, a.Message)
+		c.t.Fatalf("%v: %s sent to another destination", c.now, a.Message)
+	case len(e.inFlight) > 0:
+		c.t.Fatalf("%v: rule 2: two attempts of %s in flight", c.now, a.Message)
+	case e.firstRun != nil && e.class.Effect == AtMostOnce:
+		c.t.Fatalf("%v: rule 2: unsafe %s sent again", c.now, a.Message)
+	case e.firstRun != nil && e.class.Effect == Deduplicated && (c.now > e.firstRun.sentAt+e.class.DedupWindow || t.Zone != e.firstRun.target.Zone):
+		c.t.Fatalf("%v: rule 2: keyed %s repeated outside its group or window", c.now, a.Message)
+	case e.sends > 3:
+		c.t.Fatalf("%v: %s sent a fifth time", c.now, a.Message)
 	}
-	if at, ok := l.drained[a.Target]; ok && l.now > at+l.set.DrainGrace {
-		l.t.Fatalf("%v: rule 3: %s sent to drained %s", l.now, a.Message, a.Target)
+	if at, ok := c.drainedAt[a.Target]; ok && c.now > at+c.settings.DrainGrace {
+		c.t.Fatalf("%v: rule 3: %s sent to %s after its drain grace time", c.now, a.Message, a.Target)
 	}
-	if l.now < l.waits[l.route(t)] {
-		l.t.Fatalf("%v: rule 6: %s sent during a wait", l.now, a.Message)
+	if c.now < c.retryAfter[c.routeOf(t)] {
+		c.t.Fatalf("%v: rule 6: %s sent before the retry-after time", c.now, a.Message)
 	}
 	if e.Key != "" && e.class.Ordered {
-		for _, o := range l.order {
+		for _, o := range c.order {
 			if o == e {
 				break
 			}
-			if o.Key == e.Key && o.class.Ordered && (!o.answered || len(o.out) > 0) {
-				l.t.Fatalf("%v: rule 5: %s sent before %s is over", l.now, e.ID, o.ID)
+			if o.Key == e.Key && o.class.Ordered && (!o.answered || len(o.inFlight) > 0) {
+				c.t.Fatalf("%v: rule 5: %s sent before %s is completed", c.now, e.ID, o.ID)
 			}
 		}
-		if e.tries == 0 && l.now < l.rests[e.Key] {
-			l.t.Fatalf("%v: rule 5: %s sent while its key rests", l.now, e.ID)
+		if e.sends == 0 && c.now < c.keyPausedUntil[e.Key] {
+			c.t.Fatalf("%v: rule 5: %s sent while its key is paused", c.now, e.ID)
 		}
 	}
-	until := l.now + a.Timeout
-	if a.Timeout <= 0 || until > e.deadline {
-		until = e.deadline
+	timeoutAt := c.now + a.Timeout
+	if a.Timeout <= 0 || timeoutAt > e.deadline {
+		timeoutAt = e.deadline
 	}
-	e.out = append(e.out, &sent{n: e.tries, target: t, at: l.now, until: until})
-	e.tries++
+	e.inFlight = append(e.inFlight, &trackedAttempt{number: e.sends, target: t, sentAt: c.now, timeoutAt: timeoutAt})
+	e.sends++
 }
 
-// outcome ends an attempt as drawn, or as its time-out demands.
-func (l *ledger) outcome(e *entry, s *sent, rng *rand.Rand, mood float64) Outcome {
-	o := Outcome{Message: e.ID, Attempt: s.n, Target: s.target.ID, Latency: l.now - s.at}
+// drawOutcome completes an attempt with a random result, or with TimedOut once its timeout is over.
+func (c *ruleChecker) drawOutcome(e *trackedMessage, s *trackedAttempt, rng *rand.Rand, successRate float64) Outcome {
+	o := Outcome{Message: e.ID, Attempt: s.number, Target: s.target.ID, Latency: c.now - s.sentAt}
 	switch {
-	case l.now >= s.until:
+	case c.now >= s.timeoutAt:
 		o.Result = TimedOut
-	case rng.Float64() < mood:
+	case rng.Float64() < successRate:
 		o.Result = Succeeded
 	default:
 		o.Result = []Result{Errored, Overloaded, ConnectFailed, Reset, Overloaded}[rng.IntN(5)]
 		if o.Result == Overloaded && rng.IntN(2) == 0 {
 			o.RetryAfter = time.Duration(rng.IntN(1500)) * ms
-			l.waits[l.route(s.target)] = max(l.waits[l.route(s.target)], l.now+o.RetryAfter)
+			c.retryAfter[c.routeOf(s.target)] = max(c.retryAfter[c.routeOf(s.target)], c.now+o.RetryAfter)
 		}
 	}
-	e.out = nil
-	if (o.Result == Errored || o.Result == Reset || o.Result == TimedOut) && e.ran == nil {
-		e.ran = s
+	e.inFlight = nil
+	if (o.Result == Errored || o.Result == Reset || o.Result == TimedOut) && e.firstRun == nil {
+		e.firstRun = s
 	}
 	if o.Result == Reset || o.Result == TimedOut {
-		l.rests[e.Key] = l.now + l.set.KeyPause
+		c.keyPausedUntil[e.Key] = c.now + c.settings.KeyPause
 	}
 	if o.Result == Succeeded && !e.answered {
 		e.answered = true
@@ -155,96 +161,97 @@
 	return o
 }
 
-func play(t *testing.T, seed uint64) (trace []string) {
+// runRandomEvents plays random events of 30 s to a forwarder, checks its actions, and returns them.
+func runRandomEvents(t *testing.T, seed uint64) (trace []string) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	set := testSettings()
-	set.Seed = seed
-	f, err := New(set)
+	settings := testSettings()
+	settings.Seed = seed
+	f, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &ledger{t: t, set: set, msgs: map[string]*entry{}, drained: map[string]time.Duration{},
-		waits: map[string]time.Duration{}, targets: map[string]Target{}, rests: map[string]time.Duration{}}
+	checker := &ruleChecker{t: t, settings: settings, messages: map[string]*trackedMessage{}, drainedAt: map[string]time.Duration{},
+		retryAfter: map[string]time.Duration{}, targets: map[string]Target{}, keyPausedUntil: map[string]time.Duration{}}
 	var list []Target
 	for i := range 10 {
-		x := Target{ID: fmt.Sprint("t", i), Destination: i % 4, Kind: []string{"plain", "plain", "plain", "apart"}[i%4],
+		target := Target{ID: fmt.Sprint("t", i), Destination: i % 4, Kind: []string{"plain", "plain", "plain", "apart"}[i%4],
 			Zone: []string{"a", "b"}[i/4%2]}
-		list = append(list, x)
-		l.targets[x.ID] = x
+		list = append(list, target)
+		checker.targets[target.ID] = target
 	}
 	events := []Event{TargetList{Scope: LastKnown, Targets: list}}
-	mood := 1.0
+	successRate := 1.0
 	for step := range 6000 {
-		l.now += 5 * ms
+		checker.now += 5 * ms
 		if step%400 == 0 {
-			mood = []float64{1, .9, .3, .6, 0}[rng.IntN(5)] // at 0 nothing is answered
+			successRate = []float64{1, .9, .3, .6, 0}[rng.IntN(5)] // at 0 no call is answered
 		}
 		if step < 3000 && rng.IntN(3) == 0 {
-			c := set.Classes[rng.IntN(len(set.Classes))]
-			m := Message{ID: fmt.Sprint("m", step), Class: c.Name, Destination: rng.IntN(5), TimeLeft: c.Deadline} // none is listed for the last
+			c := settings.Classes[rng.IntN(len(settings.Classes))]
+			m := Message{ID: fmt.Sprint("m", step), Class: c.Name, Destination: rng.IntN(5), TimeLeft: c.Deadline} // the last destination has no endpoint
 			if c.Ordered {
 				m.Key = fmt.Sprint("k", rng.IntN(5), m.Destination)
 			}
-			e := &entry{Message: m, class: c, deadline: l.now + m.TimeLeft}
-			l.msgs[m.ID] = e
-			l.order = append(l.order, e)
+			e := &trackedMessage{Message: m, class: c, deadline: checker.now + m.TimeLeft}
+			checker.messages[m.ID] = e
+			checker.order = append(checker.order, e)
 			events = append(events, m)
 		}
-		if rng.IntN(500) == 0 { // drain one, replace it
+		if rng.IntN(500) == 0 { // drain an endpoint and replace it
 			i := rng.IntN(len(list))
-			if _, gone := l.drained[list[i].ID]; !gone {
+			if _, gone := checker.drainedAt[list[i].ID]; !gone {
 				old := list[i]
 				old.State = Draining
 				fresh := list[i]
 				fresh.ID = fmt.Sprint("t", 100+step)
 				list[i] = fresh
-				l.targets[fresh.ID] = fresh
-				l.drained[old.ID] = l.now
+				checker.targets[fresh.ID] = fresh
+				checker.drainedAt[old.ID] = checker.now
 				events = append(events, TargetList{Scope: Delta, Targets: []Target{old, fresh}})
 			}
 		}
-		for _, e := range l.order {
-			for _, s := range e.out {
-				if l.now >= s.until || mood > 0 && rng.IntN(40) == 0 {
-					events = append(events, l.outcome(e, s, rng, mood))
+		for _, e := range checker.order {
+			for _, s := range e.inFlight {
+				if checker.now >= s.timeoutAt || successRate > 0 && rng.IntN(40) == 0 {
+					events = append(events, checker.drawOutcome(e, s, rng, successRate))
 				}
 			}
 			if !e.answered && rng.IntN(20000) == 0 {
-				e.answered, e.dropped = true, l.now
+				e.answered, e.withdrawnAt = true, checker.now
 				events = append(events, Withdrawn{e.ID})
 			}
 		}
-		actions := f.Step(l.now, events)
-		l.check(actions)
+		actions := f.Step(checker.now, events)
+		checker.check(actions)
 		trace = append(trace, fmt.Sprint(actions))
 		events = nil
 	}
-	for _, e := range l.order {
-		if !e.answered && e.deadline+set.AnswerSlack < l.now {
+	for _, e := range checker.order {
+		if !e.answered && e.deadline+settings.AnswerSlack < checker.now {
 			t.Fatalf("rule 1: %s never answered", e.ID)
 		}
 	}
 	return trace
 }
 
-func TestRulesHoldOnAnyEvents(t *testing.T) {
+func TestRulesHoldForRandomEvents(t *testing.T) {
 	for seed := range uint64(12) {
-		play(t, seed)
+		runRandomEvents(t, seed)
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
-	if a, b := play(t, 3), play(t, 3); !reflect.DeepEqual(a, b) {
-		t.Error("two plays of the same events differ")
+func TestSameEventsGiveSameActions(t *testing.T) {
+	if a, b := runRandomEvents(t, 3), runRandomEvents(t, 3); !reflect.DeepEqual(a, b) {
+		t.Error("two runs with the same events give different actions")
 	}
 }
 
-// A host that errs gets no panic and no broken rule.
-func TestHostErrors(t *testing.T) {
+// Erroneous events of a host cause neither a panic nor a broken rule.
+func TestHostErrorsAreTolerated(t *testing.T) {
 	f := newForwarder(t, plain("x"))
 	f.Step(time.Second, []Event{msg("m1", "pure", "")})
 	if got := sends(f.Step(500*ms, []Event{msg("m1", "pure", "")})); len(got) > 0 {
-		t.Errorf("an id taken twice was sent again: %v", got)
+		t.Errorf("a message with an id that was accepted before was sent again: %v", got)
 	}
 	done := Outcome{Message: "m1", Target: "x", Result: Succeeded, NoAnswerNeeded: true}
 	f.Step(1100*ms, []Event{done, done, Outcome{Message: "never", Target: "nowhere"}, Withdrawn{"never"}, Woken{},
@@ -254,18 +261,18 @@
 		t.Errorf("unknown class: %v", got)
 	}
 	far := msg("m3", "pure", "")
-	far.Destination = 99 // no target is listed for it
+	far.Destination = 99 // no endpoint is listed for it
 	f.Step(1300*ms, []Event{far})
 	answered := false
 	for _, a := range f.Step(1300*ms+far.TimeLeft, nil) {
 		answered = answered || a == Action(Refuse{Message: "m3", RetryAfter: 2 * time.Second})
 	}
 	if !answered {
-		t.Error("a message for no known target was not answered in its time")
+		t.Error("a message for a destination without endpoints was not answered by its deadline")
 	}
 }
 
-func TestNewNamesImpossibleSetting(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"Slots": func(s *Settings) { s.Slots = 0 }, "Classes": func(s *Settings) { s.Classes = nil },
 		"Deadline": func(s *Settings) { s.Classes[0].Deadline = 0 }, "negative": func(s *Settings) { s.SlowStart = -1 },
@@ -293,16 +300,17 @@
 		Message{ID: "m1", Class: "note", Destination: 1, TimeLeft: 5 * time.Second}}) {
 		fmt.Printf("%T %v\n", a, a)
 	}
-	over := f.Step(90*time.Millisecond, []Event{
+	actions := f.Step(90*time.Millisecond, []Event{
 		Outcome{Message: "m1", Target: "shop-1", Result: Succeeded, Latency: 85 * time.Millisecond, NoAnswerNeeded: true}})
-	fmt.Println(len(over), "actions after the answer")
+	fmt.Println(len(actions), "actions after the answer")
 	// Output:
 	// decide.Send {m1 shop-1 4s 0s}
 	// decide.Wake {1.6s}
 	// 0 actions after the answer
 }
 
-// A destination tells a wait; a message whose time ends within it is handed back with advice.
+// A destination returns a retry-after time. A message that expires before then is refused, with advice on how
+// long to stay away.
 func ExampleForwarder_Step_refusal() {
 	f, err := New(Settings{
 		Seed: 1, Slots: 4, MaxRetryAfter: 2 * time.Second,
--- a/internal/decide/scan_test.go
+++ b/internal/decide/scan_test.go
@@ -1,8 +1,8 @@
 package decide_test
 
-// The oracle of index_test.go: the decisions of the policy files by walks over everything that there is,
-// as they were made before there were indexes. What does not walk stands here as there.
-// docs/large-sizes.md tells where both differ from the walks of old, and why.
+// The oracle of index_test.go. It makes the decisions of the policy files by plain scans over all of the state,
+// as the module did before it had indexes. Code that has no scan is repeated here as it is in the module.
+// docs/large-sizes.md says where both differ from the original scans, and why.
 
 import (
 	"cmp"
@@ -17,7 +17,7 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// The module's memory. Nothing here decides anything: see the policy files.
+// The state of the oracle. This part makes no decision.
 
 // message is an accepted message that is not yet completed.
 type message struct {
@@ -30,7 +30,7 @@
 	value      float64
 	attempts   int  // as the host numbers them
 	sends      int  // attempts that were really sent
-	recovered  bool // taken up from before a restart, and not sent since
+	recovered  bool // accepted before a restart, and not sent since
 	inFlight   int  // attempts without an outcome
 	completed  bool
 	mayHaveRun bool          // an earlier attempt may have run
@@ -45,7 +45,7 @@
 // keyQueue holds the messages of one key in the order accepted.
 type keyQueue struct {
 	key       string
-	queue     []*message
+	messages  []*message
 	idleUntil time.Duration // no message may go before, after an unclear outcome
 }
 
@@ -76,7 +76,7 @@
 type destination struct {
 	id               int
 	routes           []*route
-	waiting          []*message
+	queued           []*message
 	queuedSeq        uint64
 	lastScheduled    time.Duration // when it was last sent to
 	accepted         decayingCount // messages accepted for it
@@ -95,15 +95,15 @@
 	route               *route
 	inFlight            int
 	idleSince           []time.Duration // since when each open connection is idle
-	recentCalls         decayingCount   // calls
+	recentCalls         decayingCount
 	lastScheduled       time.Duration
-	consecutiveFailures int // failures in a row
+	consecutiveFailures int
 	avoidUntil          time.Duration
 	failureShare        decayingMean // share of calls with an unclear outcome
 }
 
-// route is what a limit, a retry-after time, an outage, a retry budget and a slow start apply to: a
-// destination, or one endpoint of it.
+// route has its own rate limit, retry-after time, circuit, retry budget and slow start. It is a destination, or
+// one endpoint of it.
 type route struct {
 	name       string
 	dest       *destination
@@ -111,31 +111,31 @@
 	inFlight   []*call
 	lastUsedAt time.Duration
 
-	retryAfter time.Duration // by the server; no call before
+	retryAfter time.Duration // set by the destination; no call before
 
 	retryRatio                        float64 // retry budget: retries per first attempt
 	firstAttempts, retries            decayingCount
 	reservedRetries                   int           // retries granted but not yet sent
-	allowanceSpentUntil               time.Duration // no retries until then, unless reported otherwise
+	allowanceSpentUntil               time.Duration // no retries until then, unless a later report leaves more
 	intervalStart                     time.Duration // of the current adjustment interval
 	outcomes, failures                int           // in the interval
 	rejections, successes             int           // in the interval
-	totalFirstAttempts, totalAttempts int           // for Routes
+	totalFirstAttempts, totalAttempts int           // the module reports them
 
 	meanLatency         time.Duration // 0 if none was measured
 	unclearShare        decayingMean  // share of outcomes after which a message may have run
 	consecutiveFailures float64       // in a row; a rejection counts in part
 	lastSuccessAt       time.Duration // when the latest success arrived
 	lastSuccessSentAt   time.Duration // when the latest successful call was sent
-	recentSuccesses     decayingCount // successes
-	outageEvidence      float64       // calls that failed or are overdue, sent after lastSuccessSentAt
+	recentSuccesses     decayingCount
+	outageEvidence      float64 // calls that failed or are overdue, sent after lastSuccessSentAt
 
 	circuitOpen      bool
 	openReason       string
 	closedAt         time.Duration // when the circuit was last closed
 	failingSince     time.Duration // when the first of the failures in a row was sent
 	lastProbeAt      time.Duration // when the latest probe ended, or the circuit opened
-	probeJitter      float64       // random: the next probe comes so many intervals later
+	probeJitter      float64       // random: intervals until the next probe
 	probeInterval    time.Duration // between probes
 	successfulProbes int           // in a row
 	needsSlowStart   bool          // after an outage
@@ -149,9 +149,9 @@
 	adaptiveRate   float64 // calls a second, lowered by rejections and raised while they are absent
 	tokens         float64
 	tokensAt       time.Duration
-	paceLimited    bool // the pace held back a message in this interval
+	paceLimited    bool // the pace delayed a message in this interval
 	nextCutAt      time.Duration
-	recentCalls    decayingCount // calls
+	recentCalls    decayingCount
 	serverLimit    float64       // reported, in calls a second; 0 for none
 	allowanceAt    time.Duration // when the limit was reported
 	allowanceLeft  float64       // share of the limit that was left then
@@ -164,6 +164,7 @@
 	at    time.Duration
 }
 
+// get returns what is left of the count.
 func (d decayingCount) get(now, tau time.Duration) float64 {
 	if now > d.at {
 		return d.value * math.Exp(-float64(now-d.at)/float64(tau))
@@ -175,6 +176,7 @@
 	d.value, d.at = d.get(now, tau)+1, max(d.at, now)
 }
 
+// until is when the count will have decayed to a lower value.
 func (d decayingCount) until(tau time.Duration, lower float64) time.Duration {
 	if d.value > lower {
 		return d.at + time.Duration(math.Log(d.value/lower)*float64(tau)) + time.Microsecond
@@ -186,8 +188,8 @@
 type decayingMean struct{ decayingCount }
 
 // oneIf is 1 if a condition holds, else 0.
-func oneIf(of bool) float64 {
-	if of {
+func oneIf(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
@@ -198,7 +200,7 @@
 	d.value += share * (v - d.value)
 }
 
-// scanner decides as a Forwarder does.
+// scanner is the oracle: given the same settings and events, it must return the same actions as a Forwarder.
 type scanner struct {
 	settings      Settings
 	classes       map[string]*Class
@@ -210,22 +212,22 @@
 	rng           *rand.Rand
 	now           time.Duration
 
-	messages     map[string]*message
-	pending      []*message // all not yet answered, in the order taken
-	attempts     map[string][]*attempt
-	keyQueues    map[string]*keyQueue
-	destinations map[int]*destination
-	order        []*destination
-	endpoints    map[string]*endpoint
-	inFlight     []*call        // in the order sent
-	turns        []*destination // those with messages waiting
-	suspectCalls [suspicionKinds]int
-	seq          uint64
-	meanLatency  time.Duration
-	blocked      [suspicionKinds]int
-	startedAt    time.Duration // the first Step
-	stopsAt      time.Duration // when the host stops
-	nextDue      time.Duration // when something falls due without an event
+	messages           map[string]*message
+	pending            []*message // all not yet answered, in the order accepted
+	attempts           map[string][]*attempt
+	keyQueues          map[string]*keyQueue
+	destinations       map[int]*destination
+	destinationOrder   []*destination // in the order of creation
+	endpoints          map[string]*endpoint
+	inFlight           []*call        // in the order sent
+	queuedDestinations []*destination // those with queued messages
+	suspectCalls       [suspicionKinds]int
+	seq                uint64
+	meanLatency        time.Duration
+	blocked            [suspicionKinds]int
+	startedAt          time.Duration // the first Step
+	stopsAt            time.Duration // when the host stops
+	nextDue            time.Duration // when something falls due without an event
 
 	actions     []Action
 	wakeAt      time.Duration
@@ -238,7 +240,7 @@
 	filled        time.Duration
 }
 
-// New makes a Forwarder. The error names the setting that is impossible.
+// newScanner makes an oracle. It does not check the settings, since the module does.
 func newScanner(s Settings) (*scanner, error) {
 	s.Forwarders = max(s.Forwarders, 1)
 	f := &scanner{
@@ -284,8 +286,8 @@
 	return ep
 }
 
-// removeIfGone removes an endpoint that is gone once no call to it is in flight. What the route that it
-// shared with others learned stays; a route of its own goes with it.
+// removeIfGone removes an endpoint that is gone once no call to it is in flight. The state of a route that it
+// shared with others stays; a separate route is removed with it.
 func (f *scanner) removeIfGone(ep *endpoint) {
 	if ep.state != Gone || ep.inFlight > 0 || f.endpoints[ep.id] != ep {
 		return
@@ -299,15 +301,15 @@
 	}
 }
 
-// expireDestinations removes the destinations that have had no endpoint, message or call for long.
+// expireDestinations removes the destinations that have had no endpoint, message or call for forgetAfter.
 func (f *scanner) expireDestinations() {
-	f.order = slices.DeleteFunc(f.order, func(d *destination) bool {
+	f.destinationOrder = slices.DeleteFunc(f.destinationOrder, func(d *destination) bool {
 		for _, r := range d.routes {
 			if len(r.endpoints)+len(r.inFlight) > 0 || f.now < r.retryAfter || f.now-r.lastUsedAt <= forgetAfter {
 				return false
 			}
 		}
-		if len(d.waiting) > 0 || len(d.routes) == 0 && f.now-d.lastScheduled <= forgetAfter {
+		if len(d.queued) > 0 || len(d.routes) == 0 && f.now-d.lastScheduled <= forgetAfter {
 			return false
 		}
 		delete(f.destinations, d.id)
@@ -325,11 +327,12 @@
 	if d == nil {
 		d = &destination{id: id, connectedLimit: math.Inf(1)}
 		f.destinations[id] = d
-		f.order = append(f.order, d)
+		f.destinationOrder = append(f.destinationOrder, d)
 	}
 	return d
 }
 
+// takeAttempt removes the attempt of an outcome from those in flight and returns it, or nil.
 func (f *scanner) takeAttempt(o Outcome) *attempt {
 	list := f.attempts[o.Message]
 	for i, a := range list {
@@ -358,40 +361,44 @@
 		m.keyQueue = &keyQueue{key: key}
 		f.keyQueues[key] = m.keyQueue
 	}
-	m.keyQueue.queue = append(m.keyQueue.queue, m)
+	m.keyQueue.messages = append(m.keyQueue.messages, m)
 }
 
+// enqueue adds a message to those queued for its destination.
 func (f *scanner) enqueue(m *message) {
 	f.closeAllIntervals(m.dest)
-	if len(m.dest.waiting) == 0 {
-		f.turns = append(f.turns, m.dest)
+	if len(m.dest.queued) == 0 {
+		f.queuedDestinations = append(f.queuedDestinations, m.dest)
 		f.seq++
 		m.dest.queuedSeq = f.seq
 	}
-	m.dest.waiting = append(m.dest.waiting, m)
+	m.dest.queued = append(m.dest.queued, m)
 	f.invalidate(m.dest)
 }
 
+// dequeue removes a message from those queued for its destination, if it is one.
 func (f *scanner) dequeue(m *message) {
-	if !slices.Contains(m.dest.waiting, m) {
+	if !slices.Contains(m.dest.queued, m) {
 		return
 	}
 	f.closeAllIntervals(m.dest)
-	m.dest.waiting = withoutItem(m.dest.waiting, m)
-	if len(m.dest.waiting) == 0 {
-		f.turns = withoutItem(f.turns, m.dest)
+	m.dest.queued = withoutItem(m.dest.queued, m)
+	if len(m.dest.queued) == 0 {
+		f.queuedDestinations = withoutItem(f.queuedDestinations, m.dest)
 	}
 	f.invalidate(m.dest)
 }
 
-func callsOut(d *destination) (n int) {
+// callsInFlight counts the calls in flight to a destination.
+func callsInFlight(d *destination) (n int) {
 	for _, r := range d.routes {
 		n += len(r.inFlight)
 	}
 	return n
 }
 
-func trialOut(r *route) bool {
+// probeInFlight reports whether a probe to a route is in flight.
+func probeInFlight(r *route) bool {
 	for _, c := range r.inFlight {
 		if c.isProbe {
 			return true
@@ -400,13 +407,14 @@
 	return false
 }
 
-func (f *scanner) listedWeight(r *route) (w float64) {
+// listedWeight is the listed rate limit of a route.
+func (f *scanner) listedWeight(r *route) (weight float64) {
 	for _, ep := range r.endpoints {
 		if ep.state == Active {
-			w = max(w, ep.weight)
+			weight = max(weight, ep.weight)
 		}
 	}
-	return w
+	return weight
 }
 
 func allCircuitsOpen(routes []*route) bool {
@@ -418,8 +426,8 @@
 	return true
 }
 
-// completeMessage removes a message that is completed; its place in its key's queue stays until no attempt
-// is in flight.
+// completeMessage removes a message that is completed. It keeps its place in the queue of its key until no
+// attempt at it is in flight.
 func (f *scanner) completeMessage(m *message) {
 	if !m.completed {
 		m.completed = true
@@ -436,19 +444,20 @@
 	delete(f.messages, m.id)
 	delete(f.attempts, m.id)
 	if m.keyQueue != nil {
-		m.keyQueue.queue = withoutItem(m.keyQueue.queue, m)
-		if len(m.keyQueue.queue) == 0 && f.now >= m.keyQueue.idleUntil {
+		m.keyQueue.messages = withoutItem(m.keyQueue.messages, m)
+		if len(m.keyQueue.messages) == 0 && f.now >= m.keyQueue.idleUntil {
 			delete(f.keyQueues, m.keyQueue.key)
 		}
 	}
 }
 
+// startCall begins a call to an endpoint.
 func (f *scanner) startCall(ep *endpoint) *call {
 	r := ep.route
 	f.closeAllIntervals(r.dest)
 	f.seq++
 	c := &call{route: r, endpoint: ep, sentAt: f.now, isProbe: r.circuitOpen, seq: f.seq}
-	if n := f.idleConnections(ep); n > 0 { // the host uses the most recent one
+	if n := f.idleConnections(ep); n > 0 { // the host uses the connection that was used last
 		c.idleStep = idleStep(f.now - ep.idleSince[n-1])
 		ep.idleSince = ep.idleSince[:n-1]
 	}
@@ -473,10 +482,10 @@
 	return time.Duration(f.rng.Float64() * float64(most))
 }
 
-// classLatencyFactor is how much longer than others at the same route the messages of a class take.
+// classLatencyFactor is the latency of a class, relative to the mean latency of the same route.
 func (f *scanner) classLatencyFactor(class *Class) float64 {
-	if p, ok := f.latencyFactor[class]; ok {
-		return p
+	if factor, ok := f.latencyFactor[class]; ok {
+		return factor
 	}
 	return 1
 }
@@ -489,7 +498,7 @@
 	return step
 }
 
-// countLoss counts a call that was reset or is overdue as lost, by how long its connection was idle.
+// countLoss counts a call that was reset or is overdue as lost, by the idle time of its connection.
 func (f *scanner) countLoss(c *call) {
 	if !c.lossCounted {
 		c.lossCounted = true
@@ -519,7 +528,7 @@
 }
 
 const (
-	// The design's own figures.
+	// Constants of the design.
 	initialRetryRatio    = 0.2  // at the start, and the cap
 	minRetryRatio        = 0.01 // the floor
 	adjustInterval       = time.Second
@@ -530,15 +539,15 @@
 	maxRetries           = 3   // of one message
 	allowanceNearlySpent = 0.1 // with less left there are no retries
 
-	// Extensions.
+	// Constants of the extensions to the design.
 	rejectedBackoff = 2 * adjustInterval // after a rejection without a retry-after time
 
-	minOutcomes          = 10                     // to judge a failure rate by
+	minOutcomes          = 10                     // that are needed to judge a failure rate
 	recentWindow         = 10 * time.Second       // span of the counts of attempts and outcomes
 	forgetAfter          = 60 * time.Second       // an unused route is reset after it; losses decay over it
-	answerMargin         = 15 * time.Millisecond  // queued messages are answered so long before their deadline
+	answerMargin         = 15 * time.Millisecond  // queued messages are answered this long before their deadline
 	keyWindowMargin      = 300 * time.Millisecond // a keyed repeat keeps this far from the end of its window
-	windowEndMargin      = 100 * time.Millisecond // and its first byte so far
+	windowEndMargin      = 100 * time.Millisecond // and its first byte keeps this far from it
 	assumedLatency       = 400 * time.Millisecond // before any was measured
 	minOverdue           = 600 * time.Millisecond // no call is overdue before it
 	lateLatencyFactor    = 4                      // latencies: overdue if others are too
@@ -548,56 +557,56 @@
 
 	idleSteps          = 9 // buckets of connection idle times
 	firstIdleStep      = 60 * time.Millisecond
-	lossWeight         = 1.0 / 8 // weight of one call in loss and failure shares
-	longCallFactor     = 4.0
-	lostLongCallFactor = 1.5
+	lossWeight         = 1.0 / 8  // weight of one call in loss and failure shares
+	longCallFactor     = 4.0      // times as long for a call to a working route
+	lostLongCallFactor = 1.5      // the same where all long calls were lost
 	idleLossWeight     = 1.0 / 16 // weight of one call in idleLoss
-	staleLossShare     = 0.17     // connections idle for so long are not used above it
-	idleConnectionCost = 0.1      // price of an idle connection at a small table
+	staleLossShare     = 0.17     // of lost calls: above it, connections that were idle for so long are not used
+	idleConnectionCost = 0.1      // price of an idle connection at a small connection table
 	smallTableSize     = 20.0     // connections: fewer senders can't fill a table
-	rareGapDeviations  = 1.65
+	rareGapDeviations  = 1.65     // standard deviations: one call in twenty comes later
 
-	rejectionsPerFailure = 2.0 // so many weigh as much as one failure
-	probeShare           = 0.5 // of what a cold route may get: probes of all senders together
-	halfFailingShare     = 0.5 // of unclear outcomes: opens the circuit and holds unsafe messages
+	rejectionsPerFailure = 2.0 // rejections that weigh as much as one failure
+	probeShare           = 0.5 // of the capacity of a cold route: probes of all senders together
+	halfFailingShare     = 0.5 // of unclear outcomes: above it the circuit opens and unsafe messages are not sent
 	minProbeInterval     = 300 * time.Millisecond
 	maxProbeInterval     = 1500 * time.Millisecond
-	unspacedSenders      = 4.0  // so many may each probe at maxProbeInterval; more space their probes out
+	unspacedSenders      = 4.0  // senders that may each probe at maxProbeInterval; with more senders each probes less often
 	maxOutageEvidence    = 3    // failures in a row that always open a circuit
-	probesToClose        = 2    // successful ones that close a circuit
+	probesToClose        = 2    // successful probes that close a circuit
 	secondProbe          = 0.1  // of the interval between probes: from a successful one to the next
 	slowStartShare       = 0.75 // of what the fail-back rule allows
 	recencyCost          = 0.25 // calls: differences in cost that chance may outweigh
 	failureCost          = 4    // calls in flight that a failure share of 1 weighs
 
 	minTotalRate         = 1.0  // calls a second of all senders, whatever is rejected
-	minOwnShare          = 0.5  // of the own share: rejections cut no deeper
-	overloadShare        = 0.85 // of the equal share: if all keep to it the limit is not used up
+	minOwnShare          = 0.5  // of the own share: rejections do not cut the rate below it
+	overloadShare        = 0.85 // of the equal share: if all senders keep to it, the limit is not exhausted
 	balancedAllowance    = 0.5  // share left where all senders together keep to the limit
 	scarceAllowance      = 0.2  // with less, a sender keeps to its own share
 	ampleAllowance       = 0.7  // with more, it may use the whole limit
 	demandRise           = 1.0  // a second: growth of the estimated demand after rejections
-	demandDrift          = 0.3  // the same while the allowance is scarce
+	demandDrift          = 0.3  // a second: its decline, times the share of the limit that is left above balancedAllowance
 	maxDemandFactor      = 16   // times the limit: bound of the estimated demand
 	limitNoise           = 0.3  // relative differences of reported limits that are smoothed
 	rateCut              = 0.7  // of the rate sent, after a rejection
 	rateGrowth           = 1.25
 	rateWindow           = 3 * time.Second
-	routeQuota           = 0.5
-	suspectQuota         = 0.75
-	unresponsiveQuota    = 1.0 / 8
-	scarceQuota          = 1.0 / 32
-	occupiedQuota        = 0.25
-	minUnresponsiveCalls = 8
-	maxCancelDoublings   = 3
+	routeQuota           = 0.5      // of the slots: calls to one route
+	suspectQuota         = 0.75     // calls to all suspect routes
+	unresponsiveQuota    = 1.0 / 8  // calls to unresponsive routes
+	scarceQuota          = 1.0 / 32 // the same while over half of the slots are in use
+	occupiedQuota        = 0.25     // below it a suspect route may have several calls
+	minUnresponsiveCalls = 8        // or this many calls, if that is more
+	maxCancelDoublings   = 3        // doublings of the time before a suspect call is cancelled
 	valueLossSpan        = time.Second
 	stopLatencyFactor    = 3   // latencies that must be left before the host stops
 	shedThreshold        = 0.9 // of MaxHeld: from here on messages are shed
-	earlyShedCost        = 0.3
-	earlyShedAge         = 0.7
+	earlyShedCost        = 0.3 // of its value: the cost of shedding an accepted message
+	earlyShedAge         = 0.7 // before this share of its time has passed
 )
 
-// Step takes the clock and what happened since the last Step, and returns what to do, in order.
+// Step takes the time and the events since the last Step, and returns the actions to carry out, in order.
 func (f *scanner) Step(now time.Duration, events []Event) []Action {
 	f.now = max(f.now, now)
 	if f.startedAt == never {
@@ -651,7 +660,7 @@
 	return false
 }
 
-// ---- The list of targets.
+// ---- Endpoint snapshots and deltas.
 
 func (f *scanner) applySnapshot(snapshot TargetList) {
 	if snapshot.Scope == Unavailable {
@@ -694,7 +703,7 @@
 	}
 }
 
-// ---- A message is taken.
+// ---- New and recovered messages.
 
 func (f *scanner) acceptMessage(e Message) {
 	if f.messages[e.ID] != nil {
@@ -705,7 +714,7 @@
 	case e.Recovered && class == nil:
 		f.emit(Fail{Message: e.ID})
 		return
-	case e.Recovered: // it was accepted: it must get its answer
+	case e.Recovered: // it was accepted before, so it must get a final answer
 	case class == nil || e.TimeLeft <= 0:
 		f.emit(Refuse{Message: e.ID})
 		return
@@ -747,16 +756,16 @@
 	}
 	m.sends = min(m.sends, maxRetries)
 	if m.mayHaveRun && m.class.Effect != Idempotent || f.attemptsExhausted(m) || f.now >= m.answerDeadline() {
-		f.answerMessage(m) // the time at which a keyed one ran is lost
+		f.answerMessage(m) // a restart loses the time at which a keyed message ran
 		return
 	}
 	for _, r := range m.dest.routes {
 		if r.lastSuccessSentAt < 0 && !r.slowStart {
 			r.slowStart, r.slowStartAt = true, f.now
 		}
-		if f.equalShare(r) <= 0 { // without a limit the queue alone sets the pace
+		if f.equalShare(r) <= 0 { // without a known limit, the messages queued set the pace
 			m.dest.accepted.add(f.now, forgetAfter)
-			f.startedAt = min(f.startedAt, m.createdAt) // since when it came
+			f.startedAt = min(f.startedAt, m.createdAt) // the rate of messages counts from then
 		}
 	}
 	f.enqueue(m)
@@ -785,21 +794,23 @@
 		return
 	}
 	if m := f.leastValuable(); m != nil {
-		promised := 0.0
+		earlyCost := 0.0
 		if left := float64(m.deadline-f.now) / float64(m.class.Deadline); left > 1-earlyShedAge {
-			promised = earlyShedCost * m.value
+			earlyCost = earlyShedCost * m.value
 		}
-		if len(incoming.dest.waiting) > 1 && f.valueWhenSent(incoming) <= f.valueWhenSent(m)+promised {
+		if len(incoming.dest.queued) > 1 && f.valueWhenSent(incoming) <= f.valueWhenSent(m)+earlyCost {
 			m = incoming
 		}
 		f.answerMessage(m)
 	}
 }
 
+// valueWhenSent is the value that a message will have once all queued for its destination are sent.
 func (f *scanner) valueWhenSent(m *message) float64 {
 	return m.value * f.valueShare(m.class, f.now+f.queueDrainTime(m.dest)-m.createdAt)
 }
 
+// leastValuable is the rejectable message with the lowest value when sent.
 func (f *scanner) leastValuable() (least *message) {
 	var lowest float64
 	if f.settings.MaxOpen == 0 {
@@ -811,10 +822,10 @@
 		}
 		delay := f.queueDrainTime(m.dest)
 		v := f.valueWhenSent(m)
-		born := m.createdAt - delay
+		shedCreatedAt := m.createdAt - delay
 		if least != nil {
-			other := least.createdAt - f.queueDrainTime(least.dest)
-			if v > lowest || v == lowest && (born > other || born == other && m.seq > least.seq) {
+			leastCreatedAt := least.createdAt - f.queueDrainTime(least.dest)
+			if v > lowest || v == lowest && (shedCreatedAt > leastCreatedAt || shedCreatedAt == leastCreatedAt && m.seq > least.seq) {
 				continue
 			}
 		}
@@ -823,8 +834,8 @@
 	return least
 }
 
-// queueDrainTime is how long it takes to send all that is queued for a destination. With all circuits open
-// only probes go out, so messages for a failing destination are worth least and are shed first.
+// queueDrainTime is how long it takes to send all messages queued for a destination. With all circuits open
+// only probes are sent, so messages for a failing destination have the lowest value when sent and are shed first.
 func (f *scanner) queueDrainTime(d *destination) time.Duration {
 	each := f.expectedLatency(d.routes)
 	if len(d.routes) > 0 && allCircuitsOpen(d.routes) {
@@ -832,7 +843,7 @@
 			each = max(each, r.probeInterval)
 		}
 	}
-	return time.Duration(len(d.waiting)) * each
+	return time.Duration(len(d.queued)) * each
 }
 
 // valueShare is the share of its value that a message of a class has left at an age.
@@ -849,22 +860,22 @@
 	return 1 - (1-class.LateShare)*float64(age-class.OnTime)/float64(class.Deadline-class.OnTime)
 }
 
-// ---- Sending. Free slots go in turns over the waiting destinations.
+// ---- Sending. Free slots are given to the destinations with queued messages, in fair order.
 
 func (f *scanner) sendQueued() {
-	turns := slices.Clone(f.turns)
+	candidates := slices.Clone(f.queuedDestinations)
 	next := f.nextDue
 	f.blocked = [suspicionKinds]int{}
-	for len(turns) > 0 && len(f.inFlight) < f.settings.Slots {
-		d := slices.MinFunc(turns, func(a, b *destination) int { // fewest calls out first
-			return cmp.Or(cmp.Compare(callsOut(a), callsOut(b)), cmp.Compare(a.lastScheduled, b.lastScheduled), cmp.Compare(a.queuedSeq, b.queuedSeq))
+	for len(candidates) > 0 && len(f.inFlight) < f.settings.Slots {
+		d := slices.MinFunc(candidates, func(a, b *destination) int { // fewest calls in flight first
+			return cmp.Or(cmp.Compare(callsInFlight(a), callsInFlight(b)), cmp.Compare(a.lastScheduled, b.lastScheduled), cmp.Compare(a.queuedSeq, b.queuedSeq))
 		})
 		sent, eligibleAt, bound := f.sendFrom(d)
 		if sent {
 			d.lastScheduled = f.now
 			f.invalidate(d)
-			if len(d.waiting) == 0 {
-				turns = withoutItem(turns, d)
+			if len(d.queued) == 0 {
+				candidates = withoutItem(candidates, d)
 			}
 			continue
 		}
@@ -872,15 +883,17 @@
 			f.waitUntil(eligibleAt)
 		}
 		f.blocked[bound]++
-		turns = withoutItem(turns, d)
+		candidates = withoutItem(candidates, d)
 	}
 	if len(f.inFlight) >= f.settings.Slots {
 		f.nextDue = next
 	}
 }
 
+// sendFrom makes one call to a destination, if a message for it is eligible. If none is, it returns the time at
+// which one becomes eligible without an event, and which quota of suspect calls blocks the destination.
 func (f *scanner) sendFrom(d *destination) (sent bool, eligibleAt time.Duration, bound suspicion) {
-	usable, others := []*route(nil), []*route(nil)
+	usable, blocked := []*route(nil), []*route(nil)
 	eligibleAt = never
 	halfOpen, allSuspect := true, true
 	for _, r := range d.routes {
@@ -888,7 +901,7 @@
 		case earliest > f.now:
 			eligibleAt = min(eligibleAt, earliest)
 		case !f.suspectSlotFree(r.suspicionBound()):
-			others = append(others, r)
+			blocked = append(blocked, r)
 		default:
 			usable = append(usable, r)
 			halfOpen, allSuspect = halfOpen && r.circuitOpen, allSuspect && r.suspicion != notSuspect
@@ -903,22 +916,22 @@
 	}
 	m, earliest := f.chooseMessage(d, usable, mode, nil)
 	if m == nil {
-		for i, r := range others { // a route is only blocked if a message may go there
-			m, other := f.chooseMessage(d, others[i:i+1], mode, nil)
+		for i, r := range blocked { // a route counts as blocked only if a message is eligible for it
+			m, other := f.chooseMessage(d, blocked[i:i+1], mode, nil)
 			if eligibleAt = min(eligibleAt, other); m != nil && (bound == notSuspect || r.suspicionBound() < bound) {
 				bound = r.suspicionBound()
 			}
 		}
 		return false, min(eligibleAt, earliest), bound
 	}
-	to := f.chooseEndpoint(m, usable)
-	if n := f.idleConnections(to); n > 0 && f.idleTooLong(idleStep(f.now-to.idleSince[n-1])) {
-		f.closeIdleConnections(to)
+	ep := f.chooseEndpoint(m, usable)
+	if n := f.idleConnections(ep); n > 0 && f.idleTooLong(idleStep(f.now-ep.idleSince[n-1])) {
+		f.closeIdleConnections(ep)
 	}
-	c := f.startCall(to)
+	c := f.startCall(ep)
 	f.sendMessage(m, c)
-	for n := 1; n < to.kind.MaxBatch && !halfOpen; n++ {
-		if m, _ = f.chooseMessage(d, usable, mode, to); m == nil {
+	for n := 1; n < ep.kind.MaxBatch && !halfOpen; n++ {
+		if m, _ = f.chooseMessage(d, usable, mode, ep); m == nil {
 			break
 		}
 		f.sendMessage(m, c)
@@ -938,7 +951,7 @@
 func (f *scanner) chooseMessage(d *destination, usable []*route, mode selectionMode, only *endpoint) (best *message, eligibleAt time.Duration) {
 	highest, eligibleAt := 0.0, never
 	latency := f.expectedLatency(d.routes)
-	for _, m := range d.waiting {
+	for _, m := range d.queued {
 		earliest := never
 		for _, r := range usable {
 			for _, ep := range r.endpoints {
@@ -947,8 +960,8 @@
 				}
 			}
 		}
-		if m.keyQueue == nil || m.keyQueue.queue[0] == m { // its time counts also where no target is usable
-			if at := f.fromOf(m); at > f.now && len(usable) > 0 {
+		if m.keyQueue == nil || m.keyQueue.messages[0] == m { // its time counts even if no endpoint of these routes is eligible
+			if at := f.earliestFor(m); at > f.now && len(usable) > 0 {
 				earliest = at
 			}
 		}
@@ -964,7 +977,8 @@
 	return best, eligibleAt
 }
 
-func (f *scanner) fromOf(m *message) time.Duration {
+// earliestFor is when a message may be sent at the earliest.
+func (f *scanner) earliestFor(m *message) time.Duration {
 	if m.keyQueue != nil && m.sends == 0 {
 		return max(m.notBefore, m.keyQueue.idleUntil)
 	}
@@ -976,7 +990,7 @@
 	switch mode {
 	case forProbe:
 		s := -m.value*f.valueShare(m.class, f.now-m.createdAt) - 100*float64(m.class.Effect)
-		if m.deadline-f.now < overdueAfter(latency) { // its timeout would prove nothing
+		if m.deadline-f.now < overdueAfter(latency) { // its timeout would be no evidence against the route
 			s -= 1e6
 		}
 		return s
@@ -986,8 +1000,8 @@
 	return f.priority(m, latency)
 }
 
-// priority ranks messages by the value that they lose by a short delay; then come those that lose nothing
-// yet, by value and age, and last those with nothing left to lose.
+// priority ranks messages by the value that they lose in a short delay. After those come messages that lose
+// nothing yet, by value and age, and last those that have no more value to lose.
 func (f *scanner) priority(m *message, latency time.Duration) float64 {
 	age := f.now - m.createdAt
 	if loss := m.value * f.valueLoss(m.class, age+latency); loss > 0 {
@@ -1002,19 +1016,19 @@
 // valueLoss is the share of its value that a message loses in valueLossSpan after an age.
 func (f *scanner) valueLoss(class *Class, age time.Duration) float64 {
 	if f.settings.Decay == Linear && class.OnTime > 0 && age >= class.OnTime && age+valueLossSpan < class.Deadline {
-		// The same for all, to the last bit: rounding must not rank them.
+		// Exactly the same for all ages in this range, so that rounding errors do not rank messages.
 		return (1 - class.LateShare) * float64(valueLossSpan) / float64(class.Deadline-class.OnTime)
 	}
 	return f.valueShare(class, age) - f.valueShare(class, age+valueLossSpan)
 }
 
-// routeEligibleAt is when any message may go to a route: the part of eligibility that all of them share.
+// routeEligibleAt is when messages may go to a route, as far as this is the same for all of them.
 func (f *scanner) routeEligibleAt(r *route) (earliest time.Duration) {
 	f.closeIntervals(r)
 	switch {
 	case f.now < r.retryAfter:
 		return r.retryAfter
-	case r.circuitOpen && trialOut(r):
+	case r.circuitOpen && probeInFlight(r):
 		return never
 	case r.circuitOpen:
 		return f.nextProbeAt(r)
@@ -1034,42 +1048,43 @@
 	return r.suspicion
 }
 
-// suspectSlotFree reports whether a quota has room for one more suspect call. Unresponsive routes leave
-// slots to the others; each gets one call before any gets a second beyond a few; and those known to be
-// unresponsive leave most of the room to untested ones.
+// suspectSlotFree reports whether a quota has room for one more suspect call, so that unresponsive routes leave
+// slots to the others. Beyond a smaller quota, each suspect route gets one call before any gets a second, and
+// routes known to be unresponsive leave most of the quota to untested ones.
 func (f *scanner) suspectSlotFree(kind suspicion) bool {
-	share, slots := suspectQuota, float64(f.settings.Slots)
+	quota, slots := suspectQuota, float64(f.settings.Slots)
 	switch kind {
 	case notSuspect:
 		return true
 	case occupied:
-		share = occupiedQuota
+		quota = occupiedQuota
 	}
-	silent := unresponsiveQuota
+	limit := unresponsiveQuota
 	if 2*len(f.inFlight) > f.settings.Slots {
-		silent = scarceQuota
+		limit = scarceQuota
 	}
-	if kind != untested && f.suspectCalls[unresponsive] >= max(minUnresponsiveCalls, int(silent*slots)) {
+	if kind != untested && f.suspectCalls[unresponsive] >= max(minUnresponsiveCalls, int(limit*slots)) {
 		return false
 	}
-	return f.suspectCalls[untested]+f.suspectCalls[unresponsive] < int(math.Ceil(share*slots))
+	return f.suspectCalls[untested]+f.suspectCalls[unresponsive] < int(math.Ceil(quota*slots))
 }
 
-// sendEligibleAt is when a message may go to an endpoint, as far as the two decide; no send bypasses it.
-// Times are checked first: a condition that may end must not hide when the wait for time ends.
+// sendEligibleAt is when a message may be sent to an endpoint, as far as it depends on the two; every send is
+// checked by it. Times are checked before conditions that may end at any moment: such a condition must not hide
+// the time from which on the message is eligible.
 func (f *scanner) sendEligibleAt(m *message, ep *endpoint) (earliest time.Duration) {
 	r, class := ep.route, m.class
 	switch {
 	case m.completed || m.inFlight > 0 || ep.state != Active || r.dest != m.dest, f.attemptsExhausted(m), f.now >= m.answerDeadline(),
-		m.mayHaveRun && !isRepeatable(m, ep), m.filter != nil && len(m.filter.Only) > 0 && !slices.Contains(m.filter.Only, ep.id), m.keyQueue != nil && m.keyQueue.queue[0] != m:
+		m.mayHaveRun && !isRepeatable(m, ep), m.filter != nil && len(m.filter.Only) > 0 && !slices.Contains(m.filter.Only, ep.id), m.keyQueue != nil && m.keyQueue.messages[0] != m:
 		return never
 	}
-	earliest = f.fromOf(m)
+	earliest = f.earliestFor(m)
 	if m.sends > 0 && !r.circuitOpen {
 		earliest = max(earliest, r.allowanceSpentUntil)
 	}
 	if class.Effect == AtMostOnce {
-		// An unclear outcome would lose it: it waits, and leaves probes to repeatable messages.
+		// It would fail for good after an unclear outcome: it waits, and leaves probes to repeatable messages.
 		earliest = max(earliest, r.unclearShare.until(recentWindow, halfFailingShare))
 		if r.circuitOpen {
 			earliest = max(earliest, f.nextProbeAt(r)+maxProbeInterval)
@@ -1081,27 +1096,28 @@
 	case m.sends > 0 && !r.circuitOpen && m.retryGrant == nil && !f.retryBudgetLeft(r):
 		return never
 	case f.stopsAt < never && f.now+stopLatencyFactor*f.expectedLatency(m.dest.routes) > f.stopsAt:
-		return never // the host would stop before the answer comes
+		return never // the host would stop before the answer arrives
 	}
 	return earliest
 }
 
+// attemptsExhausted reports whether no further attempt at a message is allowed.
 func (f *scanner) attemptsExhausted(m *message) bool {
 	return m.sends > maxRetries || f.settings.MaxAttempts > 0 && m.attempts >= f.settings.MaxAttempts
 }
 
-// isRepeatable reports whether a message that may have run may be sent to an endpoint again in its time.
+// isRepeatable reports whether a message that may have run may be sent to an endpoint again within its window.
 func isRepeatable(m *message, ep *endpoint) bool {
 	e := m.class.Effect
 	return e == Idempotent || e == Deduplicated && (!m.class.DedupPerZone || ep.zone == m.runZone)
 }
 
-// chooseEndpoint picks the eligible endpoint of least cost: not failing alone, near, connected, least busy.
-// Among equals it goes round robin.
+// chooseEndpoint picks the eligible endpoint of lowest cost: one that does not fail alone, is in the same zone,
+// is connected and least busy. Among equals it uses round robin.
 func (f *scanner) chooseEndpoint(m *message, usable []*route) (best *endpoint) {
 	lowest := math.Inf(1)
-	all, held, worth := f.connectionStats(usable)
-	explore := held > 0 && held < all && float64(held+1) <= min(worth, m.dest.connectedLimit+float64(f.now-m.dest.connectedLimitAt)/float64(max(f.settings.ConnIdle, 1))) && f.rng.Float64()*float64(all) < float64(all-held)
+	active, connected, worthKeeping := f.connectionStats(usable)
+	explore := connected > 0 && connected < active && float64(connected+1) <= min(worthKeeping, m.dest.connectedLimit+float64(f.now-m.dest.connectedLimitAt)/float64(max(f.settings.ConnIdle, 1))) && f.rng.Float64()*float64(active) < float64(active-connected)
 	for _, r := range usable {
 		for _, ep := range r.endpoints {
 			if f.sendEligibleAt(m, ep) > f.now {
@@ -1111,12 +1127,12 @@
 			if f.now < ep.avoidUntil {
 				f.resetTurn(ep)
 			}
-			lately := math.Exp(-float64(f.now-ep.lastScheduled) / float64(f.settings.ConnIdle))
+			recency := math.Exp(-float64(f.now-ep.lastScheduled) / float64(f.settings.ConnIdle))
 			if f.idleConnections(ep) == 0 {
-				lately = chance
+				recency = chance
 			}
-			cost := float64(ep.inFlight) + recencyCost*lately + failureCost*ep.failureShare.get(f.now, forgetAfter)
-			cost += 2 * f.preferred(m, ep)
+			cost := float64(ep.inFlight) + recencyCost*recency + failureCost*ep.failureShare.get(f.now, forgetAfter)
+			cost += 2 * f.preferenceRank(m, ep)
 			if f.now < ep.avoidUntil {
 				cost += 1e6
 			}
@@ -1137,59 +1153,64 @@
 	return best
 }
 
-func (f *scanner) connectionStats(usable []*route) (all, held int, worth float64) {
+// connectionStats counts the active and the connected endpoints of some routes, and how many connections
+// round robin uses within the idle time often enough to save more handshakes than they cost.
+func (f *scanner) connectionStats(routes []*route) (active, connected int, worthKeeping float64) {
 	calls := 0.0
-	for _, r := range usable {
+	for _, r := range routes {
 		calls += r.firstAttempts.get(f.now, recentWindow) * float64(f.settings.ConnIdle) / float64(recentWindow)
 		for _, ep := range r.endpoints {
 			if ep.state == Active {
-				if all++; ep.inFlight > 0 || f.idleConnections(ep) > 0 {
-					held++
+				if active++; ep.inFlight > 0 || f.idleConnections(ep) > 0 {
+					connected++
 				}
 			}
 		}
 	}
-	room := idleConnectionCost * min(1, float64(f.settings.Forwarders)/smallTableSize)
-	worth = calls - rareGapDeviations*math.Sqrt(calls)
-	if f.settings.ConnectPrice < room {
-		worth = min(worth, -calls*math.Log1p(-f.settings.ConnectPrice/room))
+	price := idleConnectionCost * min(1, float64(f.settings.Forwarders)/smallTableSize)
+	worthKeeping = calls - rareGapDeviations*math.Sqrt(calls)
+	if f.settings.ConnectPrice < price {
+		worthKeeping = min(worthKeeping, -calls*math.Log1p(-f.settings.ConnectPrice/price))
 	}
-	return all, held, worth
+	return active, connected, worthKeeping
 }
 
+// resetTurn gives an endpoint that was not called for a while the round robin place of a random endpoint of
+// its route: otherwise it would be next at every sender that learns of its return.
 func (f *scanner) resetTurn(ep *endpoint) {
 	if others := ep.route.endpoints; len(others) > 1 {
 		ep.lastScheduled = others[f.rng.IntN(len(others))].lastScheduled
 	}
 }
 
-// preferred is the place of a target in what its message prefers.
-func (f *scanner) preferred(m *message, ep *endpoint) float64 {
+// preferenceRank is the rank of an endpoint among those that a message prefers. One that failed recently is not
+// preferred. Backups rank behind the other endpoints, but before one that failed recently.
+func (f *scanner) preferenceRank(m *message, ep *endpoint) float64 {
 	var prefer []string
 	if m.filter != nil {
 		prefer = m.filter.Prefer
 	}
 	failed := ep.consecutiveFailures > 0 && f.now < ep.recentCalls.at+recentWindow
-	place := len(prefer)
+	rank := len(prefer)
 	for i, id := range prefer {
 		if id == ep.id && !failed {
-			place = i
+			rank = i
 			break
 		}
 	}
-	spare := false
+	hasBackup := false
 	for _, o := range ep.route.endpoints {
-		spare = spare || o.backup && o.state == Active
+		hasBackup = hasBackup || o.backup && o.state == Active
 	}
-	switch { // a backup; one that failed, where there is a backup; a backup that failed
+	switch { // in rising order: a backup, a failed endpoint where there is a backup, a failed backup
 	case ep.backup && failed:
-		place += 3000
+		rank += 3000
 	case ep.backup:
-		place += 1000
-	case failed && spare:
-		place += 2000
+		rank += 1000
+	case failed && hasBackup:
+		rank += 2000
 	}
-	return float64(place)
+	return float64(rank)
 }
 
 func (f *scanner) sendMessage(m *message, c *call) {
@@ -1215,7 +1236,7 @@
 	c.pending++
 	f.dequeue(m)
 	limit := f.attemptTimeout(m, c)
-	c.shortTimeout = limit < f.fairTime(m.dest.routes)
+	c.shortTimeout = limit < f.minInformativeTimeout(m.dest.routes)
 	within := time.Duration(0)
 	if m.mayHaveRun && m.class.Effect == Deduplicated {
 		within = m.runSentAt + m.class.DedupWindow - windowEndMargin - f.now
@@ -1223,8 +1244,8 @@
 	f.emit(Send{Message: m.id, Target: c.endpoint.id, Timeout: limit, StartWithin: within})
 }
 
-// fairTime is how long a call must be waited for before silence says anything of its route.
-func (f *scanner) fairTime(routes []*route) time.Duration {
+// minInformativeTimeout is how long a call must be in flight before its silence is evidence against its route.
+func (f *scanner) minInformativeTimeout(routes []*route) time.Duration {
 	return overdueAfter(f.expectedLatency(routes))
 }
 
@@ -1232,8 +1253,8 @@
 	return max(minOverdue, lateLatencyFactor*latency)
 }
 
-// attemptTimeout is how long to wait for an answer: a repeatable message times out well after its expected
-// latency; one that must not be repeated is lost by a timeout, so it waits until its deadline.
+// attemptTimeout is how long to wait for an answer. A repeatable message times out well after its expected
+// latency. A message that must not be repeated would fail at its timeout, so it waits until its deadline.
 func (f *scanner) attemptTimeout(m *message, c *call) time.Duration {
 	left := m.deadline - f.now
 	if m.class.Effect == AtMostOnce {
@@ -1243,6 +1264,7 @@
 	return min(left, max(minTimeout, timeoutLatencyFactor*own))
 }
 
+// expectedLatency is the mean latency of the slowest of some routes, as far as it is known.
 func (f *scanner) expectedLatency(routes []*route) (t time.Duration) {
 	for _, r := range routes {
 		t = max(t, r.meanLatency)
@@ -1263,7 +1285,7 @@
 	m, r := a.message, a.call.route
 	d, ep := r.dest, a.call.endpoint
 	f.closeAllIntervals(d)
-	r.retryAfter = max(r.retryAfter, f.now+o.RetryAfter) // it applies to all messages of a call
+	r.retryAfter = max(r.retryAfter, f.now+o.RetryAfter) // it applies at once, also while other messages of the call are in flight
 	m.inFlight--
 	a.call.pending--
 	last := a.call.pending == 0
@@ -1298,14 +1320,14 @@
 	f.invalidate(d)
 }
 
-// suspicion is what is known of a route that does not answer, and of the calls in flight to it.
+// suspicion is the state of a route that has not answered, and of the calls in flight to it.
 type suspicion int8
 
 const (
 	notSuspect   suspicion = iota
 	untested               // it has not answered yet
 	unresponsive           // calls to it are overdue
-	occupied
+	occupied               // suspect, with a call in flight
 	suspicionKinds
 )
 
@@ -1320,7 +1342,7 @@
 	}
 }
 
-// clearSuspicion uncounts them: the route has answered.
+// clearSuspicion stops counting the calls to a route as suspect, since it has answered.
 func (f *scanner) clearSuspicion(r *route) {
 	r.suspicion, r.cancelledCalls = notSuspect, 0
 	for _, c := range r.inFlight {
@@ -1349,8 +1371,8 @@
 		f.answerMessage(m)
 		return
 	}
-	// An open route gets probes only, so there is nothing to budget: the message is
-	// queued like first attempts there, and is checked again when it is to go.
+	// A route whose circuit is open gets probes only, so the retry budget does not apply. The message is
+	// queued like a first attempt, and the budget is checked when it is about to be sent.
 	if !notSent && !r.circuitOpen {
 		if !f.retryBudgetLeft(r) {
 			f.answerMessage(m)
@@ -1382,7 +1404,7 @@
 
 func (f *scanner) answerDue() {
 	for _, m := range slices.Clone(f.pending) {
-		if m.inFlight == 0 && f.now >= m.answerDeadline() { // with an attempt out, its time-out comes first
+		if m.inFlight == 0 && f.now >= m.answerDeadline() { // while an attempt is in flight, its timeout comes first
 			f.answerMessage(m)
 		}
 	}
@@ -1396,7 +1418,7 @@
 	return m.class.Effect == Deduplicated && !m.class.DedupPerZone
 }
 
-// answerMessage gives the one final answer.
+// answerMessage gives the final answer of a message.
 func (f *scanner) answerMessage(m *message) {
 	if f.isRefusable(m) {
 		f.emit(Refuse{Message: m.id, RetryAfter: f.retryAdvice(m.dest)})
@@ -1410,11 +1432,11 @@
 func (f *scanner) retryAdvice(d *destination) time.Duration {
 	wait := f.settings.MaxRetryAfter
 	for _, r := range d.routes {
-		w := max(0, r.retryAfter-f.now)
+		left := max(0, r.retryAfter-f.now)
 		if r.circuitOpen {
-			w = max(w, f.nextProbeAt(r)-f.now)
+			left = max(left, f.nextProbeAt(r)-f.now)
 		}
-		wait = min(wait, w)
+		wait = min(wait, left)
 	}
 	return wait
 }
@@ -1440,7 +1462,7 @@
 	if f.isLongCall(c, o) {
 		f.longCallLoss.record(f.now, forgetAfter, lossWeight, oneIf(o.Result != Succeeded && o.Result != Rejected))
 	}
-	if o.Result == TimedOut && c.shortTimeout { // its message ran out of time: nobody's failure
+	if o.Result == TimedOut && c.shortTimeout { // its message expired, which is not a failure of the route
 		if c.isProbe {
 			r.lastProbeAt = f.now
 		}
@@ -1487,8 +1509,8 @@
 	if o.Result == ConnectFailed {
 		c.endpoint.idleSince = nil
 		if r.lastSuccessAt > f.now-recentWindow {
-			_, held, _ := f.connectionStats(r.dest.routes)
-			r.dest.connectedLimit, r.dest.connectedLimitAt = float64(held), f.now
+			_, connected, _ := f.connectionStats(r.dest.routes)
+			r.dest.connectedLimit, r.dest.connectedLimitAt = float64(connected), f.now
 		}
 	}
 	if f.avoidFailingEndpoint(r, c.endpoint, o.Result) {
@@ -1504,7 +1526,7 @@
 	case r.consecutiveFailures >= f.outageThreshold(r):
 		f.openCircuit(r, "failing")
 	case r.unclearShare.get(f.now, recentWindow) > halfFailingShare:
-		r.needsSlowStart = true // a partial outage is one, too
+		r.needsSlowStart = true // a partial outage needs a slow start, too
 		f.openCircuit(r, "half failing")
 	case o.Result == Overloaded:
 		f.cutRate(r)
@@ -1521,11 +1543,11 @@
 		r.outageEvidence = 0
 	}
 	for _, a := range c.attempts {
-		p := f.classLatencyFactor(a.message.class)
+		factor := f.classLatencyFactor(a.message.class)
 		if r.meanLatency > 0 {
-			p += (min(lateLatencyFactor, float64(took)/float64(r.meanLatency)) - p) / 64
+			factor += (min(lateLatencyFactor, float64(took)/float64(r.meanLatency)) - factor) / 64
 		}
-		f.latencyFactor[a.message.class] = p
+		f.latencyFactor[a.message.class] = factor
 	}
 	if r.meanLatency == 0 {
 		r.meanLatency = took
@@ -1549,17 +1571,17 @@
 	}
 }
 
-// outageThreshold is how many failures in a row make an outage: one more than half of the recent successes.
-// A sender with little traffic to a route cannot wait for many.
+// outageThreshold is how many failures in a row count as an outage: one more than half of the recent successes,
+// with an upper bound. A sender with little traffic to a route cannot wait for many.
 func (f *scanner) outageThreshold(r *route) float64 {
 	return min(maxOutageEvidence, 1+r.recentSuccesses.get(f.now, recentWindow)/2)
 }
 
-// avoidFailingEndpoint avoids an endpoint for a while if it fails while others of its route work, and
-// reports whether it does: then the failure does not count against the route.
-func (f *scanner) avoidFailingEndpoint(r *route, ep *endpoint, res Result) bool {
+// avoidFailingEndpoint has an endpoint avoided for a while if it fails while others of its route work. It
+// reports whether this is so: then the failure does not count against the route.
+func (f *scanner) avoidFailingEndpoint(r *route, ep *endpoint, result Result) bool {
 	ep.consecutiveFailures++
-	if res == Overloaded || ep.consecutiveFailures < 2 {
+	if result == Overloaded || ep.consecutiveFailures < 2 {
 		return false
 	}
 	for _, other := range r.endpoints {
@@ -1571,10 +1593,11 @@
 	return false
 }
 
+// openCircuit stops all calls to a route but probes.
 func (f *scanner) openCircuit(r *route, why string) {
 	f.closeIntervals(r)
 	r.circuitOpen, r.openReason, r.slowStart = true, why, false
-	if r.probeInterval == 0 || f.now-r.closedAt > recentWindow { // else the back-off goes on
+	if r.probeInterval == 0 || f.now-r.closedAt > recentWindow { // otherwise the back-off continues
 		r.probeInterval = minProbeInterval / 2
 	}
 	if r.consecutiveFailures == 0 {
@@ -1582,31 +1605,34 @@
 	}
 	f.scheduleProbe(r)
 	for _, ep := range r.endpoints {
-		if ep.state == Active && f.idleConnections(ep) > 0 { // a new connection tells dead from busy
+		if ep.state == Active && f.idleConnections(ep) > 0 { // whether a new connection is accepted tells a dead endpoint from a busy one
 			f.closeIdleConnections(ep)
 		}
 	}
 }
 
+// scheduleProbe backs off the next probe after a failure.
 func (f *scanner) scheduleProbe(r *route) {
 	r.probeInterval = min(2*r.probeInterval, maxProbeInterval)
 	r.needsSlowStart = r.needsSlowStart || r.outageEvidence >= f.outageThreshold(r)
 	r.successfulProbes, r.lastProbeAt, r.probeJitter = 0, f.now, 0.5+f.rng.Float64()
 }
 
-// nextProbeAt is when an open route may get its next probe. All senders probe it: so as not to overload it
-// on its return each does so at the rate of its own messages in the outage, or its equal share of a limit,
-// times the capacity that a returning route has for probes; from a retry-after time on too, as all got it.
+// nextProbeAt is when a route whose circuit is open may get its next probe. All senders probe it. In order not to
+// overload it on its return, each probes at the rate of its own messages during the outage, or of its equal share
+// of a limit, times the part of its capacity that a returning route has for probes. The same holds from a
+// retry-after time on, since all senders got the same one.
 func (f *scanner) nextProbeAt(r *route) time.Duration {
-	cold := max(probeShare*f.settings.OverloadFactor*f.settings.StartCapacity, minRetryRatio)
+	capacity := max(probeShare*f.settings.OverloadFactor*f.settings.StartCapacity, minRetryRatio)
 	earliest := max(r.lastProbeAt, r.retryAfter)
-	took := earliest - r.failingSince
-	came := float64(len(r.dest.waiting)) - r.probeJitter/cold // less those since the last probe
-	own := float64(took) / (cold * max(1, came, f.equalShare(r)*took.Seconds()))
-	gap := max(float64(r.probeInterval), min(own, float64(maxProbeInterval)*float64(f.settings.Forwarders)/unspacedSenders))
-	return earliest + time.Duration(r.probeJitter*gap)
+	outage := earliest - r.failingSince
+	came := float64(len(r.dest.queued)) - r.probeJitter/capacity // messages, less those since the last probe
+	own := float64(outage) / (capacity * max(1, came, f.equalShare(r)*outage.Seconds()))
+	interval := max(float64(r.probeInterval), min(own, float64(maxProbeInterval)*float64(f.settings.Forwarders)/unspacedSenders))
+	return earliest + time.Duration(r.probeJitter*interval)
 }
 
+// closeCircuit resumes normal calls to a route, with a slow start after an outage.
 func (f *scanner) closeCircuit(r *route) {
 	r.circuitOpen, r.openReason, r.consecutiveFailures, r.closedAt = false, "", 0, f.now
 	r.unclearShare.value = 0
@@ -1614,16 +1640,18 @@
 	r.tokens, r.tokensAt, r.nextCutAt = 0, f.now, f.now
 }
 
-// resetIfUnused resets a route that was not used for long, but never a retry-after time or an outage.
+// resetIfUnused resets a route that was unused for forgetAfter, unless its retry-after time is still to come or
+// its circuit is open.
 func (f *scanner) resetIfUnused(r *route) {
-	idle := len(r.inFlight) == 0 && len(r.dest.waiting) == 0 && !r.circuitOpen && f.now >= r.retryAfter
+	idle := len(r.inFlight) == 0 && len(r.dest.queued) == 0 && !r.circuitOpen && f.now >= r.retryAfter
 	if idle && f.now-r.lastUsedAt > forgetAfter {
-		targets := r.endpoints
+		endpoints := r.endpoints
 		*r = *f.newRoute(r.name, r.dest)
-		r.endpoints = targets
+		r.endpoints = endpoints
 	}
 }
 
+// checkOverdue opens the circuits of routes that have become unresponsive.
 func (f *scanner) checkOverdue() {
 	for _, c := range slices.Clone(f.inFlight) {
 		if r := c.route; c == r.inFlight[0] && !r.circuitOpen {
@@ -1635,11 +1663,12 @@
 	}
 }
 
+// checkNewCalls asks for a Step when the next call becomes overdue.
 func (f *scanner) checkNewCalls() {
 	for _, c := range f.inFlight {
 		if r := c.route; c == r.inFlight[0] && !r.circuitOpen {
 			if silent, next := f.checkUnresponsive(r); silent {
-				panic("a call became overdue in the Step that it was made in")
+				panic("a call became overdue in the Step that started it")
 			} else if next < never {
 				f.waitUntil(next)
 			}
@@ -1647,8 +1676,8 @@
 	}
 }
 
-// checkUnresponsive reports whether calls are overdue while none sent later came back, and when the next
-// call becomes overdue.
+// checkUnresponsive reports whether calls are overdue and no call that was sent later has been answered, and
+// when the next call becomes overdue.
 func (f *scanner) checkUnresponsive(r *route) (silent bool, next time.Duration) {
 	latency := cmp.Or(r.meanLatency, assumedLatency)
 	late, overdue := 0, 0
@@ -1679,18 +1708,18 @@
 	return late >= 2, next
 }
 
-// closeSurplusIdle closes the idle connections to an endpoint unless the handshakes that they are likely to
-// save outweigh the room that they take in its connection table, which many senders fill.
+// closeSurplusIdle closes the idle connections to an endpoint unless the handshakes that they are expected to
+// save outweigh the entries that they take in its connection table, which many senders fill.
 func (f *scanner) closeSurplusIdle(ep *endpoint) {
-	room := idleConnectionCost * min(1, float64(f.settings.Forwarders)/smallTableSize)
+	price := idleConnectionCost * min(1, float64(f.settings.Forwarders)/smallTableSize)
 	saved := f.settings.ConnectPrice * ep.recentCalls.get(f.now, max(f.settings.ConnIdle, 1))
-	if _, held, worth := f.connectionStats(ep.route.dest.routes); saved < room && float64(held) > worth && f.idleConnections(ep) > 0 && len(ep.route.dest.waiting) == 0 {
+	if _, connected, worthKeeping := f.connectionStats(ep.route.dest.routes); saved < price && float64(connected) > worthKeeping && f.idleConnections(ep) > 0 && len(ep.route.dest.queued) == 0 {
 		f.closeIdleConnections(ep)
 	}
 }
 
-// idleTooLong reports whether connections idle for so long lose calls that fresh ones do not, as behind a
-// middlebox that forgets them: they are closed before a send, at the price of a handshake.
+// idleTooLong reports whether connections that were idle for so long lose calls that fresh ones do not, for
+// instance behind a middlebox that drops their state. They are then closed before a send, which costs a handshake.
 func (f *scanner) idleTooLong(step int) bool {
 	fresh := f.idleLoss[0].get(f.now, forgetAfter)
 	for s := 1; s <= step; s++ {
@@ -1701,8 +1730,8 @@
 	return false
 }
 
-// cancelAfter is how long a call may be out when slots are short. A message that could not be refused after
-// that gets longer; a keyed one is left time for a repeat within its window.
+// cancelAfter is how long a call may be in flight when slots run out. A message that could not be refused after
+// its cancellation gets longer; a keyed one is left time for a repeat within its window.
 func (f *scanner) cancelAfter(m *message, latency time.Duration) time.Duration {
 	own := time.Duration(float64(latency) * f.classLatencyFactor(m.class))
 	short, long := lateLatencyFactor*own, max(2*minOverdue, lostLatencyFactor*own)
@@ -1715,6 +1744,7 @@
 	return short
 }
 
+// freeSlots cancels the most overdue call when slots run out, so that lost calls do not block other messages.
 func (f *scanner) freeSlots() {
 	if !f.settings.MayCancel {
 		return
@@ -1727,19 +1757,19 @@
 		return
 	}
 	var worst *call
-	most := 1.0
+	highest := 1.0
 	for _, c := range f.inFlight {
 		latency, limit := f.expectedLatency(c.route.dest.routes), minOverdue
 		for _, a := range c.attempts {
 			limit = max(limit, f.cancelAfter(a.message, latency))
 		}
-		if r := c.route; !r.circuitOpen && c.sentAt <= r.lastSuccessSentAt { // it is long rather than lost
+		if r := c.route; !r.circuitOpen && c.sentAt <= r.lastSuccessSentAt { // the route works, so the call is slow rather than lost
 			lost := f.longCallLoss.get(f.now, forgetAfter)
 			limit = time.Duration(float64(limit) * (longCallFactor - (longCallFactor-lostLongCallFactor)*lost))
 		}
-		over := float64(f.now-c.sentAt) / float64(limit)
-		if !c.cancelled && !f.waitUntil(c.sentAt+limit) && over >= most {
-			worst, most = c, over
+		overdueRatio := float64(f.now-c.sentAt) / float64(limit)
+		if !c.cancelled && !f.waitUntil(c.sentAt+limit) && overdueRatio >= highest {
+			worst, highest = c, overdueRatio
 		}
 	}
 	if worst != nil {
@@ -1747,6 +1777,8 @@
 	}
 }
 
+// cancelSuspects cancels suspect calls with repeatable messages once they are overdue, until enough slots are
+// or will be free. After each cancellation the next call to that route gets longer.
 func (f *scanner) cancelSuspects(need int) (freed bool) {
 	for _, c := range f.inFlight {
 		if c.suspicion == notSuspect || need <= 0 || slices.ContainsFunc(c.attempts, (*attempt).notPure) {
@@ -1779,8 +1811,9 @@
 
 // ---- The retry budget.
 
-// closeIntervals closes the adjustment intervals that are over, each at its end. Too few outcomes count on in
-// the next one, or else the retry budget of a route with few calls would fluctuate.
+// closeIntervals closes the adjustment intervals that have ended, each at its end. If an interval has too few
+// outcomes to judge, they are carried over to the next one; otherwise the retry budget of a route with few calls
+// would fluctuate.
 func (f *scanner) closeIntervals(r *route) {
 	for f.now-r.intervalStart >= adjustInterval {
 		if !r.paceLimited && r.outcomes < minOutcomes && r.nextTokenAt <= r.intervalStart {
@@ -1798,6 +1831,8 @@
 	}
 }
 
+// closeInterval raises the pace after an interval without rejections, halves the retry budget at a high
+// failure rate and raises it at a low one.
 func (f *scanner) closeInterval(r *route, end time.Duration) {
 	if r.paceLimited && r.rejections == 0 && r.successes > 0 && !r.circuitOpen && !f.inSlowStart(r, end) {
 		r.adaptiveRate *= rateGrowth
@@ -1816,7 +1851,7 @@
 	r.outcomes, r.failures = 0, 0
 }
 
-// updatePace computes when a route may be called next, and whether its pace holds back a message now.
+// updatePace computes when a route may be called next, and whether its pace delays a message now.
 func (f *scanner) updatePace(r *route, at time.Duration) {
 	f.refillTokens(r, at)
 	r.currentRate = f.allowedRate(r, at)
@@ -1824,12 +1859,12 @@
 	if r.tokens < 1 && !math.IsInf(r.currentRate, 1) {
 		r.nextTokenAt += time.Duration(min((1-r.tokens)/r.currentRate, 1e6) * float64(time.Second))
 	}
-	held := len(r.dest.waiting) > 0 && !r.circuitOpen && at >= r.retryAfter && at < r.nextTokenAt
-	r.paceLimited = held || r.paceLimited && at != r.intervalStart
+	limited := len(r.dest.queued) > 0 && !r.circuitOpen && at >= r.retryAfter && at < r.nextTokenAt
+	r.paceLimited = limited || r.paceLimited && at != r.intervalStart
 }
 
-// invalidate notes a change at a destination: its pace is computed anew, and it is reconsidered before this
-// Step is over.
+// invalidate computes the pace of a destination again after a change there. Nothing else has to be updated,
+// since each Step scans all of the state.
 func (f *scanner) invalidate(d *destination) {
 	for _, r := range d.routes {
 		f.closeIntervals(r)
@@ -1837,8 +1872,8 @@
 	}
 }
 
-// retryBudgetLeft reports whether one more retry fits the budget: recent and granted retries stay under
-// retryRatio of the recent first attempts. One is allowed when none was made.
+// retryBudgetLeft reports whether the budget allows one more retry: recent and granted retries may be at most
+// retryRatio of the recent first attempts before it, so one is allowed if there was none.
 func (f *scanner) retryBudgetLeft(r *route) bool {
 	return r.retries.get(f.now, recentWindow)+float64(r.reservedRetries) <= r.retryRatio*r.firstAttempts.get(f.now, recentWindow)
 }
@@ -1847,41 +1882,42 @@
 
 // allowedRate is the rate in calls a second at which this sender may call a route.
 func (f *scanner) allowedRate(r *route, at time.Duration) float64 {
-	p := r.adaptiveRate
+	rate := r.adaptiveRate
 	if equal := f.equalShare(r); equal > 0 {
 		staleness := min(1, (at-r.allowanceAt).Seconds()/rateWindow.Seconds())
-		room := r.allowanceLeft + (scarceAllowance-r.allowanceLeft)*staleness // without recent reports: the own share
+		left := r.allowanceLeft + (scarceAllowance-r.allowanceLeft)*staleness // without recent reports it approaches the own share
 		limit, own := equal*float64(f.settings.Forwarders), f.ownShare(r, at)
 		if r.totalDemand > limit { // each sender lets through the same share of its messages
-			own = max(overloadShare*equal, own*limit/r.totalDemand*(balancedAllowance+min(room, ampleAllowance)))
-		} else { // more than the own share while others leave room
-			own = max(own, limit*min(1, (room-scarceAllowance)/(ampleAllowance-scarceAllowance)))
+			own = max(overloadShare*equal, own*limit/r.totalDemand*(balancedAllowance+min(left, ampleAllowance)))
+		} else { // more than the own share while others leave some of the limit
+			own = max(own, limit*min(1, (left-scarceAllowance)/(ampleAllowance-scarceAllowance)))
 		}
-		p = min(p, own)
+		rate = min(rate, own)
 	}
 	if f.inSlowStart(r, at) {
-		t := float64(at-r.slowStartAt) / float64(f.settings.SlowStart)
-		present := f.settings.StartCapacity + (1-f.settings.StartCapacity)*t
-		p = min(p, slowStartShare*f.settings.OverloadFactor*present*f.ownShare(r, at))
+		progress := float64(at-r.slowStartAt) / float64(f.settings.SlowStart)
+		capacity := f.settings.StartCapacity + (1-f.settings.StartCapacity)*progress
+		rate = min(rate, slowStartShare*f.settings.OverloadFactor*capacity*f.ownShare(r, at))
 	}
-	return p
+	return rate
 }
 
-// inSlowStart reports whether a route is returning from an outage.
+// inSlowStart reports whether a route is in the slow start after an outage.
 func (f *scanner) inSlowStart(r *route, at time.Duration) bool {
 	return r.slowStart && at-r.slowStartAt < f.settings.SlowStart
 }
 
-// ownShare is the rate of a route that is this sender's: its equal share of a known limit, or the rate of
-// its own messages over the last minute if that is more.
+// ownShare is the part of a route's rate that is due to this sender: its equal share of a known limit, or the
+// rate of its own messages over the last minute if that is more.
 func (f *scanner) ownShare(r *route, at time.Duration) float64 {
 	span := min(forgetAfter, max(at-f.startedAt, rateWindow))
 	own := r.dest.accepted.get(at, forgetAfter) / span.Seconds() / float64(len(r.dest.routes))
 	return max(f.equalShare(r), own)
 }
 
-// observeAllowance follows a reported limit and estimates the demand of all senders from what is left. All
-// get the same reports, so they agree; a falling limit applies at once, as demand stays.
+// observeAllowance records a reported limit and estimates the demand of all senders from what is left of it.
+// All senders get the same reports, so their estimates agree. A lower limit applies at once, since the demand
+// stays the same.
 func (f *scanner) observeAllowance(r *route, o Outcome) {
 	limit, since := o.Allowance.Rate, min(f.now-r.allowanceAt, rateWindow).Seconds()
 	if limit <= 0 {
@@ -1893,7 +1929,7 @@
 	}
 	r.serverLimit, r.allowanceLeft, r.allowanceAt = limit, o.Allowance.Remaining, f.now
 	rise := demandDrift * min(0, balancedAllowance-r.allowanceLeft)
-	if o.Result == Overloaded && o.Allowance.Remaining < allowanceNearlySpent { // rejected calls may use it up, too
+	if o.Result == Overloaded && o.Allowance.Remaining < allowanceNearlySpent { // rejected calls may count against the limit, too
 		r.allowanceLeft, rise = 0, demandRise
 	}
 	r.totalDemand = min(maxDemandFactor*limit, max(limit, r.totalDemand*math.Exp(since*rise)))
@@ -1901,11 +1937,11 @@
 
 // equalShare is an equal share of a route's limit for each sender, or 0 if none is known.
 func (f *scanner) equalShare(r *route) float64 {
-	w := r.serverLimit
-	if w <= 0 && f.settings.Weights == ExactWeights {
-		w = f.listedWeight(r)
+	limit := r.serverLimit
+	if limit <= 0 && f.settings.Weights == ExactWeights {
+		limit = f.listedWeight(r)
 	}
-	return w / float64(f.settings.Forwarders)
+	return limit / float64(f.settings.Forwarders)
 }
 
 // refillTokens adds the tokens that a route has gained since the last time.
@@ -1926,11 +1962,11 @@
 	}
 	r.nextCutAt = f.now + adjustInterval
 	sent := r.recentCalls.get(f.now, rateWindow) / rateWindow.Seconds()
-	least := max(minOwnShare, oneIf(r.serverLimit > 0)) // allowedRate applies a known limit
-	r.adaptiveRate = max(minTotalRate/float64(f.settings.Forwarders), least*f.ownShare(r, f.now), min(r.adaptiveRate, sent)*rateCut)
+	minShare := max(minOwnShare, oneIf(r.serverLimit > 0)) // allowedRate applies a known limit
+	r.adaptiveRate = max(minTotalRate/float64(f.settings.Forwarders), minShare*f.ownShare(r, f.now), min(r.adaptiveRate, sent)*rateCut)
 }
 
-// ---- For the host.
+// ---- Wake-ups.
 
 func (f *scanner) scheduleWake() {
 	for _, m := range f.pending {
