--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,5 +1,5 @@
-// Package message is what fronts, engine, journal and backs have in common: a
-// message on its way. It decides nothing and does no I/O of its own.
+// Package message defines the message that fronts, engine, journal and backs share. It
+// makes no decisions and does no I/O of its own.
 package message
 
 import (
@@ -7,49 +7,51 @@
 	"time"
 )
 
-// Message is one message as a front hands it in.
+// Message is one message as a front submits it.
 type Message struct {
 	ID          string
-	Origin      string // the front that took it; its final answer goes back there. At most 255 bytes
+	Origin      string // the front that submitted it; its completion notice goes back there. At most 255 bytes
 	Class       string
 	Destination int
-	TimeLeft    time.Duration // until it is given up, from Read on
-	ReadAt      time.Time     // when its last byte had been read
-	Resubmitted bool          // it was held by a forwarder that died
-	Repeat      bool          // a client's repeat after a refusal, where clients mark it
-	Fields      string        // what its client said of it: names and values, as name=value, with commas between
-	Extras      *Extras       // nil: none
+	TimeLeft    time.Duration // time for its delivery, measured from ReadAt
+	ReadAt      time.Time     // when its last byte was read
+	Resubmitted bool          // the client submits it again after the forwarder that had accepted it died
+	Repeat      bool          // the client submits it again after a refusal, where clients mark such messages
+	Fields      string        // fields set by its client, as comma-separated name=value pairs
+	Extras      *Extras       // nil for none
 	Body        Body
 }
 
-// Field finds what a message's client said of it under a name; the last one holds.
-func (m *Message) Field(name string) (value string, there bool) {
+// Field returns the value of a field that the message's client set. If a name occurs more than once, the last value counts.
+func (m *Message) Field(name string) (value string, ok bool) {
 	for rest, more := m.Fields, true; more; {
 		var pair string
 		pair, rest, more = strings.Cut(rest, ",")
-		if key, v, ok := strings.Cut(pair, "="); ok && key == name {
-			value, there = v, true
+		if key, v, valid := strings.Cut(pair, "="); valid && key == name {
+			value, ok = v, true
 		}
 	}
-	return value, there
+	return value, ok
 }
 
-// RequestedDestination is the destination that a message's client named; Destination is where it goes.
+// RequestedDestination returns the destination that the message's client named; Destination is the one it is delivered to.
 func (m *Message) RequestedDestination() int { return m.Extras.RequestedDestination(m.Destination) }
 
-// Extras is what was added to a message where it was taken on. It holds as long as the message does.
+// Extras is what was added to a message when it was accepted. It is valid for the life of the message.
 type Extras struct {
-	// Endpoints of its destination, 255 names of 255 bytes at most each. They permit none that would not be permitted without.
-	Only   []string // no others; none: all
-	Prefer []string // these before the others, in this order
-	// Route is the name of the route that it took, and For the destination that its client named; none: it goes there.
-	Route     string // 255 bytes at most
+	// Endpoints of its destination, each list at most 255 names of at most 255 bytes. They never permit an endpoint that would not be permitted
+	// without them.
+	Only   []string // restricts it to these endpoints; empty for no restriction
+	Prefer []string // prefers these endpoints, in this order
+	// Route is the name of the route that it matched, and Requested the destination that its client named. Without a route it is delivered to
+	// the requested destination.
+	Route     string // at most 255 bytes
 	Requested int
-	// Header goes along with each attempt: 255 fields, each of 255 bytes and 65,535.
+	// Header is sent with each attempt: at most 255 fields, with names of at most 255 bytes and values of at most 65,535.
 	Header []Field
 }
 
-// RequestedDestination is the destination that a client named for a message that goes to another; it may be asked of nil.
+// RequestedDestination returns the destination that the client named for a message that is delivered to another. x may be nil.
 func (x *Extras) RequestedDestination(to int) int {
 	if x == nil || x.Route == "" {
 		return to
@@ -57,7 +59,7 @@
 	return x.Requested
 }
 
-// RouteName is the name of the route; it may be asked of nil.
+// RouteName returns the name of the route. x may be nil.
 func (x *Extras) RouteName() string {
 	if x == nil {
 		return ""
@@ -65,17 +67,17 @@
 	return x.Route
 }
 
-// Field is one field of a header.
+// Field is one header field.
 type Field struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 }
 
-// Body is the content of a message. It need not be in memory: whoever sends it
-// loads it for as long as the send lasts.
+// Body is the content of a message. It need not be in memory: the sender loads it for
+// the duration of the send.
 type Body interface {
-	Len() int              // bytes
-	Load() ([]byte, error) // the caller does not change what it gets
+	Len() int              // in bytes
+	Load() ([]byte, error) // the caller must not modify the result
 }
 
 // Bytes is a body in memory.
