--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,69 +1,70 @@
-// Package intake says which messages are taken on when the room for what is held is scarce. It does no I/O and knows
+// Package intake decides which messages are accepted when the storage for queued messages runs low. It does no I/O and reads
 // no clock.
 //
-// What waits for destinations that don't answer stays long and would fill any room; those for the others pass through. As
-// long as there is plenty, whoever comes first is served. In the last quarter a destination is served that holds less than its
-// fair part, which is nine tenths of the room divided by the number of those that hold anything: so one that comes new, or whose
-// messages pass, finds a tenth free. Where there is one only it may use all.
+// Messages for unresponsive destinations stay queued for long and would fill any storage, while messages for the others pass
+// through quickly. While less than three quarters of the storage are in use, every message is accepted. Beyond that, a message is
+// accepted only if its destination stays within its fair share, which is nine tenths of the storage divided by the number of
+// destinations with queued messages. The remaining tenth is left for destinations that are new or whose messages pass through. If
+// there is only one destination, it may use all of the storage.
 package intake
 
 const (
-	scarce  = 0.75 // of the room in use: from here on parts count
-	divided = 0.9  // of the room
+	fairShareThreshold = 0.75 // part of the storage in use from which fair shares apply
+	sharedPart         = 0.9  // part of the storage that is divided into fair shares
 )
 
-// Caps counts what is held under rules that set a number for each destination apart. The zero value has counted nothing.
-type Caps struct{ held map[Cap]int }
+// Caps counts the queued messages under rules that limit their number per destination. The zero value is ready to use.
+type Caps struct{ queued map[Cap]int }
 
-// Cap is what one number holds for.
+// Cap identifies one counter: a rule and a destination.
 type Cap struct {
 	Rule        string
 	Destination int
 }
 
-// Admits tells whether one more may be held where so many may be.
-func (c *Caps) Admits(k Cap, most int) bool { return c.held[k] < most }
+// Admits reports whether one more message may be queued under a limit.
+func (c *Caps) Admits(k Cap, limit int) bool { return c.queued[k] < limit }
 
-// Add counts one more, or with -1 one less.
+// Add counts one message more, or with -1 one fewer.
 func (c *Caps) Add(k Cap, n int) {
-	if c.held == nil {
-		c.held = map[Cap]int{}
+	if c.queued == nil {
+		c.queued = map[Cap]int{}
 	}
-	if c.held[k] += n; c.held[k] <= 0 {
-		delete(c.held, k)
+	if c.queued[k] += n; c.queued[k] <= 0 {
+		delete(c.queued, k)
 	}
 }
 
-// FairShare knows what each destination holds. The zero value holds nothing.
+// FairShare tracks the storage that the queued messages of each destination use. The zero value is ready to use.
 type FairShare struct {
-	held map[int]int64 // bytes
-	used int64
+	used  map[int]int64 // bytes
+	total int64
 }
 
-// Add notes that a destination holds so much more; a negative number gives it back.
+// Add records that a destination uses more storage; a negative number releases it.
 func (s *FairShare) Add(dest int, bytes int64) {
-	if s.held == nil {
-		s.held = map[int]int64{}
+	if s.used == nil {
+		s.used = map[int]int64{}
 	}
-	s.used += bytes
-	if s.held[dest] += bytes; s.held[dest] <= 0 {
-		delete(s.held, dest)
+	s.total += bytes
+	if s.used[dest] += bytes; s.used[dest] <= 0 {
+		delete(s.used, dest)
 	}
 }
 
-// HasQueued tells whether a destination holds anything.
-func (s *FairShare) HasQueued(dest int) bool { return s.held[dest] > 0 }
+// HasQueued reports whether a destination uses any storage.
+func (s *FairShare) HasQueued(dest int) bool { return s.used[dest] > 0 }
 
-// Admits tells whether a destination may hold so much more, when such a part of the room is in use, from 0 to 1, and
-// there are so many destinations in all.
-func (s *FairShare) Admits(dest int, bytes int64, full float64, destinations int) bool {
-	if full < scarce || destinations <= 1 {
+// Admits reports whether a destination may use more storage, given the part of the storage that is in use, from 0 to 1, and
+// the total number of destinations.
+func (s *FairShare) Admits(dest int, bytes int64, inUse float64, destinations int) bool {
+	if inUse < fairShareThreshold || destinations <= 1 {
 		return true
 	}
-	mine, parts := s.held[dest], len(s.held)
-	if mine == 0 {
-		parts++
+	own, users := s.used[dest], len(s.used)
+	if own == 0 {
+		users++
 	}
-	room := divided * float64(s.used) / min(full, 1)
-	return float64(mine+bytes) <= room/float64(parts)
+	available := sharedPart * float64(s.total) / min(inUse, 1)
+	return float64(own+bytes) <= available/float64(users)
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -5,42 +5,43 @@
 	"testing"
 )
 
-// TestWellOnesFindRoom fills a room with messages of sick destinations, which stay, and well ones, which pass: whatever
-// their numbers, well ones are always taken on, a destination alone may use all, and nothing is left over at the end.
-func TestWellOnesFindRoom(t *testing.T) {
-	const room = 100_000
-	for _, c := range []struct{ sick, well int }{{1, 1}, {3, 10}, {40, 60}, {16, 1}, {1, 0}} {
+// TestHealthyDestinationsAreAdmitted fills the storage with messages of unresponsive destinations, which stay queued, and of
+// healthy ones, which pass through. It checks that messages for healthy destinations are always accepted, whatever the numbers of
+// both, that a destination may use all of the storage if it is the only one, and that no usage is left once all are released.
+func TestHealthyDestinationsAreAdmitted(t *testing.T) {
+	const storage = 100_000
+	for _, c := range []struct{ unresponsive, healthy int }{{1, 1}, {3, 10}, {40, 60}, {16, 1}, {1, 0}} {
 		var s FairShare
-		rng := rand.New(rand.NewPCG(uint64(c.sick), 7))
+		rng := rand.New(rand.NewPCG(uint64(c.unresponsive), 7))
 		used, refused := int64(0), 0
-		full := func() float64 { return float64(used) / room }
+		inUse := func() float64 { return float64(used) / storage }
 		for range 20_000 {
-			dest, size := rng.IntN(c.sick+c.well), int64(50+rng.IntN(100))
+			dest, size := rng.IntN(c.unresponsive+c.healthy), int64(50+rng.IntN(100))
 			switch {
-			case used+size > room || !s.Admits(dest, size, full(), c.sick+c.well):
-				if dest >= c.sick {
-					t.Fatalf("%+v: one for a well destination is turned away at %.2f", c, full())
+			case used+size > storage || !s.Admits(dest, size, inUse(), c.unresponsive+c.healthy):
+				if dest >= c.unresponsive {
+					t.Fatalf("%+v: a message for a healthy destination is refused with %.2f of the storage in use", c, inUse())
 				}
 				refused++
-			case dest < c.sick:
+			case dest < c.unresponsive:
 				used += size
 				s.Add(dest, size)
-			default: // it passes
+			default: // it passes through
 				s.Add(dest, size)
 				s.Add(dest, -size)
 			}
 		}
 		if refused == 0 {
-			t.Errorf("%+v: nothing was turned away: the test says nothing", c)
+			t.Errorf("%+v: nothing was refused: the test shows nothing", c)
 		}
-		if c.well == 0 && full() < 0.99 {
-			t.Errorf("alone, it may use %.2f of the room", full())
+		if c.healthy == 0 && inUse() < 0.99 {
+			t.Errorf("the only destination may use only %.2f of the storage", inUse())
 		}
-		for d := range c.sick {
-			s.Add(d, -s.held[d])
+		for d := range c.unresponsive {
+			s.Add(d, -s.used[d])
 		}
-		if s.used != 0 || len(s.held) != 0 {
-			t.Errorf("%+v: left over: %d, %v", c, s.used, s.held)
+		if s.total != 0 || len(s.used) != 0 {
+			t.Errorf("%+v: storage still in use at the end: %d, %v", c, s.total, s.used)
 		}
 	}
 }
