--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -5,75 +5,75 @@
 	"strings"
 )
 
-// Change is messages that go elsewhere.
+// Change is a set of messages whose route leads to another target.
 type Change struct {
 	Messages *MessageSet
-	Old, New *Rule // nil: none
-	// Truncated tells that more kinds of those that fit this and other routes go elsewhere than were listed.
+	Old, New *Rule // nil for none
+	// Truncated is set if more sets of messages that match this and other routes have changed than are listed.
 	Truncated bool
 }
 
-// Diff lists the messages that take another way by b than by a: names, order and the text of routes mean nothing, and way tells the place that a
-// route leads to (nil leads somewhere, too). It names the widest kinds of messages, and only those narrower ones for which the change is
-// another one; of those that fit one route and others, 20. It ends when it has found most of them.
+// Diff lists the sets of messages whose route leads to another target in b than in a. Names, positions and texts of routes don't count; target
+// returns a number for what a route leads to (also for nil). Diff lists the widest sets, and narrower ones only if their change is a different
+// one; of the sets that match one route and others it lists at most 20. It stops at the limit.
 //
-// That nothing is missed: take a message whose way changes, by the rule r of a and s of b. It is one of the kind that fits both.
-// Any rule that the whole kind fits, the message fits too, so that r and s are first for the kind as they are for the message.
-// If r is s, it leads elsewhere now; else one of them is in one table only or has another order: had both been there in both, as they are,
-// one of them would have been first in both.
-func Diff(a, b *Table, most int, way func(*Rule) int) (list []Change) {
-	before, after := a.parts(), b.parts()
-	said := map[string]bool{}
-	told := map[[2]int][]*MessageSet{}
-	look := func(s *MessageSet) {
-		if len(list) >= most {
+// Diff misses no change: take a message whose target changes, from the rule r of a to the rule s of b. It is in the set of messages that match
+// both. Any rule that matches the whole set matches the message too, so that r and s take precedence for the set as they do for the message.
+// If r is s, the rule leads to another target now. Otherwise one of them is in one table only or its order differs: if both were in both tables,
+// unchanged, the same one would take precedence in both.
+func Diff(a, b *Table, limit int, target func(*Rule) int) (list []Change) {
+	before, after := a.ruleCells(), b.ruleCells()
+	seen := map[string]bool{}
+	listed := map[[2]int][]*MessageSet{}
+	compare := func(s *MessageSet) {
+		if len(list) >= limit {
 			return
 		}
-		if text := s.String(); said[text] {
+		if text := s.String(); seen[text] {
 			return
 		} else {
-			said[text] = true
+			seen[text] = true
 		}
 		x, y := a.RouteForAll(s), b.RouteForAll(s)
-		ways := [2]int{way(x), way(y)}
-		if ways[0] == ways[1] || slices.ContainsFunc(told[ways][:min(len(told[ways]), mostInside)], s.inside) { // or said of all that are like these
+		targets := [2]int{target(x), target(y)}
+		if targets[0] == targets[1] || slices.ContainsFunc(listed[targets][:min(len(listed[targets]), maxSupersets)], s.isSubsetOf) { // or listed already for a set that includes this one
 			return
 		}
-		told[ways] = append(told[ways], s)
+		listed[targets] = append(listed[targets], s)
 		list = append(list, Change{Messages: s, Old: x, New: y})
 	}
-	var both, moved, ranked []part
-	for _, p := range sortedParts(before) {
-		p.old, p.new = p.rule, after[p.key].rule
-		both = append(both, p)
-		if p.new == nil || p.old.Order != p.new.Order {
+	var all, moved, ranked []ruleCell
+	for _, p := range sortedCells(before) {
+		p.oldRule, p.newRule = p.rule, after[p.key].rule
+		all = append(all, p)
+		if p.newRule == nil || p.oldRule.Order != p.newRule.Order {
 			ranked = append(ranked, p)
 		}
-		if p.new == nil || way(p.old) != way(p.new) || p.old.Order != p.new.Order {
+		if p.newRule == nil || target(p.oldRule) != target(p.newRule) || p.oldRule.Order != p.newRule.Order {
 			moved = append(moved, p)
 		}
 	}
-	for _, p := range sortedParts(after) {
+	for _, p := range sortedCells(after) {
 		if _, known := before[p.key]; !known {
-			p.new = p.rule
-			both = append(both, p)
+			p.newRule = p.rule
+			all = append(all, p)
 			moved = append(moved, p)
 			ranked = append(ranked, p)
 		}
 	}
-	// One must be first by a and the other by b.
-	pair := func(p, o part) {
-		if len(list) < most && (p.old != nil && o.new != nil && way(p.old) != way(o.new) || o.old != nil && p.new != nil && way(o.old) != way(p.new)) {
-			p.meet(o, look)
+	// One must take precedence in a and the other in b.
+	pair := func(p, o ruleCell) {
+		if len(list) < limit && (p.oldRule != nil && o.newRule != nil && target(p.oldRule) != target(o.newRule) || o.oldRule != nil && p.newRule != nil && target(o.oldRule) != target(p.newRule)) {
+			p.compareOverlap(o, compare)
 		}
 	}
 	for _, p := range moved {
-		look(p.some())
+		compare(p.messageSet())
 	}
-	// What fits two of them, by destination: most name one.
-	byDest := map[int][]part{}
-	var anywhere []part
-	for _, p := range both {
+	// Sets that match two of them are found by destination, since most rules name one.
+	byDest := map[int][]ruleCell{}
+	var anywhere []ruleCell
+	for _, p := range all {
 		if len(p.rule.Destinations) > 0 {
 			byDest[p.cell.dest] = append(byDest[p.cell.dest], p)
 		} else {
@@ -81,17 +81,17 @@
 		}
 	}
 	for _, p := range ranked {
-		others := [][]part{both}
+		others := [][]ruleCell{all}
 		if len(p.rule.Destinations) > 0 {
-			others = [][]part{byDest[p.cell.dest], anywhere}
+			others = [][]ruleCell{byDest[p.cell.dest], anywhere}
 		}
-		had := len(list)
-	one:
-		for _, some := range others {
-			for _, o := range some {
-				if pair(p, o); len(list)-had >= mostOfOne {
-					list = append(list, Change{Messages: p.some(), Truncated: true})
-					break one
+		start := len(list)
+	perRule:
+		for _, candidates := range others {
+			for _, o := range candidates {
+				if pair(p, o); len(list)-start >= maxPerRoute {
+					list = append(list, Change{Messages: p.messageSet(), Truncated: true})
+					break perRule
 				}
 			}
 		}
@@ -99,27 +99,27 @@
 	return list
 }
 
-// mostInside bounds how many kinds are looked at that a narrower one may be inside of, so that it need not be said.
-const mostInside = 64
+// maxSupersets limits how many listed sets are checked for including a narrower one, which then need not be listed.
+const maxSupersets = 64
 
-// mostOfOne bounds what is listed of the messages that fit one route and others.
-const mostOfOne = 20
+// maxPerRoute limits how many sets are listed of messages that match one route and others.
+const maxPerRoute = 20
 
-// part is one cell of a rule.
-type part struct {
-	rule     *Rule
-	cell     cell
-	key      string // the same for the same messages
-	old, new *Rule  // that have it; nil: none
+// ruleCell is one cell of a rule.
+type ruleCell struct {
+	rule             *Rule
+	cell             cell
+	key              string // equal for equal sets of messages
+	oldRule, newRule *Rule  // the rules with this cell in the old and the new table; nil for none
 }
 
-func (t *Table) parts() map[string]part {
-	m := map[string]part{}
+func (t *Table) ruleCells() map[string]ruleCell {
+	m := map[string]ruleCell{}
 	for _, r := range t.rules {
 		for c := range r.cells() {
-			p := part{rule: r, cell: c}
-			p.key = p.some().String()
-			if o, twice := m[p.key]; !twice || r.Order < o.rule.Order { // the other is never taken
+			p := ruleCell{rule: r, cell: c}
+			p.key = p.messageSet().String()
+			if o, duplicate := m[p.key]; !duplicate || r.Order < o.rule.Order { // the other one never applies
 				m[p.key] = p
 			}
 		}
@@ -127,14 +127,14 @@
 	return m
 }
 
-func sortedParts(m map[string]part) []part {
-	list := make([]part, 0, len(m))
+func sortedCells(m map[string]ruleCell) []ruleCell {
+	list := make([]ruleCell, 0, len(m))
 	for _, p := range m {
 		list = append(list, p)
 	}
-	slices.SortFunc(list, func(a, b part) int {
+	slices.SortFunc(list, func(a, b ruleCell) int {
 		x, y := a.rule.form(), b.rule.form()
-		if n := -compareRank(&x, &y); n != 0 { // the widest first
+		if n := -compareRank(&x, &y); n != 0 { // the widest sets first
 			return n
 		}
 		return strings.Compare(a.key, b.key)
@@ -142,7 +142,7 @@
 	return list
 }
 
-func (p *part) some() *MessageSet {
+func (p *ruleCell) messageSet() *MessageSet {
 	s := &MessageSet{Front: p.cell.front, Class: p.cell.class, Destination: p.cell.dest, HasDestination: len(p.rule.Destinations) > 0, Fields: map[string][]Match{}}
 	for _, f := range p.rule.Fields {
 		s.Fields[f.Name] = []Match{f.Match}
@@ -150,8 +150,8 @@
 	return s
 }
 
-// meet looks at the messages that fit two parts, if there are any and they are not all of one.
-func (p *part) meet(o part, look func(*MessageSet)) {
+// compareOverlap calls compare with the set of messages that match two cells, if it is not empty.
+func (p *ruleCell) compareOverlap(o ruleCell, compare func(*MessageSet)) {
 	s := &MessageSet{Front: p.cell.front, Class: p.cell.class, Destination: p.cell.dest, HasDestination: len(p.rule.Destinations) > 0}
 	switch {
 	case len(o.rule.Destinations) == 0:
@@ -160,26 +160,26 @@
 	default:
 		s.Destination, s.HasDestination = o.cell.dest, true
 	}
-	if !agree(&s.Class, o.cell.class) || !agree(&s.Front, o.cell.front) {
+	if !narrow(&s.Class, o.cell.class) || !narrow(&s.Front, o.cell.front) {
 		return
 	}
-	fields, meet := join(p.rule, o.rule)
-	if !meet {
+	fields, overlap := intersect(p.rule, o.rule)
+	if !overlap {
 		return
 	}
 	s.Fields = fields
-	look(s)
+	compare(s)
 }
 
-func agree(have *string, other string) bool {
+func narrow(have *string, other string) bool {
 	if *have == "" {
 		*have = other
 	}
 	return other == "" || *have == other
 }
 
-// inside tells whether all of s are of a wider kind.
-func (s *MessageSet) inside(o *MessageSet) bool {
+// isSubsetOf reports whether o includes all messages of s.
+func (s *MessageSet) isSubsetOf(o *MessageSet) bool {
 	if o.HasDestination && (!s.HasDestination || s.Destination != o.Destination) || o.Class != "" && s.Class != o.Class || o.Front != "" && s.Front != o.Front {
 		return false
 	}
--- a/internal/route/some.go
+++ b/internal/route/message_set.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// MessageSet is the messages that are alike in what is said here and may hold anything else: a class of its own, no destination that
-// any route names, and so on, where nothing is said.
+// MessageSet is the set of messages that have the given front, class, destination and fields. What is not given has a value that no
+// route names, such as a class of its own.
 type MessageSet struct {
 	Front, Class   string
 	Destination    int
-	HasDestination bool               // the destination is
-	Fields         map[string][]Match // of each, all hold
+	HasDestination bool               // the destination is given
+	Fields         map[string][]Match // the value of a field satisfies all of its matches
 }
 
 func (s *MessageSet) String() string {
 	return describe(s.Class, fmt.Sprint(s.Destination), s.HasDestination, s.Front, s.Fields)
 }
 
-// fieldsWithin tells whether the fields of all of them fit a rule.
-func (s *MessageSet) fieldsWithin(r *Rule) bool {
+// fieldsCoveredBy reports whether a rule matches the fields of all messages of the set.
+func (s *MessageSet) fieldsCoveredBy(r *Rule) bool {
 	for _, f := range r.Fields {
 		if !slices.ContainsFunc(s.Fields[f.Name], func(m Match) bool { return m.implies(f.Match) }) {
 			return false
@@ -30,18 +30,18 @@
 	return true
 }
 
-// RouteForAll returns the route that all of them take; nil if there is none, or none is known to be.
+// RouteForAll returns the route of all messages of a set, or nil if there is none or it can't be determined.
 func (t *Table) RouteForAll(s *MessageSet) *Rule {
 	for _, g := range t.groups {
-		if r := g.whole(s); r != nil {
+		if r := g.ruleForAll(s); r != nil {
 			return r
 		}
 	}
 	return nil
 }
 
-// whole finds a rule of a form that all of them fit.
-func (g *group) whole(s *MessageSet) *Rule {
+// ruleForAll returns a rule of the group that matches all messages of a set.
+func (g *group) ruleForAll(s *MessageSet) *Rule {
 	if g.dest && !s.HasDestination || g.class && s.Class == "" || g.front && s.Front == "" {
 		return nil
 	}
@@ -51,7 +51,7 @@
 		for _, m := range s.Fields[p.name] {
 			switch {
 			case p.kind == pattern:
-				known = true // looked at below
+				known = true // checked by fieldsCoveredBy
 			case m.kind == exact && (p.kind == exact || len(m.text) >= p.length):
 				texts[n], known = m.text, true
 			case m.kind == prefix && p.kind == prefix && len(m.text) >= p.length:
@@ -67,16 +67,16 @@
 			texts[n] = texts[n][:p.length]
 		}
 	}
-	for _, r := range g.by[string(g.key(nil, s.Class, s.Destination, s.Front, func(n int) string { return texts[n] }))] {
-		if s.fieldsWithin(r) {
+	for _, r := range g.byKey[string(g.key(nil, s.Class, s.Destination, s.Front, func(n int) string { return texts[n] }))] {
+		if s.fieldsCoveredBy(r) {
 			return r
 		}
 	}
 	return nil
 }
 
-// ShadowedBy returns the routes that take all messages of a rule before it, if it never matches. Where classes and fronts are given there are no
-// others.
+// ShadowedBy returns the routes that take precedence for all messages of a rule, if the rule never applies. If classes and fronts are given,
+// no others exist.
 func (t *Table) ShadowedBy(r *Rule, classes, fronts []string) (by []*Rule) {
 	own := r.form()
 	fields := map[string][]Match{}
@@ -97,7 +97,7 @@
 			if compareRank(&g.form, &own) >= 0 {
 				break
 			}
-			if first = g.whole(s); first != nil {
+			if first = g.ruleForAll(s); first != nil {
 				break
 			}
 		}
@@ -111,29 +111,29 @@
 	return by
 }
 
-// AmbiguousPair is two routes of equal rank that fit one message.
+// AmbiguousPair is two routes of equal rank that match the same messages.
 type AmbiguousPair struct {
 	A, B     *Rule
 	Messages *MessageSet
 }
 
-// mostPairs bounds what is said at once, and mostLooks what it takes.
+// maxPairs limits the number of reported pairs, and maxComparisons the work to find them.
 const (
-	mostPairs = 100
-	mostLooks = 20_000_000
+	maxPairs       = 100
+	maxComparisons = 20_000_000
 )
 
-// Ambiguous lists routes of equal rank that fit one message, 100 pairs at most. An error says that there are too many patterns
-// to tell.
+// Ambiguous lists pairs of routes of equal rank that match the same message, at most 100 pairs. It returns an error if there are too
+// many patterns to determine them.
 func (t *Table) Ambiguous() (list []AmbiguousPair, err error) {
-	looks := 0
+	comparisons := 0
 	for i, a := range t.groups {
 		for _, b := range t.groups[i:] {
 			if compareRank(&a.form, &b.form) != 0 {
 				break
 			}
-			err := ambiguous(a, b, &list, &looks)
-			if err != nil || len(list) >= mostPairs {
+			err := findAmbiguous(a, b, &list, &comparisons)
+			if err != nil || len(list) >= maxPairs {
 				return list, err
 			}
 		}
@@ -141,38 +141,38 @@
 	return list, nil
 }
 
-// ambiguous compares the routes of two forms of one rank, or of one form. They meet if they agree on what both name; what both
-// name and can be compared by a look-up is one.
-func ambiguous(a, b *group, list *[]AmbiguousPair, looks *int) error {
+// findAmbiguous compares the routes of two forms of the same rank, or of one form. Two routes overlap if they agree on what both name;
+// those parts that can be compared for equality form a common key, by which the candidates are looked up.
+func findAmbiguous(a, b *group, list *[]AmbiguousPair, comparisons *int) error {
 	by := map[string][]*Rule{}
-	for _, r := range b.sorted() {
+	for _, r := range b.sortedRules() {
 		for c := range r.cells() {
-			key := string(project(nil, r, c, a, b))
+			key := string(appendCommonKey(nil, r, c, a, b))
 			if !slices.Contains(by[key], r) {
 				by[key] = append(by[key], r)
 			}
-			if *looks += len(by[key]); *looks > mostLooks {
-				return errTooMany
+			if *comparisons += len(by[key]); *comparisons > maxComparisons {
+				return errTooManyPatterns
 			}
 		}
 	}
-	told := map[[2]*Rule]bool{}
-	for _, r := range a.sorted() {
+	listed := map[[2]*Rule]bool{}
+	for _, r := range a.sortedRules() {
 		for c := range r.cells() {
-			for _, o := range by[string(project(nil, r, c, b, a))] {
-				if *looks++; *looks > mostLooks {
-					return errTooMany
+			for _, o := range by[string(appendCommonKey(nil, r, c, b, a))] {
+				if *comparisons++; *comparisons > maxComparisons {
+					return errTooManyPatterns
 				}
-				if r == o || a == b && r.Name >= o.Name || told[[2]*Rule{r, o}] {
+				if r == o || a == b && r.Name >= o.Name || listed[[2]*Rule{r, o}] {
 					continue
 				}
-				fields, meet := join(r, o)
-				if !meet {
+				fields, overlap := intersect(r, o)
+				if !overlap {
 					continue
 				}
-				told[[2]*Rule{r, o}] = true
+				listed[[2]*Rule{r, o}] = true
 				*list = append(*list, AmbiguousPair{r, o, &MessageSet{c.front, c.class, c.dest, a.dest, fields}})
-				if len(*list) >= mostPairs {
+				if len(*list) >= maxPairs {
 					return nil
 				}
 			}
@@ -181,12 +181,12 @@
 	return nil
 }
 
-var errTooMany = fmt.Errorf("the routes have too many patterns and prefixes on the same messages to tell which of them are equal: give them different classes, destinations or orders")
+var errTooManyPatterns = fmt.Errorf("too many routes with patterns and prefixes match the same messages, so that ambiguous routes can't be determined: give them different classes, destinations or orders")
 
-// sorted has each rule of a group once, in the order of names.
-func (g *group) sorted() []*Rule {
+// sortedRules returns each rule of a group once, sorted by name.
+func (g *group) sortedRules() []*Rule {
 	seen := map[*Rule]bool{}
-	for _, list := range g.by {
+	for _, list := range g.byKey {
 		for _, r := range list {
 			seen[r] = true
 		}
@@ -194,8 +194,8 @@
 	return slices.SortedFunc(maps.Keys(seen), func(a, b *Rule) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// project is the part of what a rule names that another form names too, as far as equal texts are needed for them to meet.
-func project(buf []byte, r *Rule, c cell, other, own *group) []byte {
+// appendCommonKey appends the values of a rule that another form names too, as far as these must be equal for the rules to overlap.
+func appendCommonKey(buf []byte, r *Rule, c cell, other, own *group) []byte {
 	if own.dest && other.dest {
 		buf = fmt.Appendf(buf, "%d", c.dest)
 	}
@@ -215,7 +215,7 @@
 		case p.kind == exact && o.kind == exact:
 		case p.kind == prefix && o.kind == prefix:
 			text = text[:min(p.length, o.length)]
-		case o.kind == prefix: // shorter than that it can't meet it: it stays as it is, and finds none
+		case o.kind == prefix: // a shorter value can't match the prefix: it is kept as it is and finds no candidate
 			text = text[:min(len(text), o.length)]
 		default:
 		}
@@ -224,11 +224,11 @@
 	return buf
 }
 
-// join is what the fields of a message hold that fits two rules; meet is false if there is none.
-func join(a, b *Rule) (fields map[string][]Match, meet bool) {
-	for _, f := range a.Fields { // first, as most don't
+// intersect returns the conditions on the fields of messages that match both rules; overlap is false if there are no such messages.
+func intersect(a, b *Rule) (fields map[string][]Match, overlap bool) {
+	for _, f := range a.Fields { // checked first, since most rules don't overlap
 		for _, o := range b.Fields {
-			if f.Name == o.Name && !f.meets(o.Match) {
+			if f.Name == o.Name && !f.overlaps(o.Match) {
 				return nil, false
 			}
 		}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,10 +1,10 @@
-// Package route decides which route a message takes: the most specific one that it fits. It does no I/O and keeps no state but
-// the routes themselves.
+// Package route selects the route of a message: the most specific one that matches it. It does no I/O and keeps no state
+// except the routes themselves.
 //
-// Of two routes that fit a message the one with the lower order goes first; then the one that names more fields; then, of
-// those, the one that names more of them exactly; then the one whose prefixes are longer together; then one that names
-// destinations, one that names classes, one that names fronts. Two that are still equal and fit one message are found by
-// [Table.Ambiguous], and must not be used.
+// Of the routes that match a message, the one with the lowest order takes precedence; then the one that names the most fields;
+// then the one that matches the most fields exactly; then the one with the greatest total length of prefixes; then one that names
+// destinations, one that names classes, and one that names fronts. [Table.Ambiguous] finds routes of equal rank that match the
+// same message; such a table must not be used.
 package route
 
 import (
@@ -17,42 +17,42 @@
 	"strings"
 )
 
-// Bounds of routes.
+// Limits of routes.
 const (
-	MaxFields     = 8    // of one route
-	MaxNameLen    = 64   // bytes of a field's name
-	MaxTextLen    = 512  // bytes of what is looked for in one
-	MaxFieldNames = 32   // different fields of all routes: each is looked for once in a message
-	MaxValueLen   = 1024 // bytes of a value that expressions look at: a longer one fits none
-	MaxForms      = 256  // forms of routes: each message is looked up once in each
-	MaxOrder      = 1000 // and not below its negative
+	MaxFields     = 8    // fields per route
+	MaxNameLen    = 64   // length of a field's name in bytes
+	MaxTextLen    = 512  // length of a match in bytes
+	MaxFieldNames = 32   // different fields of all routes together: each is looked up once per message
+	MaxValueLen   = 1024 // length in bytes of a value that regular expressions are applied to: they match no longer one
+	MaxForms      = 256  // different forms of routes: each message is looked up once per form
+	MaxOrder      = 1000 // the least order is -MaxOrder
 )
 
-// Message is what of a message says where it goes.
+// Message is the part of a message that routing depends on.
 type Message struct {
 	Front       string
 	Class       string
 	Destination int
-	Field       func(name string) (value string, there bool)
+	Field       func(name string) (value string, ok bool)
 }
 
-// Rule is one route. What it does not name may be anything.
+// Rule is one route. It matches any value of what it does not name.
 type Rule struct {
 	Name         string
 	Order        int
 	Fronts       []string
 	Classes      []string
 	Destinations []int
-	Fields       []Field // each name once
+	Fields       []Field // each name at most once
 }
 
-// Field is one field that must be there, and what it must hold.
+// Field is a field that must be present, and what its value must match.
 type Field struct {
 	Name string
 	Match
 }
 
-// kind is how a field is looked at.
+// kind is the way in which a value is matched.
 type kind byte
 
 const (
@@ -61,20 +61,20 @@
 	pattern
 )
 
-// Match is what a field must hold.
+// Match is a condition on the value of a field.
 type Match struct {
 	kind kind
 	text string
 	re   *regexp.Regexp
 }
 
-// ParseMatch reads a match: /x/ is a regular expression (RE2) for the whole value, x* a prefix, and all else the value itself.
+// ParseMatch parses a match: /x/ is a regular expression (RE2) for the whole value, x* is a prefix, and anything else is the exact value.
 func ParseMatch(text string) (Match, error) {
 	switch {
 	case len(text) > MaxTextLen:
-		return Match{}, fmt.Errorf("a text of %d bytes is looked for; at most %d", len(text), MaxTextLen)
+		return Match{}, fmt.Errorf("the match has %d bytes; at most %d are allowed", len(text), MaxTextLen)
 	case text == "":
-		return Match{}, errors.New(`an empty text is looked for: write "*" for any value`)
+		return Match{}, errors.New(`the match is empty: write "*" for any value`)
 	case len(text) > 1 && text[0] == '/' && text[len(text)-1] == '/':
 		re, err := regexp.Compile(`\A(?:` + text[1:len(text)-1] + `)\z`)
 		if err != nil {
@@ -94,8 +94,8 @@
 	return m.text
 }
 
-// fits tells whether a value is what is looked for.
-func (m Match) fits(value string) bool {
+// matches reports whether a value satisfies the match.
+func (m Match) matches(value string) bool {
 	switch m.kind {
 	case prefix:
 		return strings.HasPrefix(value, m.text)
@@ -105,11 +105,11 @@
 	return value == m.text
 }
 
-// implies tells whether each value that fits m fits o. Of two patterns that is known only if they are the same.
+// implies reports whether every value that m matches is matched by o. For two patterns this is known only if they are the same.
 func (m Match) implies(o Match) bool {
 	switch {
 	case m.kind == exact:
-		return o.fits(m.text)
+		return o.matches(m.text)
 	case o.kind == prefix && o.text == "":
 		return true
 	case m.kind == pattern || o.kind == pattern:
@@ -118,20 +118,20 @@
 	return o.kind == prefix && strings.HasPrefix(m.text, o.text)
 }
 
-// meets tells whether one value may fit both. Of a pattern and what is not exact that is taken for true.
-func (m Match) meets(o Match) bool {
+// overlaps reports whether some value may match both. For a pattern and a match that is not exact it is assumed.
+func (m Match) overlaps(o Match) bool {
 	switch {
 	case m.kind == exact:
-		return o.fits(m.text)
+		return o.matches(m.text)
 	case o.kind == exact:
-		return m.fits(o.text)
+		return m.matches(o.text)
 	case m.kind == pattern || o.kind == pattern:
 		return true
 	}
 	return strings.HasPrefix(m.text, o.text) || strings.HasPrefix(o.text, m.text)
 }
 
-// form is what a route names, without what it holds. All routes of one form have one rank.
+// form is what a route names, without the values. All routes of one form have the same rank.
 type form struct {
 	order              int
 	dest, class, front bool
@@ -141,11 +141,11 @@
 type formField struct {
 	name   string
 	kind   kind
-	length int // of a prefix
-	at     int // in the table's names
+	length int // of a prefix, in bytes
+	index  int // in Table.fieldNames
 }
 
-// rank compares as forms go: the lower one first.
+// rank returns the precedence of the form: the lower one takes precedence.
 func (f *form) rank() [7]int {
 	exacts, lengths := 0, 0
 	for _, p := range f.fields {
@@ -154,18 +154,18 @@
 		}
 		lengths += p.length
 	}
-	return [7]int{f.order, -len(f.fields), -exacts, -lengths, -one(f.dest), -one(f.class), -one(f.front)}
+	return [7]int{f.order, -len(f.fields), -exacts, -lengths, -boolToInt(f.dest), -boolToInt(f.class), -boolToInt(f.front)}
 }
 
-func one(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// same tells forms apart.
-func (f *form) same() string {
+// identity returns a text that differs between different forms.
+func (f *form) identity() string {
 	text := fmt.Appendf(nil, "%d %v %v %v", f.order, f.dest, f.class, f.front)
 	for _, p := range f.fields {
 		text = fmt.Appendf(text, " %q %d %d", p.name, p.kind, p.length)
@@ -173,60 +173,60 @@
 	return string(text)
 }
 
-// group is the routes of one form, found by what they name: one look-up, however many there are.
+// group is the routes of one form, indexed by the values that they name, so that finding one takes one look-up however many there are.
 type group struct {
 	form
-	by map[string][]*Rule // more than one only with patterns
+	byKey map[string][]*Rule // several rules have the same key only if the form has patterns
 }
 
-// Table finds routes.
+// Table finds the route of a message.
 type Table struct {
-	groups []*group // as they go
-	names  []string // of all fields
-	rules  []*Rule
+	groups     []*group // in the order of their rank
+	fieldNames []string // names of the fields of all routes
+	rules      []*Rule
 }
 
-// Error is what is wrong with one route.
+// Error reports a problem with one route.
 type Error struct{ Route, Problem string }
 
 func (e *Error) Error() string { return fmt.Sprintf("route %q %s", e.Route, e.Problem) }
 
-// New makes a Table. The error says that there are too many fields or forms.
+// New makes a Table. It returns an error if there are too many fields or forms.
 func New(rules []Rule) (*Table, error) {
 	t := &Table{}
 	forms := map[string]*group{}
 	for i := range rules {
 		r := &rules[i]
 		if len(r.Fields) > MaxFields {
-			return nil, &Error{r.Name, fmt.Sprintf("names %d fields; at most %d", len(r.Fields), MaxFields)}
+			return nil, &Error{r.Name, fmt.Sprintf("names %d fields; at most %d are allowed", len(r.Fields), MaxFields)}
 		}
 		t.rules = append(t.rules, r)
 		f := r.form()
-		same := f.same()
-		g := forms[same]
+		identity := f.identity()
+		g := forms[identity]
 		if g == nil {
 			if len(forms) == MaxForms {
-				return nil, &Error{r.Name, fmt.Sprintf("is of one form more than the %d that there may be: each message is looked up in each", MaxForms)}
+				return nil, &Error{r.Name, fmt.Sprintf("exceeds the limit of %d different forms of routes: each message is looked up once per form", MaxForms)}
 			}
 			for n := range f.fields {
 				name := f.fields[n].name
-				at := slices.Index(t.names, name)
-				if at < 0 {
-					if at = len(t.names); at == MaxFieldNames {
-						return nil, &Error{r.Name, fmt.Sprintf("names the field %q, one more than the %d that all routes may name together", name, MaxFieldNames)}
+				index := slices.Index(t.fieldNames, name)
+				if index < 0 {
+					if index = len(t.fieldNames); index == MaxFieldNames {
+						return nil, &Error{r.Name, fmt.Sprintf("names the field %q, which exceeds the limit of %d different fields of all routes", name, MaxFieldNames)}
 					}
-					t.names = append(t.names, name)
+					t.fieldNames = append(t.fieldNames, name)
 				}
-				f.fields[n].at = at
+				f.fields[n].index = index
 			}
-			g = &group{form: f, by: map[string][]*Rule{}}
-			forms[same] = g
+			g = &group{form: f, byKey: map[string][]*Rule{}}
+			forms[identity] = g
 			t.groups = append(t.groups, g)
 		}
 		for c := range r.cells() {
 			key := string(g.key(nil, c.class, c.dest, c.front, func(n int) string { return r.Fields[n].text }))
-			if !slices.Contains(g.by[key], r) { // a class named twice is named
-				g.by[key] = append(g.by[key], r)
+			if !slices.Contains(g.byKey[key], r) { // the rule may name a class more than once
+				g.byKey[key] = append(g.byKey[key], r)
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 	return t, nil
 }
 
-// form sorts the fields, too.
+// form returns the form of a rule, and sorts its fields by name.
 func (r *Rule) form() form {
 	r.Fields = slices.Clone(r.Fields)
 	slices.SortFunc(r.Fields, func(a, b Field) int { return strings.Compare(a.Name, b.Name) })
@@ -252,14 +252,14 @@
 	return f
 }
 
-// cell is one combination of what a route names.
+// cell is one combination of the class, destination and front that a route names.
 type cell struct {
 	class string
 	dest  int
 	front string
 }
 
-// cells are those of a rule; what it does not name is empty.
+// cells iterates over the cells of a rule; what the rule does not name is empty.
 func (r *Rule) cells() func(yield func(cell) bool) {
 	return func(yield func(cell) bool) {
 		for _, class := range orAny(r.Classes) {
@@ -281,7 +281,7 @@
 	return list
 }
 
-// key is where routes of a form stand that name this much. field tells the text of the form's nth.
+// key returns the key of a combination of values in a group of this form. field returns the value for the form's nth field.
 func (f *form) key(buf []byte, class string, dest int, front string, field func(n int) string) []byte {
 	if f.dest {
 		buf = binary.AppendVarint(buf, int64(dest))
@@ -304,25 +304,25 @@
 	return append(binary.AppendUvarint(buf, uint64(len(text))), text...)
 }
 
-// Find returns the route that a message takes; nil if it fits none.
+// Find returns the route of a message, or nil if none matches.
 func (t *Table) Find(m *Message) *Rule {
 	var buf [256]byte
 	var values [MaxFields]string
-	var all [MaxFieldNames]struct {
-		value         string
-		there, looked bool
+	var entries [MaxFieldNames]struct {
+		value             string
+		present, lookedUp bool
 	}
-next:
+nextGroup:
 	for _, g := range t.groups {
 		for n, p := range g.fields {
-			said := &all[p.at]
-			if !said.looked {
-				said.value, said.there = m.Field(p.name)
-				said.looked = true
+			entry := &entries[p.index]
+			if !entry.lookedUp {
+				entry.value, entry.present = m.Field(p.name)
+				entry.lookedUp = true
 			}
-			v := said.value
-			if !said.there || p.kind == prefix && len(v) < p.length {
-				continue next
+			v := entry.value
+			if !entry.present || p.kind == prefix && len(v) < p.length {
+				continue nextGroup
 			}
 			values[n] = v
 		}
@@ -332,8 +332,8 @@
 			}
 			return values[n]
 		})
-		for _, r := range g.by[string(key)] {
-			if r.patternsFit(values[:]) {
+		for _, r := range g.byKey[string(key)] {
+			if r.patternsMatch(values[:]) {
 				return r
 			}
 		}
@@ -341,19 +341,19 @@
 	return nil
 }
 
-func (r *Rule) patternsFit(values []string) bool {
+func (r *Rule) patternsMatch(values []string) bool {
 	for n, p := range r.Fields {
-		if p.kind == pattern && (len(values[n]) > MaxValueLen || !p.fits(values[n])) {
+		if p.kind == pattern && (len(values[n]) > MaxValueLen || !p.matches(values[n])) {
 			return false
 		}
 	}
 	return true
 }
 
-// Rules are the routes, as they were given.
+// Rules returns the routes in the order in which they were passed to New.
 func (t *Table) Rules() []*Rule { return t.rules }
 
-// Len is the number of routes.
+// Len returns the number of routes.
 func (t *Table) Len() int { return len(t.rules) }
 
 func compareRank(a, b *form) int {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// The world of the tests: every message that there is, with classes and destinations of which the last is named by no rule, and
-// two fields that hold words of two letters, or are not there.
+// The values from which the tests build all messages: no rule names the last destination, or the last class without the others; two
+// fields hold words of up to three letters or are absent.
 var (
 	classes = []string{"a", "b", "other"}
 	dests   = []int{1, 2, 99}
 	fronts  = []string{"resp2", "smtp"}
 	words   = func() (all []string) {
-		all = []string{"-"} // not there
+		all = []string{"-"} // the field is absent
 		for _, x := range []string{"", "p", "q", "z"} {
 			for _, y := range []string{"", "p", "q", "z"} {
 				if x != "" {
@@ -31,23 +31,23 @@
 	}()
 )
 
-type said struct {
+type testMessage struct {
 	class, front string
 	dest         int
 	fields       map[string]string
 }
 
-func (m *said) message() *Message {
+func (m *testMessage) message() *Message {
 	return &Message{m.front, m.class, m.dest, func(name string) (string, bool) { v, ok := m.fields[name]; return v, ok }}
 }
 
-func everyMessage(classes, fronts []string, do func(*said)) {
+func forEachMessage(classes, fronts []string, do func(*testMessage)) {
 	for _, c := range classes {
 		for _, d := range dests {
 			for _, f := range fronts {
 				for _, x := range words {
 					for _, y := range words {
-						m := &said{c, f, d, map[string]string{}}
+						m := &testMessage{c, f, d, map[string]string{}}
 						if x != "-" {
 							m.fields["x"] = x
 						}
@@ -62,25 +62,25 @@
 	}
 }
 
-// text is a rule as an operator writes it: the oracle reads no more than this.
-type text struct {
+// testRule is a rule as an operator writes it; the oracle uses nothing else.
+type testRule struct {
 	Rule
 	fields map[string]string
 }
 
-// patterns are those that rules are drawn with.
+// patterns are the regular expressions that generated rules use.
 var patterns = map[string]*regexp.Regexp{"/p+/": regexp.MustCompile("^p+$"), "/p.?/": regexp.MustCompile("^p.?$"), "/[pq]q/": regexp.MustCompile("^[pq]q$")}
 
-// fits is written apart from the package's own ways.
-func (r *text) fits(m *said) bool {
+// matches is an implementation that is independent of the package.
+func (r *testRule) matches(m *testMessage) bool {
 	if len(r.Classes) > 0 && !slices.Contains(r.Classes, m.class) || len(r.Destinations) > 0 && !slices.Contains(r.Destinations, m.dest) ||
 		len(r.Fronts) > 0 && !slices.Contains(r.Fronts, m.front) {
 		return false
 	}
 	for name, want := range r.fields {
-		v, there := m.fields[name]
+		v, ok := m.fields[name]
 		switch {
-		case !there:
+		case !ok:
 			return false
 		case strings.HasPrefix(want, "/"):
 			if !patterns[want].MatchString(v) {
@@ -97,8 +97,8 @@
 	return true
 }
 
-// points make the rank as one number, the higher one first.
-func (r *text) points() (n int) {
+// score expresses the rank as one number; the highest takes precedence.
+func (r *testRule) score() (n int) {
 	n = -r.Order*1_000_000 + 100_000*len(r.fields)
 	for _, want := range r.fields {
 		switch {
@@ -112,27 +112,27 @@
 	return n + 4*min(1, len(r.Destinations)) + 2*min(1, len(r.Classes)) + min(1, len(r.Fronts))
 }
 
-// first are the rules of the highest rank that a message fits.
-func first(rules []text, m *said) (best []*text) {
+// bestMatches returns the rules of the highest rank that match a message.
+func bestMatches(rules []testRule, m *testMessage) (best []*testRule) {
 	for i := range rules {
 		r := &rules[i]
-		if !r.fits(m) {
+		if !r.matches(m) {
 			continue
 		}
-		if len(best) > 0 && r.points() > best[0].points() {
+		if len(best) > 0 && r.score() > best[0].score() {
 			best = nil
 		}
-		if len(best) == 0 || r.points() == best[0].points() {
+		if len(best) == 0 || r.score() == best[0].score() {
 			best = append(best, r)
 		}
 	}
 	return best
 }
 
-func draw(rng *rand.Rand, patterns bool) (rules []text) {
-	some := func(list ...string) string { return list[rng.IntN(len(list))] }
+func randomRules(rng *rand.Rand, patterns bool) (rules []testRule) {
+	choose := func(list ...string) string { return list[rng.IntN(len(list))] }
 	for i := range 1 + rng.IntN(6) {
-		r := text{Rule: Rule{Name: fmt.Sprint("r", i)}, fields: map[string]string{}}
+		r := testRule{Rule: Rule{Name: fmt.Sprint("r", i)}, fields: map[string]string{}}
 		if rng.IntN(5) == 0 {
 			r.Order = rng.IntN(3) - 1
 		}
@@ -141,9 +141,9 @@
 		r.Fronts = [][]string{nil, nil, nil, {"resp2"}, {"smtp", "resp2"}}[rng.IntN(5)]
 		for _, name := range []string{"x", "y"} {
 			if rng.IntN(2) == 0 {
-				r.fields[name] = some("p", "q", "pq", "p*", "q*", "pq*", "*")
+				r.fields[name] = choose("p", "q", "pq", "p*", "q*", "pq*", "*")
 				if patterns && rng.IntN(3) == 0 {
-					r.fields[name] = some("/p+/", "/p.?/", "/[pq]q/")
+					r.fields[name] = choose("/p+/", "/p.?/", "/[pq]q/")
 				}
 			}
 		}
@@ -152,7 +152,7 @@
 	return rules
 }
 
-func table(t *testing.T, rules []text) *Table {
+func newTable(t *testing.T, rules []testRule) *Table {
 	t.Helper()
 	var list []Rule
 	for _, r := range rules {
@@ -172,83 +172,83 @@
 	return table
 }
 
-// TestOracle compares generated routes with a walk over all rules for all messages: which route each takes, whether two are equal for one,
-// and whether one is never taken.
-func TestOracle(t *testing.T) {
+// TestFindAgainstOracle compares generated tables with a linear search over all rules for all messages: which route a message takes, whether
+// routes are ambiguous, and whether a route never applies.
+func TestFindAgainstOracle(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 9))
-	unclear, hidden, fine := 0, 0, 0
+	ambiguous, shadowed, unambiguous := 0, 0, 0
 	for n := range 250 {
 		patterns := n%3 == 0
-		rules := draw(rng, patterns)
-		table := table(t, rules)
+		rules := randomRules(rng, patterns)
+		table := newTable(t, rules)
 		pairs, err := table.Ambiguous()
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken, equal := map[string]bool{}, false
-		everyMessage(classes, fronts, func(m *said) {
-			best := first(rules, m)
+		applied, equal := map[string]bool{}, false
+		forEachMessage(classes, fronts, func(m *testMessage) {
+			best := bestMatches(rules, m)
 			if len(best) > 1 {
 				equal = true
 				if len(pairs) == 0 {
-					t.Fatalf("%+v: %+v fits %s and %s alike, and no pair is found", rules, m, best[0].Name, best[1].Name)
+					t.Fatalf("%+v: %+v matches %s and %s with equal rank, but no ambiguous pair is reported", rules, m, best[0].Name, best[1].Name)
 				}
 				return
 			}
 			got, want := table.Find(m.message()), ""
 			if len(best) > 0 {
 				want = best[0].Name
-				taken[want] = true
+				applied[want] = true
 			}
 			if (got != nil || want != "") && (got == nil || got.Name != want) {
-				t.Fatalf("%+v: %+v takes %+v, want %q", rules, m, got, want)
+				t.Fatalf("%+v: the route of %+v is %+v, want %q", rules, m, got, want)
 			}
 		})
 		if len(pairs) > 0 {
-			unclear++
+			ambiguous++
 			if p := pairs[0]; !equal && !patterns && table.RouteForAll(p.Messages) == nil {
-				t.Fatalf("%+v: %s and %s are said to be equal for %s", rules, p.A.Name, p.B.Name, p.Messages)
+				t.Fatalf("%+v: %s and %s are reported as ambiguous for %s", rules, p.A.Name, p.B.Name, p.Messages)
 			}
 			continue
 		}
-		fine++
+		unambiguous++
 		for _, r := range table.rules {
 			by := table.ShadowedBy(r, classes, fronts)
 			if len(by) > 0 {
-				hidden++
+				shadowed++
 			}
-			if len(by) > 0 && taken[r.Name] || len(by) == 0 && !taken[r.Name] && !patterns {
-				t.Fatalf("%+v: %s: hidden by %v, and taken %v", rules, r.Name, by, taken[r.Name])
+			if len(by) > 0 && applied[r.Name] || len(by) == 0 && !applied[r.Name] && !patterns {
+				t.Fatalf("%+v: %s: shadowed by %v; applies to some message: %v", rules, r.Name, by, applied[r.Name])
 			}
 		}
 	}
-	t.Logf("%d unclear, %d fine, %d hidden", unclear, fine, hidden)
-	if min(unclear, hidden, fine) < 10 {
-		t.Error("one kind is too rare: the test says little")
+	t.Logf("%d ambiguous tables, %d unambiguous tables, %d shadowed routes", ambiguous, unambiguous, shadowed)
+	if min(ambiguous, shadowed, unambiguous) < 10 {
+		t.Error("some kind occurs too rarely: the test shows little")
 	}
 }
 
-// TestDiff changes one rule of a table: where any message takes another way its kind is named with both, and else nothing is; order
-// and names mean nothing.
+// TestDiff changes one rule of a table and compares Diff with the routes of all messages: each message whose target changes is in a listed set with
+// both targets, and nothing is listed if no target changes. The position and the names of rules don't count.
 func TestDiff(t *testing.T) {
 	rng := rand.New(rand.NewPCG(6, 9))
-	same, other := 0, 0
-	way := func(r *Rule) int { // where a rule leads: three places, by its name
+	unchanged, different := 0, 0
+	target := func(r *Rule) int { // one of three targets, by the rule's name
 		if r == nil {
 			return -1
 		}
 		return int(r.Name[1]-'0') % 3
 	}
 	for range 250 {
-		rules := draw(rng, false)
+		rules := randomRules(rng, false)
 		changed := slices.Clone(rules)
 		slices.Reverse(changed)
-		a := table(t, rules)
+		a := newTable(t, rules)
 		if pairs, _ := a.Ambiguous(); len(pairs) > 0 {
 			continue
 		}
-		if d := Diff(a, table(t, changed), 1000, way); len(d) > 0 {
-			t.Fatalf("%+v: only the order differs: %+v", rules, d)
+		if d := Diff(a, newTable(t, changed), 1000, target); len(d) > 0 {
+			t.Fatalf("%+v: only the positions of the rules differ, but Diff lists %+v", rules, d)
 		}
 		switch i := rng.IntN(len(changed)); rng.IntN(4) {
 		case 0:
@@ -258,47 +258,49 @@
 		case 2:
 			changed[i].Order = rng.IntN(3) - 1
 		case 3:
-			changed[i] = draw(rng, false)[0]
+			changed[i] = randomRules(rng, false)[0]
 		}
-		b := table(t, changed)
+		b := newTable(t, changed)
 		if pairs, _ := b.Ambiguous(); len(pairs) > 0 {
 			continue
 		}
-		d := Diff(a, b, 1000, way)
-		differs := false
-		everyMessage(append(classes, "unnamed"), append(fronts, "unnamed"), func(m *said) {
+		d := Diff(a, b, 1000, target)
+		anyChange := false
+		forEachMessage(append(classes, "unnamed"), append(fronts, "unnamed"), func(m *testMessage) {
 			x, y := a.Find(m.message()), b.Find(m.message())
-			if way(x) == way(y) {
+			if target(x) == target(y) {
 				return
 			}
-			differs = true
-			if !slices.ContainsFunc(d, func(c Change) bool { return way(c.Old) == way(x) && way(c.New) == way(y) && holds(c.Messages, m) }) {
-				t.Fatalf("%+v to %+v: %+v goes from %d to %d, and only this is said: %+v", rules, changed, m, way(x), way(y), d)
+			anyChange = true
+			if !slices.ContainsFunc(d, func(c Change) bool {
+				return target(c.Old) == target(x) && target(c.New) == target(y) && contains(c.Messages, m)
+			}) {
+				t.Fatalf("%+v to %+v: the target of %+v changes from %d to %d, but Diff lists only %+v", rules, changed, m, target(x), target(y), d)
 			}
 		})
-		if !differs && len(d) > 0 {
-			t.Fatalf("%+v to %+v: nothing differs, and this is said: %v", rules, changed, d[0].Messages)
+		if !anyChange && len(d) > 0 {
+			t.Fatalf("%+v to %+v: no target changes, but Diff lists %v", rules, changed, d[0].Messages)
 		}
-		if differs {
-			other++
+		if anyChange {
+			different++
 		} else {
-			same++
+			unchanged++
 		}
 	}
-	t.Logf("%d without effect, %d with", same, other)
-	if min(same, other) < 10 {
-		t.Error("one kind is too rare: the test says little")
+	t.Logf("%d changes without effect, %d with effect", unchanged, different)
+	if min(unchanged, different) < 10 {
+		t.Error("some kind occurs too rarely: the test shows little")
 	}
 }
 
-// holds tells whether a message is one of some.
-func holds(s *MessageSet, m *said) bool {
+// contains reports whether a message is in a set.
+func contains(s *MessageSet, m *testMessage) bool {
 	if s.HasDestination && s.Destination != m.dest || s.Class != "" && s.Class != m.class || s.Front != "" && s.Front != m.front {
 		return false
 	}
-	for name, all := range s.Fields {
-		for _, want := range all {
-			if v, there := m.fields[name]; !there || !want.fits(v) {
+	for name, matches := range s.Fields {
+		for _, want := range matches {
+			if v, ok := m.fields[name]; !ok || !want.matches(v) {
 				return false
 			}
 		}
@@ -306,18 +308,18 @@
 	return true
 }
 
-// TestPatterns: what implies and meets another is so for every word.
-func TestPatterns(t *testing.T) {
+// TestMatchRelations checks implies and overlaps against all words, and the errors of ParseMatch.
+func TestMatchRelations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		form := rapid.SampledFrom([]string{"p", "q", "pq", "p*", "pq*", "*", "/p+/", "/[pq]*/", "/p|qq/"})
 		a, _ := ParseMatch(form.Draw(t, "a"))
 		b, _ := ParseMatch(form.Draw(t, "b"))
 		for _, w := range words {
-			if a.implies(b) && a.fits(w) && !b.fits(w) {
-				t.Fatalf("%s implies %s, and %q fits the first alone", a, b, w)
+			if a.implies(b) && a.matches(w) && !b.matches(w) {
+				t.Fatalf("%s implies %s, but only the first matches %q", a, b, w)
 			}
-			if a.fits(w) && b.fits(w) && !a.meets(b) {
-				t.Fatalf("%s and %s meet in %q", a, b, w)
+			if a.matches(w) && b.matches(w) && !a.overlaps(b) {
+				t.Fatalf("%s and %s both match %q but do not overlap", a, b, w)
 			}
 		}
 	})
@@ -328,18 +330,18 @@
 	}
 }
 
-// TestTooMuch: what would cost each message too much, or can't be told in bounded time, is refused.
-func TestTooMuch(t *testing.T) {
+// TestLimits checks that tables that would make routing too expensive, or that can't be checked in bounded time, are rejected.
+func TestLimits(t *testing.T) {
 	var rules []Rule
 	for n := range MaxForms + 1 {
 		m, _ := ParseMatch(strings.Repeat("p", n+1) + "*")
 		rules = append(rules, Rule{Name: fmt.Sprint(n), Fields: []Field{{"x", m}}})
 	}
 	if _, err := New(rules); err == nil {
-		t.Error("so many forms are taken")
+		t.Error("too many forms are accepted")
 	}
 	if _, err := New([]Rule{{Fields: make([]Field, MaxFields+1)}}); err == nil {
-		t.Error("so many fields are taken")
+		t.Error("too many fields are accepted")
 	}
 	rules = nil
 	for n := range MaxFieldNames + 1 {
@@ -347,26 +349,26 @@
 		rules = append(rules, Rule{Name: fmt.Sprint(n), Fields: []Field{{fmt.Sprint("f", n), m}}})
 	}
 	if _, err := New(rules); err == nil || !strings.Contains(err.Error(), `route "32" names the field "f32"`) {
-		t.Errorf("so many names: %v", err)
+		t.Errorf("too many field names: %v", err)
 	}
-	// A field is looked for once, however many forms name it, and a long value is no work for expressions.
+	// A field is looked up once, however many forms name it, and regular expressions are not applied to values that are too long.
 	p, _ := ParseMatch("/p*/")
 	rules = []Rule{{Name: "p", Fields: []Field{{"x", p}}}}
 	for n := range 100 {
 		m, _ := ParseMatch(strings.Repeat("q", n+1) + "*")
 		rules = append(rules, Rule{Name: fmt.Sprint(n), Fields: []Field{{"x", m}}})
 	}
-	some, err := New(rules)
+	manyForms, err := New(rules)
 	if err != nil {
 		t.Fatal(err)
 	}
-	looks, size := 0, MaxValueLen
-	m := &Message{Field: func(string) (string, bool) { looks++; return strings.Repeat("p", size), true }}
-	if got := some.Find(m); got == nil || got.Name != "p" || looks != 1 {
-		t.Errorf("%v after %d looks", got, looks)
+	lookUps, size := 0, MaxValueLen
+	m := &Message{Field: func(string) (string, bool) { lookUps++; return strings.Repeat("p", size), true }}
+	if got := manyForms.Find(m); got == nil || got.Name != "p" || lookUps != 1 {
+		t.Errorf("%v after %d look-ups", got, lookUps)
 	}
-	if size++; some.Find(m) != nil {
-		t.Error("a longer value fits an expression")
+	if size++; manyForms.Find(m) != nil {
+		t.Error("a regular expression matches a value that is too long")
 	}
 	rules = nil
 	for n := range 20_000 {
@@ -378,11 +380,11 @@
 		t.Fatal(err)
 	}
 	if _, err := table.Ambiguous(); err == nil {
-		t.Error("20,000 patterns for the same messages are told apart")
+		t.Error("20,000 patterns for the same messages are checked without an error")
 	}
 }
 
-// BenchmarkFind: what a message costs does not grow with the routes, only with their forms.
+// BenchmarkFind shows that the cost per message grows with the number of forms and not with the number of routes.
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{100, 100_000} {
 		var rules []Rule
