--- a/internal/engine/address.go
+++ b/internal/engine/address.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// MailAddress is an endpoint that takes mail, as its Address says it: smtp://10.0.0.7:25/?from=A&to=B.
+// MailAddress is the parsed Address of a mail endpoint: smtp://10.0.0.7:25/?from=A&to=B.
 type MailAddress struct {
 	LMTP     bool
-	HostPort string // address and port
-	From, To string // of the envelope
+	HostPort string // IP address and port
+	From, To string // sender and recipient of the envelope
 }
 
-// The schemes of such addresses.
+// The URL schemes of mail addresses.
 const (
 	SMTP = "smtp"
 	LMTP = "lmtp"
@@ -28,19 +28,19 @@
 	return (&url.URL{Scheme: scheme, Host: m.HostPort, Path: "/", RawQuery: url.Values{"from": {m.From}, "to": {m.To}}.Encode()}).String()
 }
 
-// IsMail tells whether an Address is one of those.
+// IsMail reports whether an Address is that of a mail endpoint.
 func IsMail(address string) bool {
 	return strings.HasPrefix(address, SMTP+"://") || strings.HasPrefix(address, LMTP+"://")
 }
 
-// ParseMailAddress reads one.
+// ParseMailAddress parses the Address of a mail endpoint.
 func ParseMailAddress(address string) (m MailAddress, err error) {
 	u, err := url.Parse(address)
 	if err != nil {
 		return m, err
 	}
 	if _, err := netip.ParseAddrPort(u.Host); err != nil || !IsMail(address) {
-		return m, fmt.Errorf("%q is no endpoint for mail", address)
+		return m, fmt.Errorf("%q is not the address of a mail endpoint", address)
 	}
 	return MailAddress{LMTP: u.Scheme == LMTP, HostPort: u.Host, From: u.Query().Get("from"), To: u.Query().Get("to")}, nil
 }
--- a/internal/engine/completion.go
+++ b/internal/engine/completion.go
@@ -2,63 +2,64 @@
 
 import "time"
 
-// heard forgets messages whose completion notices have arrived.
-func (l *Engine) heard(h heard) {
+// acknowledge closes messages whose completion notices have arrived.
+func (l *Engine) acknowledge(h acknowledged) {
 	for _, id := range h.ids {
 		if e := l.entries[id]; e != nil {
-			l.forget(e)
+			l.closeMessage(e)
 		}
 	}
 }
 
-// end carries out a final answer: to the client that still waits for its first
-// one, or else as a notice. The journal has it before the platform, so that no
-// restart sends a message that its client may have handed in again.
-func (l *Engine) end(id string, how byte, wait time.Duration) {
+// completeUndelivered answers a message that is refused ('b') or failed ('d'): directly
+// if its client still waits for the first answer, otherwise with a completion notice.
+// The journal records the completion before the platform learns of it, so that no
+// restart sends a message that its client may have submitted again.
+func (l *Engine) completeUndelivered(id string, how byte, wait time.Duration) {
 	e := l.entries[id]
-	if e == nil || e.ended {
+	if e == nil || e.completed {
 		return
 	}
-	e.ended = true
+	e.completed = true
 	if e.answer != nil {
 		answer, text := e.answer, refused(wait)
 		if how == 'd' {
 			text = rejected("failed")
 		}
-		l.countAway(e.saved.Class, text.Kind)
+		l.countTurnedAway(e.saved.Class, text.Kind)
 		e.answer = nil
 		l.journal.Release(e.saved.Size())
-		l.leave(e)
-		l.add(effectFree, nil, func() { answer <- reply{Answer: text} })
+		l.dequeue(e)
+		l.addEffect(effectFree, nil, func() { answer <- reply{Answer: text} })
 		return
 	}
 	e.saved.Completion, e.saved.RetryAfter = how, wait
 	if how == 'd' {
-		l.tellEnd(e, "failed")
-		l.endedAs(e, func(t *ClassStats) { t.Failed++ })
+		l.reportOutcome(e, "failed")
+		l.countOutcome(e, func(t *ClassStats) { t.Failed++ })
 	} else {
-		l.tellEnd(e, "refused")
-		l.endedAs(e, func(t *ClassStats) { t.RefusedAfterAccept++ })
+		l.reportOutcome(e, "refused")
+		l.countOutcome(e, func(t *ClassStats) { t.RefusedAfterAccept++ })
 	}
 	l.journal.RecordCompletion(id, how, wait)
 	if e.acked {
-		l.notify(e)
+		l.addNotice(e)
 	}
 }
 
-func (l *Engine) tellEnd(e *entry, how string) {
-	if l.ended != nil {
-		l.ended(MessageOutcome{e.saved.ID, e.saved.Class, e.saved.Extras.RequestedDestination(e.saved.Dest), how})
+func (l *Engine) reportOutcome(e *entry, how string) {
+	if l.onOutcome != nil {
+		l.onOutcome(MessageOutcome{e.saved.ID, e.saved.Class, e.saved.Extras.RequestedDestination(e.saved.Dest), how})
 	}
 }
 
-// notify hands on the final answer that is owed, after the journal has been written.
-func (l *Engine) notify(e *entry) {
-	e.ended = true
-	to := l.finals[e.saved.Origin]
-	if to == nil { // its front is not set up any more
-		to = l.finals[""]
+// addNotice adds the effect that passes the completion notice on once the journal has been written.
+func (l *Engine) addNotice(e *entry) {
+	e.completed = true
+	notifier := l.notifiers[e.saved.Origin]
+	if notifier == nil { // its front is no longer configured
+		notifier = l.notifiers[""]
 	}
 	f := Completion{ID: e.saved.ID, Failed: e.saved.Completion == 'd', RetryAfter: e.saved.RetryAfter}
-	l.add(effectNotice, e, func() { to.NotifyCompletion(f) })
+	l.addEffect(effectNotice, e, func() { notifier.NotifyCompletion(f) })
 }
--- a/internal/engine/durable_test.go
+++ b/internal/engine/durable_test.go
@@ -10,49 +10,49 @@
 	"scaleroute/internal/journal"
 )
 
-// gatedFS is a folder whose syncs wait for a gate, fail when they are told to, and are counted.
-type gatedFS struct {
+// blockingFS is a folder that counts its syncs and can block them or make them fail.
+type blockingFS struct {
 	journal.FS
-	gate  chan error // nil: open
-	syncs atomic.Int64
+	results chan error // each sync receives its result from here; nil or closed lets syncs succeed
+	syncs   atomic.Int64
 }
 
-type gatedFile struct {
+type blockingFile struct {
 	journal.File
-	fs *gatedFS
+	fs *blockingFS
 }
 
-func (g *gatedFS) Open(name string, create bool) (journal.File, error) {
+func (g *blockingFS) Open(name string, create bool) (journal.File, error) {
 	f, err := g.FS.Open(name, create)
-	return gatedFile{f, g}, err
+	return blockingFile{f, g}, err
 }
 
-func (f gatedFile) Sync() error {
+func (f blockingFile) Sync() error {
 	f.fs.syncs.Add(1)
-	if f.fs.gate != nil {
-		if err, open := <-f.fs.gate; open {
+	if f.fs.results != nil {
+		if err, open := <-f.fs.results; open {
 			return err
 		}
 	}
 	return f.File.Sync()
 }
 
-// TestNothingShowsBeforeTheSync: with group commit neither the answer nor the call comes before a sync has covered what
-// they stand on; a sync that fails has the message rejected, and the loop accepts again once syncs succeed.
-func TestNothingShowsBeforeTheSync(t *testing.T) {
+// TestNoEffectBeforeSync checks that with group commit neither the answer nor the call is made before a sync covers the records
+// they depend on, that a failed sync rejects the message, and that the engine accepts messages again once syncs succeed.
+func TestNoEffectBeforeSync(t *testing.T) {
 	for _, fails := range []bool{false, true} {
 		t.Run(fmt.Sprintf("fails=%v", fails), func(t *testing.T) {
-			fs := &gatedFS{}
-			n := startLoop(t, func(w *world) {
+			fs := &blockingFS{}
+			n := startEngine(t, func(w *testConfig) {
 				fs.FS = journal.DirFS(t.TempDir())
 				w.journal = journal.Options{FS: fs, Durability: journal.Group}
-				w.fails = fails
+				w.mayFail = fails
 			})
 			before := fs.syncs.Load()
 			answers := make(chan Answer, 1)
-			fs.gate = make(chan error) // the loop reads it by the message that follows
-			go func() { answers <- n.loop.Accept(note("m")) }()
-			for fs.syncs.Load() == before { // until it waits at the gate
+			fs.results = make(chan error) // the message that follows makes the loop use it
+			go func() { answers <- n.engine.Accept(note("m")) }()
+			for fs.syncs.Load() == before { // until the sync blocks
 				time.Sleep(time.Millisecond)
 			}
 			select {
@@ -61,19 +61,19 @@
 			default:
 			}
 			if fails {
-				fs.gate <- syscall.EIO
-				if a := <-answers; a.Kind != Rejected { // a restart would find it: it is not harmless to hand it in again
-					t.Errorf("%+v, though the sync failed", a)
+				fs.results <- syscall.EIO
+				if a := <-answers; a.Kind != Rejected { // a restart might find the message, so submitting it again is not harmless
+					t.Errorf("%+v although the sync failed", a)
 				}
-				close(fs.gate)
+				close(fs.results)
 				for i := 0; ; i++ {
-					if a := n.loop.Accept(note(fmt.Sprint("again", i))); a.Kind == Accepted {
+					if a := n.engine.Accept(note(fmt.Sprint("again", i))); a.Kind == Accepted {
 						return
 					}
 					time.Sleep(time.Millisecond)
 				}
 			}
-			fs.gate <- nil
+			fs.results <- nil
 			a := <-answers
 			if a.Kind != Accepted {
 				t.Fatalf("%+v", a)
@@ -85,7 +85,7 @@
 			if len(n.calls) > 0 {
 				t.Error("called before the sync")
 			}
-			close(fs.gate)
+			close(fs.results)
 			if got := <-n.calls; got != "m" {
 				t.Error(got)
 			}
@@ -93,12 +93,12 @@
 	}
 }
 
-// BenchmarkDurability takes messages on from many clients, sends and closes them, with each of the three promises.
+// BenchmarkDurability accepts, sends and closes messages of many clients with each durability level.
 func BenchmarkDurability(b *testing.B) {
 	for _, d := range []journal.Durability{journal.Process, journal.Interval, journal.Group} {
 		b.Run([]string{"process", "interval", "group"}[d], func(b *testing.B) {
-			fs := &gatedFS{FS: journal.DirFS(b.TempDir())}
-			n := startLoop(b, func(w *world) {
+			fs := &blockingFS{FS: journal.DirFS(b.TempDir())}
+			n := startEngine(b, func(w *testConfig) {
 				w.diskMB, w.settings.MaxOpen, w.settings.Slots = 200, 0, 256
 				w.journal = journal.Options{FS: fs, Durability: d}
 			})
@@ -111,7 +111,7 @@
 			b.SetParallelism(64)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if a := n.loop.Accept(note(fmt.Sprint("m", id.Add(1)))); a.Kind == Accepted {
+					if a := n.engine.Accept(note(fmt.Sprint("m", id.Add(1)))); a.Kind == Accepted {
 						a.ConfirmWritten(true)
 					}
 				}
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -8,41 +8,41 @@
 	"scaleroute/internal/decide"
 )
 
-// effectKind is what an effect needs to be on disk before it shows outside.
+// effectKind is what must be on disk before an effect becomes visible outside.
 type effectKind int
 
 const (
-	effectFree   effectKind = iota // nothing: it may show whatever the journal does
-	effectAccept                   // the message: its client hears that it was accepted
-	effectSend                     // that an attempt is about to be made, unless it may be repeated
-	effectNotice                   // the final answer, as long as a restart could still send the message
+	effectFree   effectKind = iota // nothing: the effect is independent of the journal
+	effectAccept                   // the message: its client is told that it was accepted
+	effectSend                     // the record of the attempt, unless the message is safe to repeat
+	effectNotice                   // the completion, as long as a restart could still send the message
 )
 
-// effect is something that shows outside once the journal has been written.
+// effect is an action that is visible outside and runs once the journal has been written.
 type effect struct {
 	kind  effectKind
-	entry *entry // that it is about; nil with effectFree
-	show  func()
-	undo  func(context.Context) // in place of show, where it can't be: of an attempt
+	entry *entry // the message concerned; nil with effectFree
+	run   func()
+	undo  func(context.Context) // replaces run if that is not possible; only for effectSend
 }
 
-// add has something show outside after the journal has been written.
-func (l *Engine) add(kind effectKind, e *entry, show func()) {
-	l.effects = append(l.effects, effect{kind: kind, entry: e, show: show})
+// addEffect adds an effect that runs after the journal has been written.
+func (l *Engine) addEffect(kind effectKind, e *entry, run func()) {
+	l.effects = append(l.effects, effect{kind: kind, entry: e, run: run})
 }
 
-// showEffects lets what this Step came to show outside, once it is as durable as was promised.
-func (l *Engine) showEffects() {
+// runEffects runs the effects of this Step, once its records are as durable as configured.
+func (l *Engine) runEffects() {
 	for _, effect := range l.effects {
-		effect.show()
+		effect.run()
 	}
 	clear(l.effects)
 	l.effects = l.effects[:0]
 }
 
-// showWithoutRecords does with effects what can be done though the journal keeps no records: nothing is promised, and nothing is begun
-// that a restart must know of.
-func (l *Engine) showWithoutRecords(ctx context.Context, effects []effect) {
+// runWithoutJournal handles effects while the journal can't be written: no message is accepted, and no attempt is made that a restart must know
+// of.
+func (l *Engine) runWithoutJournal(ctx context.Context, effects []effect) {
 	now := time.Now()
 	for _, effect := range effects {
 		switch effect.kind {
@@ -50,44 +50,44 @@
 			l.revokeAcceptance(effect.entry)
 		case effectSend:
 			if l.mayRepeat(effect.entry) {
-				effect.show()
+				effect.run()
 			} else {
 				effect.undo(ctx)
 			}
 		case effectNotice:
 			if now.Before(effect.entry.saved.Deadline) {
-				l.failing.notices = append(l.failing.notices, effect)
+				l.journalFailure.notices = append(l.journalFailure.notices, effect)
 			} else {
-				effect.show()
+				effect.run()
 			}
 		default:
-			effect.show()
+			effect.run()
 		}
 	}
 }
 
-// mayRepeat reports whether an attempt that a restart does not know of does no harm.
+// mayRepeat reports whether an attempt is harmless even if a restart does not know of it.
 func (l *Engine) mayRepeat(e *entry) bool {
 	return l.classes[e.saved.Class].Effect == decide.Idempotent
 }
 
-// revokeAcceptance answers a message that could not be recorded: with a rejection that its client may hand in again after, unless a restart
-// might find it.
+// revokeAcceptance answers a message that could not be recorded: it is refused, so that its client may submit it again, unless a restart might
+// find it in the journal; then it is rejected.
 func (l *Engine) revokeAcceptance(e *entry) {
-	answer := refused(diskWait)
+	answer := refused(storageRetryAfter)
 	if l.journal.MayBeOnDisk(e.saved) {
 		answer = rejected("it could not be recorded for certain")
 	}
-	l.countAway(e.saved.Class, answer.Kind)
-	slog.Warn("a message is rejected: it can't be recorded", "id", e.saved.ID, "answer", answer.Kind)
+	l.countTurnedAway(e.saved.Class, answer.Kind)
+	slog.Warn("a message was turned away because it can't be recorded in the journal", "id", e.saved.ID, "answer", answer.Kind)
 	l.withdraw(e)
-	e.revoked <- reply{Answer: answer}
+	e.unconfirmed <- reply{Answer: answer}
 }
 
-// withdraw forgets a message whose client was never told that it was accepted.
+// withdraw drops a message whose client was never told that it was accepted.
 func (l *Engine) withdraw(e *entry) {
-	l.unsendPending(e)
-	l.endedAs(e, func(t *ClassStats) { t.Withdrawn++ })
+	l.dropPending(e)
+	l.countOutcome(e, func(t *ClassStats) { t.Withdrawn++ })
 	l.events = append(l.events, decide.Withdrawn{Message: e.saved.ID})
-	l.forget(e)
+	l.closeMessage(e)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,8 +1,9 @@
-// Package engine carries what happens outside to a [decide.Forwarder] and does
-// what that decides. It decides nothing about deliveries itself, and knows no
-// protocol: fronts hand messages in by [Engine.Take], sources of servers tell
-// theirs by [Engine.UpdateEndpoints], a [Back] makes the calls, and [CompletionNotifier] take the final
-// answers of messages whose clients have heard that they were taken on.
+// Package engine runs the event loop around a [decide.Forwarder]: it feeds external
+// events to the Forwarder and carries out the actions that the Forwarder returns. The
+// engine makes no delivery decisions itself and knows no protocol. Fronts submit
+// messages with [Engine.Accept], sources of endpoints report lists with
+// [Engine.UpdateEndpoints], a [Back] makes the calls, and each [CompletionNotifier]
+// delivers the completion notices of accepted messages that were not delivered.
 package engine
 
 import (
@@ -14,110 +15,112 @@
 	"scaleroute/internal/version"
 )
 
-// Endpoint is one endpoint as a source tells of it.
+// Endpoint is one endpoint as a source reports it.
 type Endpoint struct {
 	decide.Target
-	Address string // as the back that calls it reads it
+	Address string // in the form that its back parses
 }
 
-// List is what a source of servers tells: all endpoints, or what changed.
+// List is an endpoint snapshot or delta from a source of endpoints.
 type List struct {
 	Scope     decide.ListScope
 	Endpoints []Endpoint
-	Version   *version.Change // what it makes of the version vector; nil: nothing
+	Version   *version.Change // how it changes the version vector; nil if it does not
 }
 
-// Back makes calls to endpoints. Its own two methods are called by the engine's
-// loop alone and must not wait for anything outside.
+// Back makes calls to endpoints. Only the engine's event loop calls its two methods;
+// they must not block on anything outside the process.
 type Back interface {
-	// UpdateEndpoints tells which endpoints there are, and where.
+	// UpdateEndpoints applies an endpoint snapshot or delta.
 	UpdateEndpoints(List)
-	// Endpoint finds one of them by its name, or returns nil.
+	// Endpoint returns the endpoint with this name, or nil.
 	Endpoint(name string) Caller
 }
 
-// Caller makes calls to one endpoint, also after it has left the list. It may be
-// used from any goroutine.
+// Caller makes calls to one endpoint, also after the endpoint has left the list. It
+// may be used from any goroutine.
 type Caller interface {
-	// Call makes one attempt and tells how it ended: Result, Took, Wait, NoSlot,
-	// Over and Allowance. It returns soon after its context has ended or its time-out is over.
+	// Call makes one attempt and returns its outcome, with the fields Result, Took, Wait,
+	// NoSlot, Over and Allowance set. It returns soon after its context is cancelled or
+	// its timeout has expired.
 	Call(context.Context, Attempt) decide.Outcome
-	// CloseIdle closes the connections that no call uses.
+	// CloseIdle closes the idle connections.
 	CloseIdle()
 }
 
-// Attempt is one attempt at a message.
+// Attempt is one attempt to deliver a message.
 type Attempt struct {
 	ID             string
 	Class          string
-	Destination    int // that its client named
-	Number         int // from 0
+	Destination    int // the destination that the client named
+	Number         int // counted from 0
 	Body           message.Body
 	Header         []message.Field
-	Timeout        time.Duration       // from now on
-	ConnectTimeout time.Duration       // the same, for a connection to be made; 0: as the back has it
-	Reply          *Reply              // to be filled in, if it is wanted
-	HandOver       func(*InFlightCall) // takes a call that is handed over; see Portable
-	OnWritten      func()              // called once the message is written whole; it does not wait
-	MayBegin       func() bool         // asked before the first byte is written; no: the call is not made. nil: it may
-	// OnRetryAfter is called as soon as an answer is known to tell a wait, also one that turns out to be spoilt: from then on nobody may begin a
-	// call. The outcome tells what is left of it. nil: nobody listens.
+	Timeout        time.Duration       // measured from the start of the call
+	ConnectTimeout time.Duration       // the same, for establishing a connection; 0 selects the back's default
+	Reply          *Reply              // filled in by the call; nil if the reply is not needed
+	HandOver       func(*InFlightCall) // receives a call that is handed over to another process; see Portable
+	OnWritten      func()              // called once the message is completely written; it does not block
+	MayBegin       func() bool         // called before the first byte is written; if it returns false, the call is not made. nil permits the call
+	// OnRetryAfter is called as soon as an answer is known to carry a retry-after time, even if the rest of the answer turns out to
+	// be malformed. From then on no call may begin. The outcome reports the time that is left. It may be nil.
 	OnRetryAfter func(time.Duration)
 }
 
-// Reply is what a call was answered with.
+// Reply is the answer to a call.
 type Reply struct {
-	MaxBody int // bytes of the body that are wanted
-	Status  int // 0 if there was no whole answer
+	MaxBody int // limit of the body's length in bytes
+	Status  int // 0 if no complete answer was received
 	Header  map[string][]string
 	Body    []byte
 }
 
-// MessageOutcome is what became of a message that was taken on.
+// MessageOutcome is the outcome of an accepted message.
 type MessageOutcome struct {
 	ID          string
 	Class       string
-	Destination int    // that its client named
+	Destination int    // the destination that the client named
 	Result      string // delivered, refused or failed
 }
 
-// Completion is the final answer of a message that was taken on and not delivered.
+// Completion is the completion notice for a message that was accepted and not delivered.
 type Completion struct {
 	ID         string
-	Failed     bool          // it may have taken effect; otherwise handing it in again is harmless
-	RetryAfter time.Duration // advice: not to come again before that
+	Failed     bool          // the message may have taken effect; otherwise submitting it again is harmless
+	RetryAfter time.Duration // when the client should submit it again; 0 for no advice
 }
 
-// CompletionNotifier takes final answers to where they are awaited. Each that has arrived is
-// told to [Engine.Acknowledge]; until then the journal owes it.
+// CompletionNotifier delivers completion notices to the clients that await them. Each
+// delivered notice is reported to [Engine.Acknowledge]; until then the journal keeps
+// the message, so that a restart sends the notice again.
 type CompletionNotifier interface {
-	NotifyCompletion(Completion) // does not wait
+	NotifyCompletion(Completion) // does not block
 }
 
-// Limits tighten what is taken on; at 0 they don't.
+// Limits restrict which messages are accepted; 0 is no limit.
 type Limits struct {
-	Total   time.Duration // how long a message may be delivered in all
-	Connect time.Duration // how long a connection may take
-	Queued  int           // messages held at once, for each destination apart
-	Rule    string        // under which those are counted
+	Total   time.Duration // time limit for delivery, all attempts included
+	Connect time.Duration // time limit for establishing a connection
+	Queued  int           // queued messages per destination
+	Rule    string        // name of the rule that the queued messages are counted under
 }
 
-// Answer is what a front tells its client at once.
+// Answer is the immediate answer that a front gives its client.
 type Answer struct {
 	Kind       AnswerKind
 	Reason     string        // with Rejected
-	RetryAfter time.Duration // with Refused: advice, 0 for none
-	// ConfirmWritten must be called when the client has been told that its message is
-	// taken on, or could not be told; nil if there is nothing to wait for.
+	RetryAfter time.Duration // with Refused: when the client should try again; 0 for no advice
+	// ConfirmWritten must be called once the acceptance has been written to the client,
+	// or with false if it could not be written; nil if no confirmation is needed.
 	ConfirmWritten func(ok bool)
 }
 
 // AnswerKind is the kind of an Answer.
 type AnswerKind int
 
-// The kinds of answer.
+// The kinds of answers.
 const (
-	Accepted AnswerKind = iota // the message is owed its end from now on
-	Refused                    // handing it in again is harmless
-	Rejected                   // it can't be delivered as it is
+	Accepted AnswerKind = iota // the forwarder now owes the message a delivery or a completion notice
+	Refused                    // submitting the message again is harmless
+	Rejected                   // the message can't be delivered as it is
 )
--- a/internal/engine/entry.go
+++ b/internal/engine/entry.go
@@ -11,32 +11,32 @@
 	"scaleroute/internal/ledger"
 )
 
-// entry is a message that the loop holds.
+// entry is a message that the engine has not closed.
 type entry struct {
-	saved   *journal.MessageState
-	answer  chan<- reply  // its client waits for an answer; nil after that
-	revoked chan<- reply  // the same while it is accepted and not on disk
-	acked   bool          // the client has its +OK
-	pending []decide.Send // decided before that, in order
-	sendBy  time.Time     // when the first byte of the attempt decided last is written at the latest; zero: whenever
-	calls   []out         // two at most: one, and a second copy
-	ended   bool          // a notice is owed, or nothing any more
-	counted bool          // among those that are open
-	cost    int64         // of the room
-	cap     intake.Cap    // under which it is counted, if a rule says so
+	saved       *journal.MessageState
+	answer      chan<- reply  // where its client waits for the answer; nil once it is answered
+	unconfirmed chan<- reply  // the same while the message is accepted but not yet on disk
+	acked       bool          // the client has received +OK
+	pending     []decide.Send // attempts that can't be made yet, in order
+	sendBy      time.Time     // deadline for the first byte of the latest attempt; zero for none
+	calls       []inFlight    // at most two: an attempt and a hedged request
+	completed   bool          // answered, or its completion notice is due
+	counted     bool          // counted in Stats.Open
+	cost        int64         // bytes counted in fairShare
+	cap         intake.Cap    // the rule it is counted under, if any
 }
 
-// out is a call that is out.
-type out struct {
+// inFlight is a call in flight.
+type inFlight struct {
 	attempt  int
 	cancel   context.CancelCauseFunc
-	portable bool // it can be handed over
+	portable bool // it can be handed over to another process
 	slot     *ledger.Slot
 }
 
-// callOver takes a call off those that are out.
-func (e *entry) callOver(attempt int) {
-	e.calls = slices.DeleteFunc(e.calls, func(c out) bool {
+// removeCall removes a call from those in flight and releases its context.
+func (e *entry) removeCall(attempt int) {
+	e.calls = slices.DeleteFunc(e.calls, func(c inFlight) bool {
 		if c.attempt == attempt {
 			c.cancel(nil)
 		}
@@ -44,11 +44,12 @@
 	})
 }
 
-func (l *Engine) keep(e *entry) {
+// enqueue adds a message and counts it against its destination's share and limit.
+func (l *Engine) enqueue(e *entry) {
 	l.entries[e.saved.ID] = e
 	e.cost = e.saved.Cost()
-	l.shares.Add(e.saved.Dest, e.cost)
-	l.holding(e.saved.Dest, true)
+	l.fairShare.Add(e.saved.Dest, e.cost)
+	l.notifyQueueChange(e.saved.Dest, true)
 	if l.limits == nil {
 		return
 	}
@@ -58,17 +59,18 @@
 	}
 }
 
-func (l *Engine) leave(e *entry) {
+// dequeue removes a message and releases what enqueue counted.
+func (l *Engine) dequeue(e *entry) {
 	delete(l.entries, e.saved.ID)
-	l.shares.Add(e.saved.Dest, -e.cost)
-	l.holding(e.saved.Dest, false)
+	l.fairShare.Add(e.saved.Dest, -e.cost)
+	l.notifyQueueChange(e.saved.Dest, false)
 	if e.cap.Rule != "" {
 		l.caps.Add(e.cap, -1)
 	}
 }
 
-// forget closes a message for which nothing is owed any more.
-func (l *Engine) forget(e *entry) {
+// closeMessage closes a message that needs no further call or notice.
+func (l *Engine) closeMessage(e *entry) {
 	l.journal.RecordClosed(e.saved.ID)
-	l.leave(e)
+	l.dequeue(e)
 }
--- a/internal/engine/evict.go
+++ b/internal/engine/evict.go
@@ -2,47 +2,48 @@
 
 import "slices"
 
-// A forwarder that knows only a part of the endpoint list evicts destinations that it does not need. What the module has learnt of them it forgets in its own time;
-// the rest is dropped here, so that nothing grows with the number of destinations that were ever named.
+// A forwarder that knows only a part of the endpoint list evicts destinations that it does not need. The Forwarder expires its own state of them; the
+// rest is dropped here, so that no data structure grows with the number of destinations that were ever listed.
 
-// evicted has destinations dropped, and their endpoints withdrawn.
-type evicted struct {
+// eviction is an event that drops destinations and removes their endpoints.
+type eviction struct {
 	List
 	destinations []int
 }
 
-// Evict withdraws endpoints and drops their destinations: a message for one of them is rejected from then on, until a list names it again. None of them may
-// have a message (see Config.Holding). Evictions bind in order with lists.
-func (l *Engine) Evict(v List, destinations []int) { l.tell(evicted{v, destinations}) }
+// Evict removes endpoints and drops their destinations: a message for one of them is rejected from then on, until a list contains it again. None of them
+// may have a queued message (see Config.OnQueueChange). Evictions and lists take effect in the order in which they are reported.
+func (l *Engine) Evict(v List, destinations []int) { l.post(eviction{v, destinations}) }
 
-func (l *Engine) evict(v evicted) {
-	l.list(v.List)
+func (l *Engine) evict(v eviction) {
+	l.applyList(v.List)
 	for _, d := range v.destinations {
-		if !l.shares.HasQueued(d) {
-			delete(l.dests, d)
+		if !l.fairShare.HasQueued(d) {
+			delete(l.destinations, d)
 		}
 	}
-	l.waits.evicted = slices.DeleteFunc(append(l.waits.evicted, v.destinations...), func(d int) bool {
-		return l.dests[d] || l.waits.drop(d)
+	l.routeWaits.evicted = slices.DeleteFunc(append(l.routeWaits.evicted, v.destinations...), func(d int) bool {
+		return l.destinations[d] || l.routeWaits.drop(d)
 	})
 }
 
-// drop forgets the wait that a destination's route was told, once it is over and no call can tell one any more. It tells whether that is so.
-func (w *waits) drop(destination int) bool {
-	t := w.shared[destination]
+// drop removes the retry-after state of a destination's shared route once the time has expired and no call in flight can report another. It reports
+// whether the state is gone.
+func (w *routeWaits) drop(destination int) bool {
+	t := w.byDestination[destination]
 	if t == nil {
 		return true
 	}
-	if t.out > 0 || t.left() > 0 {
+	if t.inFlight > 0 || t.remaining() > 0 {
 		return false
 	}
-	delete(w.shared, destination)
+	delete(w.byDestination, destination)
 	return true
 }
 
-// holding tells whoever asked that the engine holds one message more or less for a destination.
-func (l *Engine) holding(destination int, begins bool) {
-	if l.holds != nil {
-		l.holds(destination, begins)
+// notifyQueueChange calls OnQueueChange when a message for a destination enters or leaves the queue.
+func (l *Engine) notifyQueueChange(destination int, added bool) {
+	if l.onQueueChange != nil {
+		l.onQueueChange(destination, added)
 	}
 }
--- a/internal/engine/evict_test.go
+++ b/internal/engine/evict_test.go
@@ -14,29 +14,32 @@
 	return List{Scope: decide.Delta, Endpoints: []Endpoint{{Target: decide.Target{ID: fmt.Sprint("e", destination), Destination: destination, Weight: 1000, State: state}}}}
 }
 
-// TestEvictedIsForgotten: however many destinations come and are evicted, none of them is left in the engine; one that is listed anew takes messages again.
-func TestEvictedIsForgotten(t *testing.T) {
-	n := startLoop(t, nil)
+// TestEvictionDropsState checks that evicted destinations leave no state in the engine, however many there were, and that an evicted destination accepts
+// messages again once it is listed again.
+func TestEvictionDropsState(t *testing.T) {
+	n := startEngine(t, nil)
 	for d := 100; d < 1100; d++ {
-		n.loop.UpdateEndpoints(listOf(d, decide.Active))
-		n.loop.Evict(listOf(d, decide.Gone), []int{d})
+		n.engine.UpdateEndpoints(listOf(d, decide.Active))
+		n.engine.Evict(listOf(d, decide.Gone), []int{d})
 	}
 	to := func(id string, destination int) Answer {
 		m := note(id)
 		m.Destination = destination
-		return n.loop.Accept(m)
+		return n.engine.Accept(m)
 	}
 	if got := to("a", 100); got.Kind != Rejected {
 		t.Errorf("to an evicted destination: %+v", got)
 	}
 	var dests, waits int
-	n.loop.ApplyChange(version.Change{}, func() { dests, waits = len(n.loop.dests), len(n.loop.waits.shared)+len(n.loop.waits.evicted) }, nil, time.Minute)
-	if dests != 1 || waits != 1 { // the one of the start
-		t.Errorf("%d destinations and %d waits are left", dests, waits)
+	n.engine.ApplyChange(version.Change{}, func() {
+		dests, waits = len(n.engine.destinations), len(n.engine.routeWaits.byDestination)+len(n.engine.routeWaits.evicted)
+	}, nil, time.Minute)
+	if dests != 1 || waits != 1 { // the destination of the initial list
+		t.Errorf("%d destinations and %d retry-after states are left, want 1 and 1", dests, waits)
 	}
-	n.loop.UpdateEndpoints(listOf(100, decide.Active))
+	n.engine.UpdateEndpoints(listOf(100, decide.Active))
 	if got := to("b", 100); got.Kind != Accepted {
-		t.Errorf("listed anew: %+v", got)
+		t.Errorf("after it is listed again: %+v", got)
 	} else {
 		got.ConfirmWritten(true)
 	}
@@ -45,62 +48,63 @@
 	}
 }
 
-// TestEvictedWaitHolds: what a destination told before it was evicted is heeded when it is fetched again.
-func TestEvictedWaitHolds(t *testing.T) {
-	var w waits
+// TestRetryAfterSurvivesEviction checks that the retry-after time of an evicted destination is still in force when the destination is listed again.
+func TestRetryAfterSurvivesEviction(t *testing.T) {
+	var w routeWaits
 	w.init(nil, time.Now(), nil)
-	l := &Engine{waits: w, dests: map[int]bool{}}
-	w.list([]decide.Target{{ID: "a", Destination: 7}}, false)
-	w.of("a").tell(time.Hour)
-	told := w.of("a")
-	w.list([]decide.Target{{ID: "a", Destination: 7, State: decide.Gone}}, false)
+	l := &Engine{routeWaits: w, destinations: map[int]bool{}}
+	w.update([]decide.Target{{ID: "a", Destination: 7}}, false)
+	w.forEndpoint("a").extend(time.Hour)
+	wait := w.forEndpoint("a")
+	w.update([]decide.Target{{ID: "a", Destination: 7, State: decide.Gone}}, false)
 	if w.drop(7) {
-		t.Fatal("forgotten within its wait")
+		t.Fatal("dropped before the retry-after time")
 	}
-	w.list([]decide.Target{{ID: "a", Destination: 7}}, false)
-	if w.of("a") != told {
-		t.Fatal("a wait begins anew")
+	w.update([]decide.Target{{ID: "a", Destination: 7}}, false)
+	if w.forEndpoint("a") != wait {
+		t.Fatal("the retry-after state was replaced")
 	}
-	told.until.Store(0)
-	if l.waits = w; !l.waits.drop(7) {
-		t.Fatal("kept for good")
+	wait.until.Store(0)
+	if l.routeWaits = w; !l.routeWaits.drop(7) {
+		t.Fatal("kept after the retry-after time")
 	}
 }
 
-// TestHolding: each message that the engine holds for a destination is told of when that begins and ends, and what is turned away leaves nothing behind.
-func TestHolding(t *testing.T) {
+// TestQueueChangeCallback checks that OnQueueChange is called when a message enters and leaves the queue of its destination, and that withdrawn and
+// rejected messages leave the count unchanged.
+func TestQueueChangeCallback(t *testing.T) {
 	var mu sync.Mutex
-	held := map[int]int{}
-	n := startLoop(t, func(w *world) {
-		w.holding = func(destination int, begins bool) {
+	queued := map[int]int{}
+	n := startEngine(t, func(w *testConfig) {
+		w.onQueueChange = func(destination int, added bool) {
 			mu.Lock()
 			defer mu.Unlock()
-			if begins {
-				held[destination]++
+			if added {
+				queued[destination]++
 			} else {
-				held[destination]--
+				queued[destination]--
 			}
 		}
 	})
 	now := func() int {
 		mu.Lock()
 		defer mu.Unlock()
-		return held[7]
+		return queued[7]
 	}
-	kept := n.loop.Accept(note("a"))
-	lost := n.loop.Accept(note("b"))
+	kept := n.engine.Accept(note("a"))
+	lost := n.engine.Accept(note("b"))
 	if now() != 2 {
-		t.Fatalf("%d held", now())
+		t.Fatalf("%d messages queued", now())
 	}
 	lost.ConfirmWritten(false)
 	unknown := note("c")
 	unknown.Class = "none"
-	n.loop.Accept(unknown)
+	n.engine.Accept(unknown)
 	kept.ConfirmWritten(true)
 	<-n.calls
 	for limit := time.Now().Add(time.Minute); now() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("%d held", now())
+			t.Fatalf("%d messages queued", now())
 		}
 	}
 }
--- a/internal/engine/extras_test.go
+++ b/internal/engine/extras_test.go
@@ -12,12 +12,12 @@
 	"scaleroute/internal/message"
 )
 
-// TestExtrasGoAlong: what was added to a message at its intake holds for each attempt, after a restart too, and its end is told.
-func TestExtrasGoAlong(t *testing.T) {
+// TestExtrasReachEveryAttempt checks that the extras of a message apply to each attempt, also after a restart, and that its outcome is reported.
+func TestExtrasReachEveryAttempt(t *testing.T) {
 	extras := &message.Extras{Only: []string{"s2"}, Header: []message.Field{{Name: "X-A", Value: "1"}}}
 	dir := t.TempDir()
 	j := mustJournal(t, dir, 3e6)
-	for i := range 8 { // as a process leaves them that was killed
+	for i := range 8 { // the journal that a killed process leaves
 		s := &journal.MessageState{ID: fmt.Sprint("kept", i), Class: "note", Dest: 7, Body: message.Bytes("x"), Deadline: time.Now().Add(time.Minute), Extras: extras}
 		if room, err := j.Reserve(s.Size()); err != nil || !room {
 			t.Fatal(room, err)
@@ -33,11 +33,11 @@
 	var mu sync.Mutex
 	var wrong []string
 	ended := make(chan MessageOutcome, 100)
-	n := startLoop(t, func(w *world) {
+	n := startEngine(t, func(w *testConfig) {
 		w.dir = dir
 		w.list.Endpoints = append(w.list.Endpoints, Endpoint{Target: decide.Target{ID: "s2", Destination: 7, Weight: 1000}})
-		w.ended = func(e MessageOutcome) { ended <- e }
-		w.hear = func(name string, a Attempt) {
+		w.onOutcome = func(e MessageOutcome) { ended <- e }
+		w.onCall = func(name string, a Attempt) {
 			if name != "s2" || !reflect.DeepEqual(a.Header, extras.Header) || a.Class != "note" || a.Destination != 7 {
 				mu.Lock()
 				wrong = append(wrong, fmt.Sprint(name, a))
@@ -48,7 +48,7 @@
 	for i := range 8 {
 		m := note(fmt.Sprint("new", i))
 		m.Extras = extras
-		if a := n.loop.Accept(m); a.Kind != Accepted {
+		if a := n.engine.Accept(m); a.Kind != Accepted {
 			t.Fatal(a)
 		} else {
 			a.ConfirmWritten(true)
@@ -61,12 +61,12 @@
 				t.Errorf("%+v", e)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("not all are over")
+			t.Fatal("not all messages are completed")
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if len(wrong) > 0 {
-		t.Errorf("%q", wrong)
+		t.Errorf("attempts with wrong extras: %q", wrong)
 	}
 }
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -13,58 +13,58 @@
 	"scaleroute/internal/ledger"
 )
 
-// An engine can end so that another one, in another process, goes on where it was: with what the module remembers, and with the calls that are out.
+// An engine can hand over to an engine in another process, which continues with the state of the Forwarder and with the calls in flight.
 
-// homeTime is how long calls that can't be handed over have to end before they are called off.
-const homeTime = 300 * time.Millisecond
+// detachGrace is how long calls that can't be handed over may take to end before they are cancelled.
+const detachGrace = 300 * time.Millisecond
 
-// ErrHandOver is the cause of the end of a call's context when the call is to be handed over.
+// ErrHandOver is the cancellation cause of a call's context when the call is to be handed over.
 var ErrHandOver = errors.New("the call goes on in another process")
 
-// InFlightCall is a call that is out, written whole, as another process can go on with it.
+// InFlightCall is a call in flight whose message is completely written, in the form that another process can resume.
 type InFlightCall struct {
 	Address  string
-	Conn     net.Conn // as it is; what was read of it is in Read
-	Read     []byte   // of the answer, so far
+	Conn     net.Conn // the connection; bytes already read from it are in Read
+	Read     []byte   // the part of the answer that was read
 	Began    time.Time
-	Deadline time.Time // when it is not waited for any longer
+	Deadline time.Time // time limit for the answer
 }
 
-// Portable is a Caller whose calls can be handed over: one whose context ends for ErrHandOver calls Attempt.Keep, or
-// ends as any other call.
+// Portable is a Caller whose calls can be handed over: a call whose context is cancelled with ErrHandOver calls Attempt.HandOver,
+// or ends like any other call.
 type Portable interface{ HandsOver() }
 
-// Resumer goes on with calls of another process: with what a Portable's were.
+// Resumer resumes the calls that a Portable of another process handed over.
 type Resumer interface {
 	Resume(ctx context.Context, endpoint string, p *InFlightCall, a Attempt) decide.Outcome
 }
 
-// HandoverCall is one that is handed over.
+// HandoverCall is a call that is handed over.
 type HandoverCall struct {
 	Message   string
 	Attempt   int
 	Endpoint  string
-	LedgerSeq uint64 // the change of the ledger that it was begun under; 0: nothing is kept
+	LedgerSeq uint64 // audit log entry under which it began; 0 if there is no audit log
 	*InFlightCall
 }
 
-// Handover is what an engine leaves to the next one besides the journal.
+// Handover is the state that an engine hands over to the next one, in addition to the journal.
 type Handover struct {
 	ForwarderState []byte
-	Clock          time.Duration // the module's
-	SavedAt        time.Time     // when that was its time
+	Clock          time.Duration // the Forwarder's clock
+	SavedAt        time.Time     // the wall-clock time when Clock was read
 	Calls          []HandoverCall
-	// Destinations are those that there are, also while their endpoints are away.
+	// Destinations are all known destinations, including those without endpoints.
 	Destinations []int
 }
 
-// longestGap bounds what may have passed between two engines: a clock that was set says nothing.
-const longestGap = time.Minute
+// maxHandoverGap limits the time that is assumed to have passed between two engines, since the wall clock may have been set meanwhile.
+const maxHandoverGap = time.Minute
 
 type (
-	detach  struct{ done chan<- *Handover }
-	cutOff  struct{}
-	carried struct { // a call that is handed over
+	detach          struct{ done chan<- *Handover }
+	cancelRemaining struct{}
+	handedOver      struct { // a call that is handed over
 		message, endpoint string
 		attempt           int
 		pending           *InFlightCall
@@ -72,17 +72,17 @@
 	}
 )
 
-// leaving is what an engine is at that hands over.
-type leaving struct {
+// detachState is the state of an engine that is handing over.
+type detachState struct {
 	done  chan<- *Handover
 	calls []HandoverCall
 }
 
-// Detach ends the loop without a call that goes on here, and returns what the next one goes on from. It is called when no message can
-// come any more and no list will. nil: the loop has ended by itself.
+// Detach ends the loop and all its calls, and returns the state that the next engine resumes from. It must be called only when no further
+// message or list can arrive. It returns nil if the loop has already ended.
 func (l *Engine) Detach() *Handover {
 	done := make(chan *Handover, 1)
-	l.tell(detach{done})
+	l.post(detach{done})
 	select {
 	case h := <-done:
 		return h
@@ -96,23 +96,23 @@
 	}
 }
 
-// detach has the calls come home, and the module start none.
+// detach asks all calls in flight to end or hand over, and the Forwarder to start none.
 func (l *Engine) detach(v detach) {
-	l.leaving = &leaving{done: v.done}
+	l.detaching = &detachState{done: v.done}
 	l.events = append(l.events, decide.Stopping{})
 	for _, e := range l.entries {
-		l.unsendPending(e)
+		l.dropPending(e)
 		for _, c := range e.calls {
 			if c.portable {
 				c.cancel(ErrHandOver)
 			}
 		}
 	}
-	time.AfterFunc(homeTime, func() { l.tell(cutOff{}) })
+	time.AfterFunc(detachGrace, func() { l.post(cancelRemaining{}) })
 }
 
-// cutOff calls off what could not be handed over.
-func (l *Engine) cutOff() {
+// cancelRemaining cancels the calls that could not be handed over.
+func (l *Engine) cancelRemaining() {
 	for _, e := range l.entries {
 		for _, c := range e.calls {
 			c.cancel(nil)
@@ -120,20 +120,20 @@
 	}
 }
 
-// carried notes a call that is handed over. To journal and module it is out.
-func (l *Engine) carried(v carried) {
+// recordHandover keeps a call that is handed over. For the journal and the Forwarder it is still in flight.
+func (l *Engine) recordHandover(v handedOver) {
 	e := l.entries[v.message]
-	if l.leaving == nil || e == nil || !slices.ContainsFunc(e.calls, func(c out) bool { return c.attempt == v.attempt }) {
-		v.pending.Conn.Close() // its message is over
+	if l.detaching == nil || e == nil || !slices.ContainsFunc(e.calls, func(c inFlight) bool { return c.attempt == v.attempt }) {
+		v.pending.Conn.Close() // its message is completed
 		return
 	}
-	e.callOver(v.attempt)
+	e.removeCall(v.attempt)
 	v.slot.Carried()
-	l.leaving.calls = append(l.leaving.calls, HandoverCall{v.message, v.attempt, v.endpoint, v.slot.Under(), v.pending})
+	l.detaching.calls = append(l.detaching.calls, HandoverCall{v.message, v.attempt, v.endpoint, v.slot.Under(), v.pending})
 }
 
-// home tells whether all calls are.
-func (l *Engine) home() bool {
+// callsCompleted reports whether no call is in flight.
+func (l *Engine) callsCompleted() bool {
 	for _, e := range l.entries {
 		if len(e.calls) > 0 {
 			return false
@@ -142,41 +142,41 @@
 	return true
 }
 
-// left hands over, as the last thing that the loop does.
-func (l *Engine) left() error {
-	if err := l.settle(context.Background()); err != nil {
+// handOver completes the handover; it is the last action of the loop.
+func (l *Engine) handOver() error {
+	if err := l.flushAndSync(context.Background()); err != nil {
 		return err
 	}
 	for _, e := range l.entries {
-		l.endedAs(e, func(t *ClassStats) { t.HandedOver++ })
+		l.countOutcome(e, func(t *ClassStats) { t.HandedOver++ })
 	}
 	now := time.Now()
-	l.leaving.done <- &Handover{ForwarderState: l.module.Save(), Clock: now.Sub(l.clock), SavedAt: now, Calls: l.leaving.calls,
-		Destinations: slices.Sorted(maps.Keys(l.dests))}
+	l.detaching.done <- &Handover{ForwarderState: l.forwarder.Save(), Clock: now.Sub(l.clock), SavedAt: now, Calls: l.detaching.calls,
+		Destinations: slices.Sorted(maps.Keys(l.destinations))}
 	return nil
 }
 
-// Resume is Recover for an engine that goes on where another one was. An error means that what is left of that one can't be read, and nothing
-// has been done.
+// Resume replaces Recover for an engine that continues from another one's handover. An error means that the Forwarder's state can't be read, and
+// that nothing has been done.
 func (l *Engine) Resume(h *Handover, lists ...List) error {
 	memory, err := decide.DecodeState(h.ForwarderState)
 	if err != nil {
 		return err
 	}
-	gap := min(max(0, time.Since(h.SavedAt)), longestGap)
+	gap := min(max(0, time.Since(h.SavedAt)), maxHandoverGap)
 	l.clock = time.Now().Add(-h.Clock - gap)
-	told := make([]decide.TargetList, len(lists))
+	targetLists := make([]decide.TargetList, len(lists))
 	for i, v := range lists {
 		l.back.UpdateEndpoints(v)
-		told[i] = l.targets(v)
+		targetLists[i] = l.targetList(v)
 	}
 	for _, d := range h.Destinations {
-		l.dests[d] = true
+		l.destinations[d] = true
 	}
-	held := l.held()
-	actions, calls := l.module.Restore(time.Since(l.clock), memory, told, held)
-	for _, a := range actions { // before there is a loop: only ends
-		l.act(context.Background(), a)
+	messages := l.recoverMessages()
+	actions, calls := l.forwarder.Restore(time.Since(l.clock), memory, targetLists, messages)
+	for _, a := range actions { // the loop does not run yet: these are only completions
+		l.perform(context.Background(), a)
 	}
 	type key struct {
 		id      string
@@ -186,47 +186,47 @@
 	for _, c := range h.Calls {
 		known[key{c.Message, c.Attempt}] = c
 	}
-	for _, m := range held {
+	for _, m := range messages {
 		e := l.entries[m.ID]
-		if e == nil || e.ended {
+		if e == nil || e.completed {
 			continue
 		}
 		for _, attempt := range calls[m.ID] {
 			k := key{m.ID, attempt}
 			c := known[k]
 			delete(known, k)
-			l.goOn(e, attempt, c)
+			l.resumeCall(e, attempt, c)
 		}
 	}
-	for _, c := range known { // of messages that are over
+	for _, c := range known { // calls of messages that are completed
 		c.Conn.Close()
 	}
-	l.acting.start(ledger.TookOver)
-	slog.Info("goes on where another process was", "messages", len(l.entries), "calls", len(h.Calls), "gap", gap)
+	l.accounting.start(ledger.TookOver)
+	slog.Info("resumed the state of the previous process", "messages", len(l.entries), "calls", len(h.Calls), "gap", gap)
 	return nil
 }
 
-// goOn waits for the answer to a call that another process made.
-func (l *Engine) goOn(e *entry, attempt int, from HandoverCall) {
+// resumeCall waits for the answer to a call that another process made.
+func (l *Engine) resumeCall(e *entry, attempt int, from HandoverCall) {
 	call, cancel := context.WithCancelCause(context.Background())
 	endpoint, p := from.Endpoint, from.InFlightCall
-	slot, told := l.acting.resume(from), l.waits.of(endpoint)
-	e.calls = append(e.calls, out{attempt, cancel, true, slot})
-	told.began()
+	slot, wait := l.accounting.resumeCall(from), l.routeWaits.forEndpoint(endpoint)
+	e.calls = append(e.calls, inFlight{attempt, cancel, true, slot})
+	wait.callBegan()
 	a := Attempt{ID: e.saved.ID, Class: e.saved.Class, Destination: e.saved.Extras.RequestedDestination(e.saved.Dest), Number: attempt}
-	l.add(effectFree, nil, func() {
+	l.addEffect(effectFree, nil, func() {
 		go func() {
-			keep := keeper{l: l, told: told, carried: carried{message: a.ID, endpoint: endpoint, attempt: attempt, slot: slot}, wrote: true}
-			a.HandOver = keep.keep
-			if told != nil {
-				a.OnRetryAfter = told.tell
+			reporter := callReporter{engine: l, wait: wait, handedOver: handedOver{message: a.ID, endpoint: endpoint, attempt: attempt, slot: slot}, messageWritten: true}
+			a.HandOver = reporter.handOver
+			if wait != nil {
+				a.OnRetryAfter = wait.extend
 			}
-			o := decide.Outcome{Result: decide.Reset} // lost on the way: it may have run
+			o := decide.Outcome{Result: decide.Reset} // the call was lost in the handover: it may have run
 			if p != nil {
 				a.Timeout = time.Until(p.Deadline)
 				o = l.resumer.Resume(call, endpoint, p, a)
 			}
-			keep.over(&o)
+			reporter.report(&o)
 		}()
 	})
 }
--- a/internal/engine/intake.go
+++ b/internal/engine/intake.go
@@ -11,27 +11,27 @@
 	"scaleroute/internal/message"
 )
 
-// reply is the answer to a message handed in, and the entry that was accepted, if any.
+// reply is the answer to a submitted message, with its entry if it was accepted.
 type reply struct {
 	Answer
 	entry *entry
 }
 
-// answers are channels for one reply each; one that may still get its reply does not come back.
-var answers = sync.Pool{New: func() any { return make(chan reply, 1) }}
+// replyChannels pools channels for one reply each. A channel that may still receive a reply is not returned to the pool.
+var replyChannels = sync.Pool{New: func() any { return make(chan reply, 1) }}
 
-// Take takes a message on or turns it away. It waits until that is decided,
-// which is soon: the loop waits for nothing outside.
+// Accept accepts a message or turns it away. It blocks until that is decided, which is
+// soon: the loop blocks on nothing outside the process.
 func (l *Engine) Accept(m *message.Message) Answer {
-	answer := answers.Get().(chan reply)
-	l.tell(arrival{m, answer})
+	answer := replyChannels.Get().(chan reply)
+	l.post(arrival{m, answer})
 	var a reply
 	select {
 	case a = <-answer:
-		answers.Put(answer)
+		replyChannels.Put(answer)
 	case <-l.done:
-		// The loop may have taken the message on just before it ended. To refuse it then would let the
-		// client hand it in again beside the copy that the next start takes from the journal.
+		// The loop may have accepted the message just before it ended. If it were refused now, the client could
+		// submit it again in addition to the copy that the next start recovers from the journal.
 		select {
 		case a = <-answer:
 		default:
@@ -39,34 +39,34 @@
 		}
 	}
 	if a.entry != nil {
-		a.ConfirmWritten = func(ok bool) { l.tell(ackWritten{a.entry, ok}) }
+		a.ConfirmWritten = func(ok bool) { l.post(ackWritten{a.entry, ok}) }
 	}
 	return a.Answer
 }
 
 func refused(wait time.Duration) Answer { return Answer{Kind: Refused, RetryAfter: wait} }
 
-func rejected(why string) Answer { return Answer{Kind: Rejected, Reason: why} }
+func rejected(reason string) Answer { return Answer{Kind: Rejected, Reason: reason} }
 
-func (l *Engine) arrive(a arrival) {
+func (l *Engine) admit(a arrival) {
 	m := a.msg
 	turnAway := func(answer Answer) {
-		l.countAway(m.Class, answer.Kind)
+		l.countTurnedAway(m.Class, answer.Kind)
 		a.answer <- reply{Answer: answer}
 	}
 	class, known := l.classes[m.Class]
 	switch e := l.entries[m.ID]; {
-	case e != nil && e.acked: // handed in twice: it is held already
+	case e != nil && e.acked: // duplicate submission: the message is already queued
 		turnAway(Answer{Kind: Accepted})
 		return
-	case e != nil: // whether that one is taken on is still open, and not for this client to say
+	case e != nil: // the first submission is not confirmed yet, and this client can't confirm it
 		turnAway(rejected("handed in twice at once"))
 		return
-	// What can't be delivered is not refused: that asks the client to come again.
+	// A message that can't be delivered is rejected and not refused: a refusal asks the client to try again.
 	case !known:
 		turnAway(rejected("unknown class"))
 		return
-	case !l.dests[m.Destination]:
+	case !l.destinations[m.Destination]:
 		turnAway(rejected("unknown destination"))
 		return
 	}
@@ -80,31 +80,31 @@
 	s := &journal.MessageState{ID: m.ID, Origin: m.Origin, Class: m.Class, Dest: m.Destination, Body: m.Body, Extras: m.Extras,
 		Deadline: m.ReadAt.Add(left - intakeSlack)}
 	if limits.Queued > 0 && !l.caps.Admits(intake.Cap{Rule: limits.Rule, Destination: m.Destination}, limits.Queued) {
-		turnAway(refused(diskWait))
+		turnAway(refused(storageRetryAfter))
 		return
 	}
-	if !l.shares.Admits(m.Destination, s.Cost(), l.journal.Usage(), len(l.dests)) {
-		turnAway(refused(diskWait))
+	if !l.fairShare.Admits(m.Destination, s.Cost(), l.journal.Usage(), len(l.destinations)) {
+		turnAway(refused(storageRetryAfter))
 		return
 	}
-	room, err := l.journal.Reserve(s.Size())
+	reserved, err := l.journal.Reserve(s.Size())
 	if err != nil {
-		turnAway(refused(diskWait))
+		turnAway(refused(storageRetryAfter))
 		return
 	}
-	if !room {
-		turnAway(refused(diskWait))
+	if !reserved {
+		turnAway(refused(storageRetryAfter))
 		l.events = append(l.events, decide.StoreFull{})
 		return
 	}
 	e := &entry{answer: a.answer, saved: s}
-	l.keep(e)
+	l.enqueue(e)
 	l.arrived = append(l.arrived, e)
 	l.events = append(l.events, decide.Message{ID: m.ID, Class: m.Class, Destination: m.Destination,
 		TimeLeft: time.Until(s.Deadline), FromFailedForwarder: m.Resubmitted, ClientRetry: m.Repeat, Filter: among(m.Extras), Route: m.Extras.RouteName()})
 }
 
-// among is what the module is told of a message's endpoints.
+// among returns the restriction and order of a message's endpoints for the Forwarder.
 func among(x *message.Extras) *decide.EndpointFilter {
 	if x == nil || len(x.Only)+len(x.Prefer) == 0 {
 		return nil
@@ -112,18 +112,18 @@
 	return &decide.EndpointFilter{Only: x.Only, Prefer: x.Prefer}
 }
 
-// acked goes on with what waited until the client had its +OK.
-func (l *Engine) acked(ctx context.Context, a ackWritten) {
+// handleAck continues with what waited for the client's +OK.
+func (l *Engine) handleAck(ctx context.Context, a ackWritten) {
 	e := a.entry
 	if e.acked || l.entries[e.saved.ID] != e {
 		return
 	}
 	e.acked = true
 	switch {
-	case !a.ok: // the client will hand it in again: nothing is owed
+	case !a.ok: // the client will submit it again, so it is dropped
 		l.withdraw(e)
 	case e.saved.Completion != 0:
-		l.notify(e)
+		l.addNotice(e)
 	default:
 		pending := e.pending
 		e.pending = nil
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -16,267 +16,269 @@
 )
 
 const (
-	intakeSlack = 10 * time.Millisecond // a client's time began before its request was read
-	diskWait    = time.Second           // advice when the journal has no room
-	mailbox     = 1024
-	drainMost   = 256 // events of one Step
-	mostCalls   = 2   // out at once for one message
+	intakeSlack        = 10 * time.Millisecond // the client's deadline started before its request was read
+	storageRetryAfter  = time.Second           // retry-after time of messages refused at intake for lack of space
+	inboxSize          = 1024
+	maxEventsPerStep   = 256 // events per Step
+	maxCallsPerMessage = 2   // calls in flight per message: the attempt and one hedged request
 )
 
-// What the loop is told, besides [List] and [decide.Stopping].
+// Events of the loop's inbox, besides [List] and [decide.Stopping].
 type (
-	arrival struct { // a client handed a message in
+	arrival struct { // a client submitted a message
 		msg    *message.Message
 		answer chan<- reply
 	}
-	ackWritten struct { // its +OK was written, or could not be
+	ackWritten struct { // the client's +OK was written, or could not be written
 		entry *entry
 		ok    bool
 	}
-	callEnded struct {
+	callCompleted struct {
 		outcome decide.Outcome
 		slot    *ledger.Slot
-		wrote   bool  // its message was written whole
-		told    *told // what it told to wait; nil: its endpoint was never listed
+		written bool       // the message was completely written
+		wait    *routeWait // retry-after state of its route; nil if the endpoint was never listed
 	}
-	heard  struct{ ids []string } // final answers that have arrived
-	listed struct {               // a list, and whom to tell that it binds
+	acknowledged struct{ ids []string } // messages whose completion notices have arrived
+	listUpdate   struct {               // a list, and a channel that is closed once the list is in force
 		List
-		bound chan<- struct{}
+		applied chan<- struct{}
 	}
-	finish  struct{} // no client comes any more
-	changed struct { // something else than a list that the vector names
+	finish        struct{} // no further client will submit a message
+	versionChange struct { // a change of the version vector that is not just a list
 		version.Change
-		do   func() // what takes effect with it, on the loop
-		list *List  // the same
-		done chan<- struct{}
+		do      func() // carried out with it, on the loop; may be nil
+		list    *List  // applied with it; may be nil
+		applied chan<- struct{}
 	}
-	syncEnded struct { // what had been written by then is synced, or can't be
+	syncCompleted struct { // everything up to this offset is synced, or the sync failed
 		written int64
 		err     error
 	}
 )
 
-// Config is what an Engine works with.
+// Config configures an Engine.
 type Config struct {
 	Settings decide.Settings
-	Journal  *journal.Journal // the engine's alone from now on
+	Journal  *journal.Journal // owned by the engine from now on
 	Back     Back
-	// Resumer goes on with calls of another process, whatever Back is made of; nil where none are handed over.
+	// Resumer resumes in-flight calls of another process, whatever Back consists of; nil if calls are never handed over.
 	Resumer Resumer
-	// SyncEvery is how often a journal is synced that is synced at intervals.
+	// SyncEvery is the sync interval of a journal with durability Interval.
 	SyncEvery time.Duration
-	// Limits are those of a class towards a destination, by a route if its name is not empty; nil for none.
+	// Limits returns the limits for a class and destination, and for a route if its name is not empty; nil for none.
 	Limits func(class string, destination int, route string) Limits
-	// OnOutcome is told of each message that was taken on and is over, by the loop: it must not wait. nil if nobody asks.
+	// OnOutcome, if not nil, receives the outcome of each accepted message that is not withdrawn. The loop calls it: it must not block.
 	OnOutcome func(MessageOutcome)
-	// OnQueueChange is called by the loop, which it must not have wait, as it begins and ends to hold a message for a destination. nil if nobody asks.
-	OnQueueChange func(destination int, begins bool)
-	// OnStep is shown each step of the module, by the loop: it must not wait. nil if nobody asks.
+	// OnQueueChange, if not nil, is called when a message for a destination enters or leaves the queue. The loop calls it: it must not block.
+	OnQueueChange func(destination int, added bool)
+	// OnStep, if not nil, receives each Step of the Forwarder. The loop calls it: it must not block.
 	OnStep func(now time.Duration, events []decide.Event, actions []decide.Action)
-	// PublishStats has the figures published for Engine.PublishStats.
+	// PublishStats enables the statistics that Engine.Stats returns.
 	PublishStats bool
-	// Accounting has the loop keep account of the version vector that it acts under; nil: it does not.
+	// Accounting records the version vector that the loop acts under; nil if it is not recorded.
 	Accounting *Accounting
-	// PreviousStats is the last figures of an engine before in this process, to be counted on from; nil if there was none.
+	// PreviousStats are the last statistics of a previous engine in this process, from which counting continues; nil if there was none.
 	PreviousStats *Stats
-	// CompletionNotifiers by the front that took a message; the one under "" takes what no other does.
+	// CompletionNotifiers are keyed by the front that submitted the message; the one under "" is the default.
 	CompletionNotifiers map[string]CompletionNotifier
 }
 
-// Engine is the loop between fronts and backs. Its loop owns the Forwarder and
-// the journal: nothing else touches them. It never waits for the network.
+// Engine is the event loop between fronts and backs. The loop owns the Forwarder and
+// the journal: nothing else touches them. It never blocks on the network.
 type Engine struct {
-	module  *decide.Forwarder
-	journal *journal.Journal
-	back    Back
-	resumer Resumer
-	finals  map[string]CompletionNotifier
-	clock   time.Time
-	inbox   chan any
-	done    chan struct{}
+	forwarder *decide.Forwarder
+	journal   *journal.Journal
+	back      Back
+	resumer   Resumer
+	notifiers map[string]CompletionNotifier
+	clock     time.Time
+	inbox     chan any
+	done      chan struct{}
 
-	classes map[string]decide.Class
-	waits   waits
-	dests   map[int]bool // those that discovery has ever named: one exists while its targets are away
-	entries map[string]*entry
-	events  []decide.Event
-	arrived []*entry // in this round
-	shares  intake.FairShare
-	caps    intake.Caps
-	limits  func(class string, destination int, route string) Limits
-	ended   func(MessageOutcome)
-	holds   func(destination int, begins bool)
-	steps   func(time.Duration, []decide.Event, []decide.Action)
-	effects []effect // after the journal has been written
-	waiting []batch  // until it has been synced, where that is promised
-	failing failing
-	// failingSince is failing.since, for other goroutines; nil for zero.
-	failingSince atomic.Pointer[time.Time]
-	syncing      bool
-	syncEvery    time.Duration
-	counts       counts
-	acting       acting
-	wake         *time.Timer
-	finishing    bool
-	leaving      *leaving // it hands over
-	empty        bool
-	idle         chan struct{} // closed when finishing with nothing left
+	classes        map[string]decide.Class
+	routeWaits     routeWaits
+	destinations   map[int]bool // every destination that discovery has ever listed: it stays known while it has no endpoints
+	entries        map[string]*entry
+	events         []decide.Event
+	arrived        []*entry // accepted in this Step unless the Forwarder refuses them
+	fairShare      intake.FairShare
+	caps           intake.Caps
+	limits         func(class string, destination int, route string) Limits
+	onOutcome      func(MessageOutcome)
+	onQueueChange  func(destination int, added bool)
+	onStep         func(time.Duration, []decide.Event, []decide.Action)
+	effects        []effect // to run once the journal has been written
+	awaitingSync   []batch  // effects that need a journal sync first, with durability Group
+	journalFailure journalFailure
+	// journalFailingSince publishes journalFailure.since to other goroutines; nil for zero.
+	journalFailingSince atomic.Pointer[time.Time]
+	syncing             bool
+	syncEvery           time.Duration
+	counters            counters
+	accounting          accounting
+	wakeTimer           *time.Timer
+	finishing           bool
+	detaching           *detachState // set while it hands over to another process
+	drained             bool
+	idle                chan struct{} // closed once finishing is set and no message is left
 }
 
-// New makes an Engine. The error names the setting that is impossible.
+// New makes an Engine. The error names the setting that is invalid.
 func New(c Config) (*Engine, error) {
-	m, err := decide.New(c.Settings)
+	forwarder, err := decide.New(c.Settings)
 	if err != nil {
 		return nil, err
 	}
-	l := &Engine{module: m, journal: c.Journal, back: c.Back, resumer: c.Resumer, finals: c.CompletionNotifiers, clock: time.Now(), syncEvery: c.SyncEvery, limits: c.Limits, ended: c.OnOutcome, holds: c.OnQueueChange, steps: c.OnStep,
-		inbox: make(chan any, mailbox), done: make(chan struct{}), idle: make(chan struct{}),
-		classes: map[string]decide.Class{}, dests: map[int]bool{},
-		entries: map[string]*entry{}, wake: time.NewTimer(time.Hour), failing: newFailing()}
+	l := &Engine{forwarder: forwarder, journal: c.Journal, back: c.Back, resumer: c.Resumer, notifiers: c.CompletionNotifiers, clock: time.Now(), syncEvery: c.SyncEvery, limits: c.Limits, onOutcome: c.OnOutcome, onQueueChange: c.OnQueueChange, onStep: c.OnStep,
+		inbox: make(chan any, inboxSize), done: make(chan struct{}), idle: make(chan struct{}),
+		classes: map[string]decide.Class{}, destinations: map[int]bool{},
+		entries: map[string]*entry{}, wakeTimer: time.NewTimer(time.Hour), journalFailure: newJournalFailure()}
 	for _, class := range c.Settings.Classes {
 		l.classes[class.Name] = class
 	}
-	l.counts.init(c.PublishStats, c.Settings.Classes, c.PreviousStats)
-	l.acting.init(c.Accounting)
-	l.waits.init(c.Settings.Kinds, l.clock, l.fenced())
+	l.counters.init(c.PublishStats, c.Settings.Classes, c.PreviousStats)
+	l.accounting.init(c.Accounting)
+	l.routeWaits.init(c.Settings.Kinds, l.clock, l.fenceCheck())
 	return l, nil
 }
 
-// tell hands the loop something, unless it has ended.
-func (l *Engine) tell(v any) {
+// post sends an event to the loop, unless the loop has ended.
+func (l *Engine) post(v any) {
 	select {
 	case l.inbox <- v:
 	case <-l.done:
 	}
 }
 
-// UpdateEndpoints tells what a source of servers has told.
-func (l *Engine) UpdateEndpoints(v List) { l.tell(v) }
+// UpdateEndpoints reports a list from a source of endpoints.
+func (l *Engine) UpdateEndpoints(v List) { l.post(v) }
 
-// UpdateEndpointsAndWait does so and waits until it binds, for so long at most. Lists bind in the order in which they are told.
+// UpdateEndpointsAndWait does the same and waits until the list is in force, up to the limit; it reports whether it is. Lists take effect in the order
+// in which they are reported.
 func (l *Engine) UpdateEndpointsAndWait(v List, limit time.Duration) bool {
-	bound := make(chan struct{})
-	l.tell(listed{v, bound})
+	applied := make(chan struct{})
+	l.post(listUpdate{v, applied})
 	select {
-	case <-bound:
+	case <-applied:
 		return true
 	case <-time.After(limit):
 		return false
 	}
 }
 
-// Acknowledge tells that the final answers of these messages have arrived.
-func (l *Engine) Acknowledge(ids []string) { l.tell(heard{ids}) }
+// Acknowledge reports that the completion notices of these messages have arrived.
+func (l *Engine) Acknowledge(ids []string) { l.post(acknowledged{ids}) }
 
-// NotifyStopping tells that the process ends after this time.
-func (l *Engine) NotifyStopping(left time.Duration) { l.tell(decide.Stopping{TimeLeft: left}) }
+// NotifyStopping reports that the process ends after this time.
+func (l *Engine) NotifyStopping(left time.Duration) { l.post(decide.Stopping{TimeLeft: left}) }
 
-// Finish tells that no message comes any more.
-func (l *Engine) Finish() { l.tell(finish{}) }
+// Finish reports that no further message will be submitted.
+func (l *Engine) Finish() { l.post(finish{}) }
 
-// Idle is closed once Finish has been called and nothing is held any more.
+// Idle returns a channel that is closed once Finish has been called and no message is queued.
 func (l *Engine) Idle() <-chan struct{} { return l.idle }
 
-// Recover hands the module the lists given, oldest first, and what the journal
-// held. It comes before Run.
+// Recover passes the lists, oldest first, and the messages in the journal to the
+// Forwarder. It must be called before Run.
 func (l *Engine) Recover(lists ...List) {
 	for _, v := range lists {
-		l.list(v)
+		l.applyList(v)
 	}
-	for _, m := range l.held() {
+	for _, m := range l.recoverMessages() {
 		l.events = append(l.events, m)
 	}
 	if n := len(l.entries); n > 0 {
-		slog.Info("taken up from the journal", "messages", n)
+		slog.Info("messages recovered from the journal", "messages", n)
 	}
-	l.acting.start(ledger.Start)
+	l.accounting.start(ledger.Start)
 }
 
-// held takes up what the journal holds, and returns what the module is to know of it.
-func (l *Engine) held() (list []decide.Message) {
+// recoverMessages creates the entries for the messages in the journal and returns those that the Forwarder must still deliver.
+func (l *Engine) recoverMessages() (list []decide.Message) {
 	now := time.Now()
 	for _, s := range l.journal.Queued() {
 		e := &entry{saved: s, acked: true}
-		l.keep(e)
+		l.enqueue(e)
 		if s.Completion != 0 {
-			l.notify(e)
+			l.addNotice(e)
 			continue
 		}
-		l.taken(e)
+		l.countAccepted(e)
 		list = append(list, decide.Message{ID: s.ID, Class: s.Class, Destination: s.Dest,
 			TimeLeft: s.Deadline.Sub(now), Filter: among(s.Extras), Route: s.Extras.RouteName(), Recovered: true, Attempts: s.Attempts, HasOpenAttempt: s.InFlight, MayHaveRun: s.PossiblyRan()})
 	}
 	return list
 }
 
-// Run carries events to the module until ctx ends. An error means that the
-// journal could not be kept to the end: what it lacks counts as sent at the next start.
+// Run passes events to the Forwarder until ctx is cancelled. An error means that the
+// journal could not be completed: the next start treats attempts without a recorded
+// outcome as sent.
 func (l *Engine) Run(ctx context.Context) error {
 	defer close(l.done)
-	var sync <-chan time.Time
+	var syncTicks <-chan time.Time
 	if l.journal.Durability() == journal.Interval && l.syncEvery > 0 {
 		t := time.NewTicker(l.syncEvery)
 		defer t.Stop()
-		sync = t.C
+		syncTicks = t.C
 	}
-	var figures <-chan time.Time
-	if l.counts.on {
-		t := time.NewTicker(publishWithin)
+	var publishTicks <-chan time.Time
+	if l.counters.enabled {
+		t := time.NewTicker(maxStatsAge)
 		defer t.Stop()
-		figures = t.C
+		publishTicks = t.C
 	}
-	beat, stop := l.acting.beat()
+	renewalTicks, stop := l.accounting.renewals()
 	defer stop()
-	defer func() { l.publish(time.Now(), true) }()
-	if l.acting.out != "" { // before whatever the first Step decides
+	defer func() { l.publishStats(time.Now(), true) }()
+	if l.accounting.fencedOff != "" { // ahead of the events of the first Step
 		l.events = slices.Insert(l.events, 0, decide.Event(decide.Fenced{On: true}))
 	}
 	for {
-		l.round(ctx)
-		l.publish(time.Now(), false)
+		l.step(ctx)
+		l.publishStats(time.Now(), false)
 		if len(l.events) > 0 {
-			continue // what could not be carried out is told at once
+			continue // report at once what could not be carried out
 		}
-		if l.leaving != nil && l.home() {
-			return l.left()
+		if l.detaching != nil && l.callsCompleted() {
+			return l.handOver()
 		}
-		if l.finishing && len(l.entries) == 0 && !l.empty {
-			l.empty = true
+		if l.finishing && len(l.entries) == 0 && !l.drained {
+			l.drained = true
 			close(l.idle)
 		}
 		select {
 		case <-ctx.Done():
-			l.rest()
-			return l.settle(ctx)
-		case <-sync:
-			l.sync()
-		case <-figures: // what time alone has changed, too
-			l.publish(time.Now(), true)
+			l.drainInbox()
+			return l.flushAndSync(ctx)
+		case <-syncTicks:
+			l.startSync()
+		case <-publishTicks: // also covers changes by the passage of time alone
+			l.publishStats(time.Now(), true)
 			continue
-		case <-beat:
-			l.lookAwake()
-		case <-l.failing.timer.C:
-			l.lookAfterJournal(ctx)
+		case <-renewalTicks:
+			l.renewLease()
+		case <-l.journalFailure.timer.C:
+			l.checkJournal(ctx)
 		case v := <-l.inbox:
 			l.receive(ctx, v)
-		case <-l.wake.C:
+		case <-l.wakeTimer.C:
 			l.events = append(l.events, decide.Woken{})
 		}
-		for n := 1; n < drainMost && len(l.inbox) > 0; n++ {
+		for n := 1; n < maxEventsPerStep && len(l.inbox) > 0; n++ {
 			l.receive(ctx, <-l.inbox)
 		}
 	}
 }
 
-// rest notes the outcomes that came too late for the module to see.
-func (l *Engine) rest() {
+// drainInbox records outcomes and acknowledgements that came too late for the Forwarder, and refuses messages that did.
+func (l *Engine) drainInbox() {
 	for len(l.inbox) > 0 {
 		switch v := (<-l.inbox).(type) {
-		case callEnded:
-			l.callEnded(v)
-		case heard:
-			l.heard(v)
+		case callCompleted:
+			l.completeCall(v)
+		case acknowledged:
+			l.acknowledge(v)
 		case arrival:
 			v.answer <- reply{Answer: refused(0)}
 		}
@@ -286,97 +288,97 @@
 func (l *Engine) receive(ctx context.Context, v any) {
 	switch v := v.(type) {
 	case arrival:
-		l.arrive(v)
+		l.admit(v)
 	case ackWritten:
-		l.acked(ctx, v)
-	case callEnded:
-		l.callEnded(v)
-		l.acting.toldToWait(&v.outcome, time.Now())
-		l.acting.ended(&v.outcome)
+		l.handleAck(ctx, v)
+	case callCompleted:
+		l.completeCall(v)
+		l.accounting.recordRetryAfter(&v.outcome, time.Now())
+		l.accounting.recordFailure(&v.outcome)
 		l.events = append(l.events, v.outcome)
-	case heard:
-		l.heard(v)
+	case acknowledged:
+		l.acknowledge(v)
 	case List:
-		l.list(v)
-	case listed:
-		l.list(v.List)
-		close(v.bound)
-	case changed:
-		l.change(v)
-	case evicted:
+		l.applyList(v)
+	case listUpdate:
+		l.applyList(v.List)
+		close(v.applied)
+	case versionChange:
+		l.applyChange(v)
+	case eviction:
 		l.evict(v)
-	case asleep:
-		l.lookAwake()
+	case suspended:
+		l.renewLease()
 	case peerWaits:
 		for _, w := range v {
 			l.events = append(l.events, w)
 		}
-	case loadAsked:
-		l.tellLoad(v)
-	case confirmed:
-		l.confirmed(ctx, v)
+	case loadRequest:
+		l.answerLoad(v)
+	case fenceReopening:
+		l.reopenFence(ctx, v)
 	case finish:
 		l.finishing = true
 	case detach:
 		l.detach(v)
-	case cutOff:
-		l.cutOff()
-	case carried:
-		l.carried(v)
-	case syncEnded:
+	case cancelRemaining:
+		l.cancelRemaining()
+	case handedOver:
+		l.recordHandover(v)
+	case syncCompleted:
 		l.syncing = false
-		l.synced(ctx, v.written, v.err)
+		l.completeSync(ctx, v.written, v.err)
 	case decide.Stopping:
 		l.events = append(l.events, v)
 	}
 }
 
-func (l *Engine) list(v List) {
+func (l *Engine) applyList(v List) {
 	if v.Version != nil {
-		l.acting.change(*v.Version)
+		l.accounting.recordChange(*v.Version)
 	}
 	l.back.UpdateEndpoints(v)
-	event := l.targets(v)
-	l.acting.listed(&event)
+	event := l.targetList(v)
+	l.accounting.recordList(&event)
 	l.events = append(l.events, event)
 }
 
-// targets is a list as the module is told it.
-func (l *Engine) targets(v List) decide.TargetList {
+// targetList records the destinations and retry-after state of a list and returns the list as an event for the Forwarder.
+func (l *Engine) targetList(v List) decide.TargetList {
 	event := decide.TargetList{Scope: v.Scope, Targets: make([]decide.Target, len(v.Endpoints))}
 	for i, e := range v.Endpoints {
-		l.dests[e.Destination] = true
+		l.destinations[e.Destination] = true
 		event.Targets[i] = e.Target
 	}
 	if v.Scope != decide.Unavailable {
-		l.waits.list(event.Targets, v.Scope != decide.Delta)
+		l.routeWaits.update(event.Targets, v.Scope != decide.Delta)
 	}
 	return event
 }
 
-// round makes one Step and does what it decides, in this order: the journal
-// is written before anything that it records can be seen outside.
-func (l *Engine) round(ctx context.Context) {
+// step makes one Step and carries out its actions. It writes the journal before any
+// effect that the journal records becomes visible outside.
+func (l *Engine) step(ctx context.Context) {
 	events := l.events
 	l.events = nil
 	now := time.Since(l.clock)
-	actions := l.module.Step(now, events)
-	if l.steps != nil {
-		l.steps(now, events, actions)
+	actions := l.forwarder.Step(now, events)
+	if l.onStep != nil {
+		l.onStep(now, events, actions)
 	}
 	for _, a := range actions {
-		l.act(ctx, a)
+		l.perform(ctx, a)
 	}
 	for _, e := range l.arrived {
 		if e.answer == nil {
-			continue // turned away in this Step
+			continue // refused in this Step
 		}
-		l.journal.RecordAccepted(e.saved) // an error is Flush's, too
+		l.journal.RecordAccepted(e.saved) // Flush reports the same error
 		answer := e.answer
-		e.answer, e.revoked = nil, answer
-		l.taken(e)
-		l.add(effectAccept, e, func() {
-			e.revoked = nil
+		e.answer, e.unconfirmed = nil, answer
+		l.countAccepted(e)
+		l.addEffect(effectAccept, e, func() {
+			e.unconfirmed = nil
 			answer <- reply{Answer{Kind: Accepted}, e}
 		})
 	}
@@ -387,15 +389,15 @@
 		return
 	}
 	if l.journal.Durability() == journal.Group && len(l.effects) > 0 {
-		l.waiting = append(l.waiting, batch{l.journal.SyncTarget(), l.effects})
+		l.awaitingSync = append(l.awaitingSync, batch{l.journal.SyncTarget(), l.effects})
 		l.effects = nil
-		l.synced(ctx, 0, nil)
+		l.completeSync(ctx, 0, nil)
 		return
 	}
-	l.showEffects()
+	l.runEffects()
 }
 
-func (l *Engine) act(ctx context.Context, a decide.Action) {
+func (l *Engine) perform(ctx context.Context, a decide.Action) {
 	switch a := a.(type) {
 	case decide.Send:
 		if e := l.entries[a.Message]; e != nil {
@@ -406,17 +408,17 @@
 		}
 		l.send(ctx, a)
 	case decide.Refuse:
-		l.end(a.Message, 'b', a.RetryAfter)
+		l.completeUndelivered(a.Message, 'b', a.RetryAfter)
 	case decide.Fail:
-		l.end(a.Message, 'd', 0)
+		l.completeUndelivered(a.Message, 'd', 0)
 	case decide.Cancel:
-		l.callOff(a)
+		l.cancelAttempt(a)
 	case decide.CloseIdle:
 		if c := l.back.Endpoint(a.Target); c != nil {
-			l.add(effectFree, nil, c.CloseIdle)
+			l.addEffect(effectFree, nil, c.CloseIdle)
 		}
 	case decide.Wake:
-		l.wake.Reset(a.After)
-	case decide.Subscribe: // the watch is always on
+		l.wakeTimer.Reset(a.After)
+	case decide.Subscribe: // the subscription is always active
 	}
 }
--- a/internal/engine/sync.go
+++ b/internal/engine/sync.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// batch is what may show outside once the journal is synced so far.
+// batch is a list of effects that may run once the journal is synced up to written.
 type batch struct {
 	written int64
 	effects []effect
 }
 
-// settle makes the journal's end as durable as the rest, and lets what waited for that show outside.
-func (l *Engine) settle(ctx context.Context) error {
-	if l.journal.Failure() != nil && l.journal.Resume() == nil { // once more: it is the last time
-		for l.journal.Rebuilding() && l.journal.Rebuild(rebuildPart) == nil {
+// flushAndSync flushes and syncs the end of the journal, and runs the effects that waited for that.
+func (l *Engine) flushAndSync(ctx context.Context) error {
+	if l.journal.Failure() != nil && l.journal.Resume() == nil { // last attempt to resume writing
+		for l.journal.Rebuilding() && l.journal.Rebuild(rebuildChunk) == nil {
 		}
 	}
 	if err := l.journal.Flush(); err != nil {
@@ -26,35 +26,35 @@
 	if sync != nil {
 		err = sync()
 	}
-	l.synced(ctx, written, err)
+	l.completeSync(ctx, written, err)
 	return l.journal.Failure()
 }
 
-// sync has a goroutine sync what is written, unless one does, or nothing is to be synced.
-func (l *Engine) sync() {
+// startSync starts a goroutine that syncs what is written, unless one is running or nothing needs a sync.
+func (l *Engine) startSync() {
 	if l.syncing {
 		return
 	}
 	if written, sync := l.journal.PrepareSync(); sync != nil {
 		l.syncing = true
-		go func() { l.tell(syncEnded{written, sync()}) }()
+		go func() { l.post(syncCompleted{written, sync()}) }()
 	}
 }
 
-// synced lets what waited for a sync show outside.
-func (l *Engine) synced(ctx context.Context, written int64, err error) {
+// completeSync runs the effects that waited for this sync.
+func (l *Engine) completeSync(ctx context.Context, written int64, err error) {
 	if err := l.journal.FinishSync(written, err); err != nil {
 		l.journalFailed(ctx, err)
 		return
 	}
 	n := 0
-	for ; n < len(l.waiting) && l.journal.IsSynced(l.waiting[n].written); n++ {
-		for _, effect := range l.waiting[n].effects {
-			effect.show()
+	for ; n < len(l.awaitingSync) && l.journal.IsSynced(l.awaitingSync[n].written); n++ {
+		for _, effect := range l.awaitingSync[n].effects {
+			effect.run()
 		}
 	}
-	l.waiting = slices.Delete(l.waiting, 0, n)
-	if len(l.waiting) > 0 {
-		l.sync()
+	l.awaitingSync = slices.Delete(l.awaitingSync, 0, n)
+	if len(l.awaitingSync) > 0 {
+		l.startSync()
 	}
 }
