--- a/cmd/scaleroute/bundle.go
+++ b/cmd/scaleroute/bundle.go
@@ -23,7 +23,7 @@
 	drained bool           // clients are sent away by hand
 	clients []resp2.DetachedConn
 	stopped time.Time // nobody reads what clients send since then
-	idle    []httpcall.Idle
+	idle    []httpcall.IdleConn
 
 	takeOver int // how often another process has taken over before
 }
@@ -164,7 +164,7 @@
 		case kindIdle:
 			var v idleParcel
 			read(&v)
-			b.idle = append(b.idle, httpcall.Idle{Address: v.Address, Conn: p.Conn, Since: v.Since.Add(step)})
+			b.idle = append(b.idle, httpcall.IdleConn{Address: v.Address, Conn: p.Conn, Since: v.Since.Add(step)})
 		default:
 			err = fmt.Errorf("a kind that this program does not know")
 		}
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -183,14 +183,14 @@
 // back makes the calls; http is the part of it for HTTP.
 func (f *forwarder) back() (back engine.Back, http *httpcall.Back) {
 	set := &f.settings
-	http = httpcall.New(httpcall.Config{Connections: f.c.Limits.Endpoints(), ConnIdle: set.ConnIdle, ConnectLimit: set.ConnectTimeout, DialControl: dialControl})
+	http = httpcall.New(httpcall.Config{MaxConnections: f.c.Limits.Endpoints(), EndpointIdleTimeout: set.ConnIdle, ConnectTimeout: set.ConnectTimeout, DialControl: dialControl})
 	back = http
 	if f.operators.mail {
 		name := f.c.Name
 		if name == "" || strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' }) {
 			name = "scaleroute"
 		}
-		back = backs{http, smtpcall.New(smtpcall.Config{Name: name, Idle: mailIdle, ConnIdle: set.ConnIdle, ConnectLimit: set.ConnectTimeout})}
+		back = backs{http, smtpcall.New(smtpcall.Config{Hostname: name, MaxIdle: mailIdle, IdleTimeout: set.ConnIdle, ConnectTimeout: set.ConnectTimeout})}
 	}
 	if f.operators.plugins != nil {
 		back = f.operators.plugins.Back(back)
@@ -322,7 +322,7 @@
 	lists.Go(func() { reload(watching, f.hup, f.fleet.again(), f.c.File, f.platform, f.operators) })
 	all.Go(func() { f.platform.DeliverNotices(ctx, l.Acknowledge) })
 	if from != nil {
-		http.Adopt(from.idle)
+		http.AdoptIdle(from.idle)
 		clients.Adopt(from.clients, from.stopped)
 	}
 	accepting.Go(func() { clients.Serve(ctx) })
@@ -363,7 +363,7 @@
 			accepting.Wait()
 			takeover.StepReached("old: clients detached")
 			left.takeOver = f.fleet.generation()
-			left.idle = http.Release()
+			left.idle = http.ReleaseIdle()
 			h := l.Detach()
 			if h == nil {
 				return nil, nil, <-failed
--- a/internal/back/httpcall/call.go
+++ b/internal/back/httpcall/call.go
@@ -35,9 +35,9 @@
 
 // Config bounds what a Back holds.
 type Config struct {
-	Connections  int           // at once, idle ones counted
-	ConnIdle     time.Duration // a target closes a connection idle for so long
-	ConnectLimit time.Duration // a connection not made by then has failed
+	MaxConnections      int           // at once, idle ones counted
+	EndpointIdleTimeout time.Duration // a target closes a connection idle for so long
+	ConnectTimeout      time.Duration // a connection not made by then has failed
 	// DialControl is called before each connect, and may have it fail; nil: nothing is done.
 	DialControl func(network, address string, c syscall.RawConn) error
 }
@@ -52,9 +52,9 @@
 // New makes a Back without targets.
 func New(c Config) *Back {
 	return &Back{byName: map[string]*target{}, pool: &pool{
-		most:     c.Connections,
-		idleTime: idleTime(c.ConnIdle),
-		connect:  c.ConnectLimit,
+		most:     c.MaxConnections,
+		idleTime: idleTime(c.EndpointIdleTimeout),
+		connect:  c.ConnectTimeout,
 		control:  c.DialControl,
 		rest:     repeatWindow,
 		longRest: longRepeatWindow,
--- a/internal/back/httpcall/call_test.go
+++ b/internal/back/httpcall/call_test.go
@@ -30,7 +30,7 @@
 
 // restingTargets is a Back as the program has it.
 func restingTargets() *Back {
-	return New(Config{Connections: 600, ConnIdle: time.Minute, ConnectLimit: time.Minute})
+	return New(Config{MaxConnections: 600, EndpointIdleTimeout: time.Minute, ConnectTimeout: time.Minute})
 }
 
 // rawTarget answers each call with what serve returns; "" ends the connection
--- a/internal/back/httpcall/handover.go
+++ b/internal/back/httpcall/handover.go
@@ -11,15 +11,15 @@
 	"scaleroute/internal/engine"
 )
 
-// Idle is an idle connection, as another process can go on with it.
-type Idle struct {
+// IdleConn is an idle connection, as another process can go on with it.
+type IdleConn struct {
 	Address string
 	Conn    net.Conn
 	Since   time.Time
 }
 
-// Release gives away the connections that no call uses. What is still put back is closed.
-func (b *Back) Release() (list []Idle) {
+// ReleaseIdle gives away the connections that no call uses. What is still put back is closed.
+func (b *Back) ReleaseIdle() (list []IdleConn) {
 	p := b.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -27,13 +27,13 @@
 	for c := p.idle.first; c != nil; c = p.idle.first {
 		p.unidle(c)
 		p.open--
-		list = append(list, Idle{c.host.address, c.Conn, c.since})
+		list = append(list, IdleConn{c.host.address, c.Conn, c.since})
 	}
 	return list
 }
 
-// Adopt takes idle connections of another process, longest idle first. Those to addresses where no target is are closed.
-func (b *Back) Adopt(list []Idle) {
+// AdoptIdle takes idle connections of another process, longest idle first. Those to addresses where no target is are closed.
+func (b *Back) AdoptIdle(list []IdleConn) {
 	p := b.pool
 	for _, i := range list {
 		p.mu.Lock()
--- a/internal/back/httpcall/handover_test.go
+++ b/internal/back/httpcall/handover_test.go
@@ -87,12 +87,12 @@
 			if o := second.Endpoint("t").Call(t.Context(), engine.Attempt{ID: "next", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.Succeeded {
 				t.Errorf("cut at %d: the next call: %+v", at, o)
 			}
-			if idle := second.Release(); len(idle) != 1 || len(calls) != 2 || first.pool.open != 0 || second.pool.open != 0 {
+			if idle := second.ReleaseIdle(); len(idle) != 1 || len(calls) != 2 || first.pool.open != 0 || second.pool.open != 0 {
 				t.Errorf("cut at %d: %d idle, %d calls, %d and %d open", at, len(idle), len(calls), first.pool.open, second.pool.open)
 			} else {
 				third := testTargets()
 				third.UpdateEndpoints(list)
-				third.Adopt(idle)
+				third.AdoptIdle(idle)
 				if third.pool.open != 1 || third.pool.idle.first == nil {
 					t.Errorf("cut at %d: the idle connection is not adopted", at)
 				}
--- a/internal/back/httpcall/told_test.go
+++ b/internal/back/httpcall/told_test.go
@@ -115,15 +115,15 @@
 // closed it yet.
 func TestIdleTimes(t *testing.T) {
 	for _, theirs := range []time.Duration{time.Millisecond, 100 * time.Millisecond, time.Second, 2 * time.Second, 15 * time.Second, time.Hour} {
-		if ours := New(Config{Connections: 1, ConnIdle: theirs}).pool.idleTime; ours >= theirs || ours < theirs/2 {
+		if ours := New(Config{MaxConnections: 1, EndpointIdleTimeout: theirs}).pool.idleTime; ours >= theirs || ours < theirs/2 {
 			t.Errorf("%v for targets that close after %v", ours, theirs)
 		}
 	}
-	if ours := New(Config{Connections: 1}).pool.idleTime; ours != unknownIdle {
+	if ours := New(Config{MaxConnections: 1}).pool.idleTime; ours != unknownIdle {
 		t.Errorf("%v where nobody tells", ours)
 	}
 	for _, limit := range []time.Duration{0, time.Second, time.Hour} {
-		p := New(Config{ConnectLimit: limit}).pool
+		p := New(Config{ConnectTimeout: limit}).pool
 		for _, left := range []time.Duration{-time.Second, 0, 300 * time.Millisecond, time.Minute} {
 			want := max(left, time.Millisecond)
 			if limit > 0 {
--- a/internal/back/smtpcall/smtpcall.go
+++ b/internal/back/smtpcall/smtpcall.go
@@ -24,10 +24,10 @@
 
 // Config bounds what a Back holds.
 type Config struct {
-	Name         string        // of this host, as it says in EHLO
-	Idle         int           // connections kept idle, to all endpoints together
-	ConnIdle     time.Duration // one idle for so long is not used any more
-	ConnectLimit time.Duration // a connection not made by then has failed
+	Hostname       string        // of this host, as it says in EHLO
+	MaxIdle        int           // connections kept idle, to all endpoints together
+	IdleTimeout    time.Duration // one idle for so long is not used any more
+	ConnectTimeout time.Duration // a connection not made by then has failed
 }
 
 // Back knows the addresses of the endpoints and keeps connections to them.
@@ -143,7 +143,7 @@
 	defer t.back.mu.Unlock()
 	b := t.back
 	for i := len(b.idle) - 1; i >= 0; i-- {
-		if c := b.idle[i]; c.target == t && time.Since(c.used) < b.set.ConnIdle {
+		if c := b.idle[i]; c.target == t && time.Since(c.used) < b.set.IdleTimeout {
 			b.idle = slices.Delete(b.idle, i, i+1)
 			return c
 		}
@@ -155,13 +155,13 @@
 func (b *Back) expire() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for len(b.idle) > 0 && time.Since(b.idle[0].used) >= b.set.ConnIdle {
+	for len(b.idle) > 0 && time.Since(b.idle[0].used) >= b.set.IdleTimeout {
 		b.idle[0].Close()
 		b.idle = slices.Delete(b.idle, 0, 1)
 	}
 	b.timer = nil
 	if len(b.idle) > 0 {
-		b.timer = time.AfterFunc(b.set.ConnIdle-time.Since(b.idle[0].used), b.expire)
+		b.timer = time.AfterFunc(b.set.IdleTimeout-time.Since(b.idle[0].used), b.expire)
 	}
 }
 
@@ -176,12 +176,12 @@
 	c.SetDeadline(time.Time{})
 	b := t.back
 	b.idle = append(b.idle, c)
-	if len(b.idle) > b.set.Idle { // the one idle longest makes room, whoever's it is
+	if len(b.idle) > b.set.MaxIdle { // the one idle longest makes room, whoever's it is
 		b.idle[0].Close()
 		b.idle = slices.Delete(b.idle, 0, 1)
 	}
 	if b.timer == nil {
-		b.timer = time.AfterFunc(b.set.ConnIdle, b.expire)
+		b.timer = time.AfterFunc(b.set.IdleTimeout, b.expire)
 	}
 }
 
@@ -263,7 +263,7 @@
 
 // connect makes a connection on which a transaction may begin.
 func (t *target) connect(ctx context.Context, a *engine.Attempt, end time.Time) (*conn, *failure) {
-	limit := min(time.Until(end), t.back.set.ConnectLimit)
+	limit := min(time.Until(end), t.back.set.ConnectTimeout)
 	if a.ConnectTimeout > 0 {
 		limit = min(limit, a.ConnectTimeout)
 	}
@@ -302,9 +302,9 @@
 	if t.lmtp {
 		word = "LHLO"
 	}
-	p, f := c.say(hello, "%s %s\r\n", word, t.back.set.Name)
+	p, f := c.say(hello, "%s %s\r\n", word, t.back.set.Hostname)
 	if f != nil && p != nil && p.code/100 == 5 && p.code != 554 && !t.lmtp { // an old server (RFC 5321, section 3.2)
-		_, f = c.say(hello, "HELO %s\r\n", t.back.set.Name)
+		_, f = c.say(hello, "HELO %s\r\n", t.back.set.Hostname)
 		return f
 	}
 	if f != nil {
--- a/internal/back/smtpcall/smtpcall_test.go
+++ b/internal/back/smtpcall/smtpcall_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(m.Close)
-	b := New(Config{Name: "forwarder.test", Idle: 4, ConnIdle: time.Minute, ConnectLimit: time.Second})
+	b := New(Config{Hostname: "forwarder.test", MaxIdle: 4, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
 	b.UpdateEndpoints(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{{Address: engine.MailAddress{LMTP: protocol == engine.LMTP, HostPort: m.Address(), From: "petitions@a.test", To: "office@b.test"}.String(), Target: decide.Target{ID: "m"}}}})
 	t.Cleanup(func() { b.Endpoint("m").CloseIdle() })
 	return m, b
--- a/internal/scale/node.go
+++ b/internal/scale/node.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	back := httpcall.New(httpcall.Config{Connections: callConnections, ConnIdle: settings.ConnIdle, ConnectLimit: settings.ConnectTimeout})
+	back := httpcall.New(httpcall.Config{MaxConnections: callConnections, EndpointIdleTimeout: settings.ConnIdle, ConnectTimeout: settings.ConnectTimeout})
 	e, err := engine.New(engine.Config{Settings: settings, Journal: store, Back: back, CompletionNotifiers: map[string]engine.CompletionNotifier{"": noFinals{}}})
 	if err != nil {
 		return nil, fmt.Errorf("node %s: %w", name, err)
