--- a/internal/back/httpcall/call.go
+++ b/internal/back/httpcall/call.go
@@ -1,4 +1,4 @@
-// Package httpcall is the back that delivers messages by HTTP/1.1 calls.
+// Package httpcall is the back that delivers messages to endpoints by HTTP/1.1 calls.
 package httpcall
 
 import (
@@ -20,199 +20,200 @@
 )
 
 const (
-	idleMargin  = 2 * time.Second        // our idle time-out stays so far under the target's
-	unknownIdle = time.Second            // and is so long where that is not told
-	answerTime  = 500 * time.Millisecond // an answer that has begun is whole by then
+	idleMargin          = 2 * time.Second        // the idle time-out is shorter than the endpoint's by this much
+	defaultIdleTimeout  = time.Second            // where the endpoint's idle time-out is not configured
+	responseReadTimeout = 500 * time.Millisecond // limit for the rest of a response from its first byte on
 )
 
-var errSpoilt = errors.New("an answer that can't be read")
+var errResponseTooLarge = errors.New("the response is larger than 64 KiB")
 
-// Back knows the addresses of the targets and keeps connections to them.
+// Back knows the addresses of the endpoints and keeps connections to them.
 type Back struct {
-	pool   *pool
-	byName map[string]*target
+	pool      *pool
+	endpoints map[string]*endpoint
 }
 
-// Config bounds what a Back holds.
+// Config holds the limits and time-outs of a Back.
 type Config struct {
-	MaxConnections      int           // at once, idle ones counted
-	EndpointIdleTimeout time.Duration // a target closes a connection idle for so long
-	ConnectTimeout      time.Duration // a connection not made by then has failed
-	// DialControl is called before each connect, and may have it fail; nil: nothing is done.
+	MaxConnections      int           // open at the same time, idle ones included
+	EndpointIdleTimeout time.Duration // after which an endpoint closes an idle connection; 0: not known
+	ConnectTimeout      time.Duration // for a connection to be established; 0: the time-out of its call alone
+	// DialControl is called before each connect, and an error from it fails the connect. It may be nil.
 	DialControl func(network, address string, c syscall.RawConn) error
 }
 
-// target is one address of a target.
-type target struct {
-	host    *host
-	pool    *pool
-	drained atomic.Bool // nothing new goes there, also what was decided before
+// endpoint is an endpoint at one address.
+type endpoint struct {
+	host     *host
+	pool     *pool
+	draining atomic.Bool // no new call is made, not even one that was decided on before
 }
 
-// New makes a Back without targets.
+// New makes a Back without endpoints.
 func New(c Config) *Back {
-	return &Back{byName: map[string]*target{}, pool: &pool{
-		most:     c.MaxConnections,
-		idleTime: idleTime(c.EndpointIdleTimeout),
-		connect:  c.ConnectTimeout,
-		control:  c.DialControl,
-		rest:     repeatWindow,
-		longRest: longRepeatWindow,
-		hosts:    map[string]*host{},
+	return &Back{endpoints: map[string]*endpoint{}, pool: &pool{
+		maxConns:          c.MaxConnections,
+		idleTimeout:       idleTimeoutFor(c.EndpointIdleTimeout),
+		connectTimeout:    c.ConnectTimeout,
+		dialControl:       c.DialControl,
+		reuseDelay:        reuseDelay,
+		suspectReuseDelay: suspectReuseDelay,
+		hosts:             map[string]*host{},
 	}}
 }
 
-// idleTime is how long a connection is kept idle to targets that close it after a time: always less than that, however short it is.
-func idleTime(theirs time.Duration) time.Duration {
-	if theirs <= 0 { // nobody tells
-		return unknownIdle
+// idleTimeoutFor returns how long an idle connection is kept, given the endpoint's own idle time-out. It is always shorter than that,
+// so that no call is written to a connection that the endpoint is about to close.
+func idleTimeoutFor(endpointTimeout time.Duration) time.Duration {
+	if endpointTimeout <= 0 { // not configured
+		return defaultIdleTimeout
 	}
-	return max(theirs-idleMargin, theirs/2)
+	return max(endpointTimeout-idleMargin, endpointTimeout/2)
 }
 
-// UpdateEndpoints takes what a source tells of addresses.
+// UpdateEndpoints applies an endpoint list or a delta from discovery.
 func (b *Back) UpdateEndpoints(l engine.List) {
-	whole := l.Scope == decide.Snapshot || l.Scope == decide.LastKnown
-	named := map[string]bool{}
+	complete := l.Scope == decide.Snapshot || l.Scope == decide.LastKnown
+	listed := map[string]bool{}
 	for _, e := range l.Endpoints {
-		if whole {
-			named[e.ID] = true
+		if complete {
+			listed[e.ID] = true
 		}
-		old := b.byName[e.ID]
+		old := b.endpoints[e.ID]
 		switch {
 		case e.State == decide.Gone:
 			b.remove(e.ID)
 		case old == nil || old.host.address != e.Address:
 			b.remove(e.ID)
-			b.byName[e.ID] = b.open(e.Address)
+			b.endpoints[e.ID] = b.newEndpoint(e.Address)
 		}
-		if t := b.byName[e.ID]; t != nil {
-			t.drained.Store(e.State != decide.Active)
+		if ep := b.endpoints[e.ID]; ep != nil {
+			ep.draining.Store(e.State != decide.Active)
 		}
 	}
-	if !whole {
+	if !complete {
 		return
 	}
-	for name := range b.byName {
-		if !named[name] {
+	for name := range b.endpoints {
+		if !listed[name] {
 			b.remove(name)
 		}
 	}
 }
 
-// Endpoint finds a target by its name.
+// Endpoint returns the endpoint of that name, or nil.
 func (b *Back) Endpoint(name string) engine.Caller {
-	if t := b.byName[name]; t != nil {
-		return t
+	if e := b.endpoints[name]; e != nil {
+		return e
 	}
 	return nil
 }
 
-// remove forgets a target; calls that are out go on.
+// remove drops an endpoint. Calls in flight to it continue.
 func (b *Back) remove(name string) {
-	if t := b.byName[name]; t != nil {
-		b.pool.leave(t.host)
-		delete(b.byName, name)
+	if e := b.endpoints[name]; e != nil {
+		b.pool.releaseHost(e.host)
+		delete(b.endpoints, name)
 	}
 }
 
-func (b *Back) open(address string) *target {
-	return &target{host: b.pool.enter(address), pool: b.pool}
+func (b *Back) newEndpoint(address string) *endpoint {
+	return &endpoint{host: b.pool.acquireHost(address), pool: b.pool}
 }
 
-// CloseIdle closes the idle connections to the target.
-func (t *target) CloseIdle() { t.pool.closeIdle(t.host) }
+// CloseIdle closes the idle connections to the endpoint's address.
+func (e *endpoint) CloseIdle() { e.pool.closeIdle(e.host) }
 
-// HandsOver says that calls that are out can go on in another process.
-func (t *target) HandsOver() {}
+// HandsOver marks the endpoint as an [engine.Portable]: its calls in flight can be continued by another process.
+func (e *endpoint) HandsOver() {}
 
-// Call sends one message, once, and tells how that ended.
-func (t *target) Call(ctx context.Context, a engine.Attempt) (o decide.Outcome) {
-	began, timeout := time.Now(), a.Timeout
+// Call sends one message, once, and returns the outcome.
+func (e *endpoint) Call(ctx context.Context, a engine.Attempt) (o decide.Outcome) {
+	start, timeout := time.Now(), a.Timeout
 	body, err := a.Body.Load()
 	if err != nil {
-		slog.Error("a body can't be read", "id", a.ID, "err", err)
+		slog.Error("a message body can't be read", "id", a.ID, "err", err)
 		o.Result = decide.NotSent
 		return o
 	}
-	end := began.Add(timeout)
-	connect := timeout
+	deadline := start.Add(timeout)
+	connectTimeout := timeout
 	if a.ConnectTimeout > 0 {
-		connect = min(connect, a.ConnectTimeout)
+		connectTimeout = min(connectTimeout, a.ConnectTimeout)
 	}
-	c, err := t.pool.get(ctx, t.host, connect)
+	c, err := e.pool.get(ctx, e.host, connectTimeout)
 	if err != nil {
-		o.Result, o.Latency = decide.ConnectFailed, time.Since(began)
+		o.Result, o.Latency = decide.ConnectFailed, time.Since(start)
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || context.Cause(ctx) == engine.ErrHandOver {
-			o.Result = decide.NotSent // that is our own, and says nothing of the target
+			o.Result = decide.NotSent // a shortage of file descriptors or a handover here, and no failure of the endpoint
 		}
 		return o
 	}
-	mayBegin := ctx.Err() == nil && (a.MayBegin == nil || a.MayBegin()) // as late as can be
+	mayBegin := ctx.Err() == nil && (a.MayBegin == nil || a.MayBegin()) // asked as late as possible
 	switch {
-	case t.drained.Load(): // while it was being connected, or while Begin was asked: a process that was stopped there may know a newer list by now
-		t.pool.close(c)
+	case e.draining.Load(): // set while the connection was established or MayBegin ran: a process that was stopped there may have received a newer list since
+		e.pool.close(c)
 		o.Result = decide.NotSent
 		return o
 	case !mayBegin:
-		t.pool.giveBack(c, c.since) // nothing was written to it: it is as good as it was
+		e.pool.addIdle(c, c.idleSince) // nothing has been written to it, so its idle time continues
 		o.Result = decide.NotSent
 		return o
 	}
-	c.told = toldWait{tell: a.OnRetryAfter}
-	c.SetDeadline(end)
-	stop := context.AfterFunc(ctx, c.calledOff)
-	request := net.Buffers{t.head(&a, timeout, len(body)), body}
-	if _, err := request.WriteTo(c.Conn); err != nil { // before its last byte
-		stop()
-		t.pool.close(c)
-		if o.Result, o.Latency = decide.ConnectFailed, time.Since(began); context.Cause(ctx) == engine.ErrHandOver {
-			o.Result = decide.NotSent // it is begun anew by the next process
+	c.retryAfter = retryAfterParser{notify: a.OnRetryAfter}
+	c.SetDeadline(deadline)
+	stopAbort := context.AfterFunc(ctx, c.abortCall)
+	request := net.Buffers{e.requestHeader(&a, timeout, len(body)), body}
+	if _, err := request.WriteTo(c.Conn); err != nil { // the request is incomplete, so it can't run
+		stopAbort()
+		e.pool.close(c)
+		if o.Result, o.Latency = decide.ConnectFailed, time.Since(start); context.Cause(ctx) == engine.ErrHandOver {
+			o.Result = decide.NotSent // the next process starts the call from scratch
 		}
 		return o
 	}
 	if a.OnWritten != nil {
 		a.OnWritten()
 	}
-	t.await(ctx, c, began, end, &a, stop, &o)
+	e.awaitResponse(ctx, c, start, deadline, &a, stopAbort, &o)
 	return o
 }
 
-// head is that of a request. It is put together by hand: fmt, above all of a number with decimals, takes more stack than a call's goroutine
-// begins with, and to have it grow cost a tenth of a call.
-func (t *target) head(a *engine.Attempt, timeout time.Duration, size int) []byte {
-	head := make([]byte, 0, 192+len(a.ID))
-	head = append(append(head, "POST /events HTTP/1.1\r\nHost: "...), t.host.address...)
-	head = append(append(head, "\r\nUser-Agent: scaleroute\r\nReq-Id: "...), a.ID...)
+// requestHeader returns the request line and header. It does without fmt, which takes more stack than a new goroutine has, above all
+// for a number with decimals: growing the stack accounted for a tenth of the cost of a call.
+func (e *endpoint) requestHeader(a *engine.Attempt, timeout time.Duration, size int) []byte {
+	header := make([]byte, 0, 192+len(a.ID))
+	header = append(append(header, "POST /events HTTP/1.1\r\nHost: "...), e.host.address...)
+	header = append(append(header, "\r\nUser-Agent: scaleroute\r\nReq-Id: "...), a.ID...)
 	ms := timeout.Round(time.Millisecond).Milliseconds()
-	head = strconv.AppendInt(append(head, "\r\nReq-Deadline: "...), ms/1000, 10)
-	head = append(head, '.', byte('0'+ms/100%10), byte('0'+ms/10%10), byte('0'+ms%10))
-	head = strconv.AppendInt(append(head, "\r\nContent-Length: "...), int64(size), 10)
-	head = append(head, "\r\n"...)
+	header = strconv.AppendInt(append(header, "\r\nReq-Deadline: "...), ms/1000, 10)
+	header = append(header, '.', byte('0'+ms/100%10), byte('0'+ms/10%10), byte('0'+ms%10))
+	header = strconv.AppendInt(append(header, "\r\nContent-Length: "...), int64(size), 10)
+	header = append(header, "\r\n"...)
 	for _, f := range a.Header {
-		head = append(append(append(append(head, f.Name...), ": "...), f.Value...), "\r\n"...)
+		header = append(append(append(append(header, f.Name...), ": "...), f.Value...), "\r\n"...)
 	}
-	return append(head, "\r\n"...)
+	return append(header, "\r\n"...)
 }
 
-// await waits for the answer to a call that is written whole.
-func (t *target) await(ctx context.Context, c *conn, began, end time.Time, a *engine.Attempt, stop func() bool, o *decide.Outcome) {
-	resp, first, err := c.answer(ctx, end, a.Reply)
-	o.Latency = first.Sub(began)
-	if err != nil && a.HandOver != nil && context.Cause(ctx) == engine.ErrHandOver && c.stopped && time.Now().Before(end) {
-		c.keepDeadline(stop)
-		t.pool.release()
-		a.HandOver(&engine.InFlightCall{Address: t.host.address, Conn: c.Conn, Read: c.record, Began: began, Deadline: end})
+// awaitResponse reads the response to a call whose request has been written completely.
+func (e *endpoint) awaitResponse(ctx context.Context, c *conn, start, deadline time.Time, a *engine.Attempt, stopAbort func() bool, o *decide.Outcome) {
+	resp, firstByte, err := c.readResponse(ctx, deadline, a.Reply)
+	o.Latency = firstByte.Sub(start)
+	if err != nil && a.HandOver != nil && context.Cause(ctx) == engine.ErrHandOver && c.timedOut && time.Now().Before(deadline) {
+		c.settleAbort(stopAbort)
+		e.pool.detach()
+		a.HandOver(&engine.InFlightCall{Address: e.host.address, Conn: c.Conn, Read: c.received, Began: start, Deadline: deadline})
 		return
 	}
 	switch {
 	case err == nil:
-		answered(o, resp)
-	case says200(c.record): // that is true, whatever follows
+		classifyResponse(o, resp)
+	case hasStatus200(c.received): // the status line counts, whatever follows it
 		o.Result, o.NoAnswerNeeded = decide.Succeeded, true
-	case len(c.record) > 0: // it may have run, whatever it seems to say
-		o.Result, o.RetryAfter = decide.Errored, c.told.left() // but who was told to wait was told
-		slog.Warn("a spoilt answer", "target", t.host.address, "begins", fmt.Sprintf("%.80q", c.record), "err", err)
+	case len(c.received) > 0: // the call may have run, whatever the malformed response seems to say
+		o.Result, o.RetryAfter = decide.Errored, c.retryAfter.remaining() // a retry-after that was read still applies
+		slog.Warn("malformed response", "target", e.host.address, "begins", fmt.Sprintf("%.80q", c.received), "err", err)
 	case ctx.Err() != nil:
 		o.Result = decide.Cancelled
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -220,26 +221,26 @@
 	default:
 		o.Result = decide.Reset
 	}
-	if stop() && err == nil && !resp.Close && c.r.Buffered() == 0 {
-		t.pool.put(c)
+	if stopAbort() && err == nil && !resp.Close && c.r.Buffered() == 0 {
+		e.pool.put(c)
 		return
 	}
-	if err == nil && c.r.Buffered() > 0 { // it would be taken for the next answer
-		t.pool.distrust(c, "with the answer")
+	if err == nil && c.r.Buffered() > 0 { // the extra bytes would be read as the response to the next call
+		e.pool.markSuspect(c, "with the response")
 	}
-	t.pool.close(c)
+	e.pool.close(c)
 }
 
-// answered fills in what an answer says.
-func answered(o *decide.Outcome, resp *http.Response) {
-	o.Allowance = allowance(resp.Header.Get("Srv-Load"))
+// classifyResponse fills in the outcome from a response's status and header.
+func classifyResponse(o *decide.Outcome, resp *http.Response) {
+	o.Allowance = parseAllowance(resp.Header.Get("Srv-Load"))
 	switch resp.StatusCode {
 	case http.StatusOK:
 		o.Result, o.NoAnswerNeeded = decide.Succeeded, true
 	case http.StatusTooManyRequests:
-		wait, ok := waitIn(resp.Header)
+		wait, ok := retryAfterOf(resp.Header)
 		if !ok {
-			o.Result = decide.Errored // no refusal that we know: it may have run
+			o.Result = decide.Errored // a 429 without a valid wait is not in the protocol: the call may have run
 			return
 		}
 		o.Result, o.RetryAfter = decide.Overloaded, wait
@@ -252,13 +253,13 @@
 		o.Result = decide.NotSent
 	case http.StatusGone:
 		o.Result, o.NoAnswerNeeded = decide.NotSent, true
-	default: // 500, and what the protocol does not list: it may have run
+	default: // 500, and any status that the protocol does not list: the call may have run
 		o.Result = decide.Errored
 	}
 }
 
-// allowance reads a load report; one that can't be read says nothing.
-func allowance(text string) (a decide.Allowance) {
+// parseAllowance reads a Srv-Load header. Pairs that are malformed or out of range are ignored.
+func parseAllowance(text string) (a decide.Allowance) {
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
--- a/internal/back/httpcall/call_test.go
+++ b/internal/back/httpcall/call_test.go
@@ -21,21 +21,21 @@
 	"scaleroute/internal/message"
 )
 
-// testTargets is a Back whose connections can be used again at once.
-func testTargets() *Back {
-	b := restingTargets()
-	b.pool.rest, b.pool.longRest = 0, 0
+// newTestBack returns a Back whose connections are reused without delay.
+func newTestBack() *Back {
+	b := newDefaultBack()
+	b.pool.reuseDelay, b.pool.suspectReuseDelay = 0, 0
 	return b
 }
 
-// restingTargets is a Back as the program has it.
-func restingTargets() *Back {
+// newDefaultBack returns a Back with the delays that the program uses.
+func newDefaultBack() *Back {
 	return New(Config{MaxConnections: 600, EndpointIdleTimeout: time.Minute, ConnectTimeout: time.Minute})
 }
 
-// rawTarget answers each call with what serve returns; "" ends the connection
-// unanswered.
-func rawTarget(t *testing.T, serve func(*http.Request, string) string) (address string, conns *atomic.Int32) {
+// startEndpoint starts an endpoint that responds to each call with what serve returns, or closes the connection if that is "".
+// conns counts its connections.
+func startEndpoint(t *testing.T, serve func(*http.Request, string) string) (address string, conns *atomic.Int32) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,11 +61,11 @@
 					if err != nil {
 						return
 					}
-					answer := serve(req, string(body))
-					if answer == "" {
+					response := serve(req, string(body))
+					if response == "" {
 						return
 					}
-					io.WriteString(conn, answer)
+					io.WriteString(conn, response)
 				}
 			}()
 		}
@@ -73,21 +73,21 @@
 	return ln.Addr().String(), conns
 }
 
-// TestAnswers maps each row of the protocol's table to an outcome.
-func TestAnswers(t *testing.T) {
-	told := decide.Allowance{Reported: true, Remaining: 0.4, Rate: 25}
+// TestResponseOutcomes checks the outcome of each response in the protocol's table, and that the connection is reused.
+func TestResponseOutcomes(t *testing.T) {
+	allowance := decide.Allowance{Reported: true, Remaining: 0.4, Rate: 25}
 	for _, c := range []struct {
-		name, answer string
-		want         decide.Outcome
-		never        bool
+		name, response string
+		want           decide.Outcome
+		neverRan       bool
 	}{
-		{"200", "200 OK\r\nSrv-Load: x0=0.4,x1=25", decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true, Allowance: told}, false},
-		{"500", "500 No\r\nSrv-Load: x0=0.4, x1=25", decide.Outcome{Result: decide.Errored, Allowance: told}, false},
+		{"200", "200 OK\r\nSrv-Load: x0=0.4,x1=25", decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true, Allowance: allowance}, false},
+		{"500", "500 No\r\nSrv-Load: x0=0.4, x1=25", decide.Outcome{Result: decide.Errored, Allowance: allowance}, false},
 		{"429", "429 No\r\nX-RateLimit-Wait-Ms: 700", decide.Outcome{Result: decide.Overloaded, RetryAfter: 700 * time.Millisecond}, true},
-		{"429 part", "429 No\r\nX-RateLimit-Wait-Ms: 0.2", decide.Outcome{Result: decide.Overloaded, RetryAfter: time.Millisecond}, true},
-		{"429 without a wait", "429 No", decide.Outcome{Result: decide.Errored}, false},
+		{"429 fraction", "429 No\r\nX-RateLimit-Wait-Ms: 0.2", decide.Outcome{Result: decide.Overloaded, RetryAfter: time.Millisecond}, true},
+		{"429 without retry-after", "429 No", decide.Outcome{Result: decide.Errored}, false},
 		{"503", "503 No\r\nSrv-Load: x0=NaN,x9=1", decide.Outcome{Result: decide.Overloaded}, true},
-		{"503 slots", "503 No\r\nX-Over-Slots: 1", decide.Outcome{Result: decide.NotSent, NoSlot: true}, true},
+		{"503 no slot", "503 No\r\nX-Over-Slots: 1", decide.Outcome{Result: decide.NotSent, NoSlot: true}, true},
 		{"504", "504 No", decide.Outcome{Result: decide.NotSent}, true},
 		{"410", "410 No", decide.Outcome{Result: decide.NotSent, NoAnswerNeeded: true}, true},
 		{"redirect", "302 Found\r\nLocation: /elsewhere", decide.Outcome{Result: decide.Errored}, false},
@@ -95,47 +95,47 @@
 		{"garbage", "", decide.Outcome{Result: decide.Errored}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address, conns := rawTarget(t, func(r *http.Request, body string) string {
+			address, conns := startEndpoint(t, func(r *http.Request, body string) string {
 				if r.Method != "POST" || r.RequestURI != "/events" || r.Header.Get("Req-Id") != "m1" ||
 					r.Header.Get("Req-Deadline") != "60.000" || body != "two\r\nlines" || r.ContentLength != 10 {
-					t.Errorf("the call was %v with %q", r, body)
+					t.Errorf("request %v with body %q", r, body)
 				}
-				if c.answer == "" {
+				if c.response == "" {
 					return "what is this\r\n\r\n"
 				}
-				return "HTTP/1.1 " + c.answer + "\r\nContent-Length: 2\r\n\r\nok"
+				return "HTTP/1.1 " + c.response + "\r\nContent-Length: 2\r\n\r\nok"
 			})
-			target := testTargets().open(address)
+			ep := newTestBack().newEndpoint(address)
 			for range 3 {
-				o := target.Call(t.Context(), engine.Attempt{ID: "m1", Body: message.Bytes("two\r\nlines"), Timeout: time.Minute})
+				o := ep.Call(t.Context(), engine.Attempt{ID: "m1", Body: message.Bytes("two\r\nlines"), Timeout: time.Minute})
 				if o.Latency <= 0 {
-					t.Errorf("took %v", o.Latency)
+					t.Errorf("latency %v", o.Latency)
 				}
 				o.Latency = 0
 				if o != c.want {
 					t.Errorf("got %+v, want %+v", o, c.want)
 				}
 			}
-			if n := conns.Load(); n != 1 && c.answer != "" {
-				t.Errorf("%d connections for three calls", n) // each new one costs a handshake
+			if n := conns.Load(); n != 1 && c.response != "" {
+				t.Errorf("%d connections for three calls, want 1", n) // each new connection costs a handshake
 			}
 		})
 	}
 }
 
-// TestBrokenCalls tells calls that never ran from those that may have, and
-// counts what reaches the target: the library must send nothing again.
-func TestBrokenCalls(t *testing.T) {
+// TestFailedCalls checks that the outcome distinguishes calls that never ran from those that may have run. A call must not be
+// retried transparently.
+func TestFailedCalls(t *testing.T) {
 	var calls atomic.Int32
-	hold := make(chan bool)
-	t.Cleanup(func() { close(hold) })
+	release := make(chan bool)
+	t.Cleanup(func() { close(release) })
 	arrived := make(chan bool, 1)
-	silent, _ := rawTarget(t, func(*http.Request, string) string {
+	silent, _ := startEndpoint(t, func(*http.Request, string) string {
 		arrived <- true
-		<-hold
+		<-release
 		return ""
 	})
-	drops, _ := rawTarget(t, func(*http.Request, string) string {
+	closes, _ := startEndpoint(t, func(*http.Request, string) string {
 		calls.Add(1)
 		return ""
 	})
@@ -143,18 +143,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	refuses := ln.Addr().String()
+	refusing := ln.Addr().String()
 	ln.Close()
 
-	ts := testTargets()
-	if o := ts.open(refuses).Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.ConnectFailed {
+	back := newTestBack()
+	if o := back.newEndpoint(refusing).Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
-	if o := ts.open(drops).Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.Reset || calls.Load() != 1 {
-		t.Errorf("dropped after the call: %+v, %d calls", o, calls.Load())
+	if o := back.newEndpoint(closes).Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.Reset || calls.Load() != 1 {
+		t.Errorf("connection closed after the request: %+v, %d calls", o, calls.Load())
 	}
-	if o := ts.open(silent).Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: 50 * time.Millisecond}); o.Result != decide.TimedOut {
-		t.Errorf("silent: %+v", o)
+	if o := back.newEndpoint(silent).Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: 50 * time.Millisecond}); o.Result != decide.TimedOut {
+		t.Errorf("no response: %+v", o)
 	}
 	<-arrived
 	ctx, cancel := context.WithCancel(t.Context())
@@ -162,17 +162,17 @@
 		<-arrived
 		cancel()
 	}()
-	if o := ts.open(silent).Call(ctx, engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.Cancelled {
-		t.Errorf("called off: %+v", o)
+	if o := back.newEndpoint(silent).Call(ctx, engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.Cancelled {
+		t.Errorf("cancelled: %+v", o)
 	}
 }
 
-// TestDroppedOnReuse: a target that ends a kept connection on the next call has
-// seen that call once; a transparent repeat would be a second copy.
-func TestDroppedOnReuse(t *testing.T) {
+// TestReusedConnectionClosed guards against a transparent retry: an endpoint that closes a reused connection after reading the next
+// call has received that call, and must not receive it twice.
+func TestReusedConnectionClosed(t *testing.T) {
 	var mu sync.Mutex
 	var seen []string
-	address, conns := rawTarget(t, func(r *http.Request, _ string) string {
+	address, conns := startEndpoint(t, func(r *http.Request, _ string) string {
 		mu.Lock()
 		defer mu.Unlock()
 		seen = append(seen, r.Header.Get("Req-Id"))
@@ -181,19 +181,19 @@
 		}
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	})
-	target := testTargets().open(address)
+	ep := newTestBack().newEndpoint(address)
 	for _, body := range []string{"x", ""} {
 		mu.Lock()
 		seen = nil
 		mu.Unlock()
-		first := target.Call(t.Context(), engine.Attempt{ID: "first", Body: message.Bytes(body), Timeout: time.Minute})
-		second := target.Call(t.Context(), engine.Attempt{ID: "second", Body: message.Bytes(body), Timeout: time.Minute})
+		first := ep.Call(t.Context(), engine.Attempt{ID: "first", Body: message.Bytes(body), Timeout: time.Minute})
+		second := ep.Call(t.Context(), engine.Attempt{ID: "second", Body: message.Bytes(body), Timeout: time.Minute})
 		if first.Result != decide.Succeeded || second.Result != decide.Reset {
 			t.Errorf("%+v, %+v", first, second)
 		}
 		mu.Lock()
 		if got := strings.Join(seen, ","); got != "first,second" {
-			t.Errorf("the target saw %s", got)
+			t.Errorf("the endpoint received %s", got)
 		}
 		mu.Unlock()
 	}
@@ -202,73 +202,73 @@
 	}
 }
 
-// TestSpoiltAnswers: whatever a spoilt answer seems to say, its call may have run,
-// unless its first line still says 200. A good answer stays one whatever comes
-// with it. A connection on which more came than an answer, or less, is not used again.
-func TestSpoiltAnswers(t *testing.T) {
-	const good, end = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "\r\nContent-Length: 2\r\n\r\nok"
-	const full = "HTTP/1.1 503 No" + end
-	endless := strings.Repeat("X-More: 0123456789\r\n", maxAnswer/10)
-	done := decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}
-	turned := decide.Outcome{Result: decide.Overloaded}
-	spoilt := decide.Outcome{Result: decide.Errored}
+// TestMalformedResponses checks that a call with a malformed response counts as one that may have run, whatever the response seems to
+// say, unless its status line says 200. A valid response counts, whatever follows it. A connection that received more or less than
+// a response is not reused.
+func TestMalformedResponses(t *testing.T) {
+	const response200, end = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "\r\nContent-Length: 2\r\n\r\nok"
+	const response503 = "HTTP/1.1 503 No" + end
+	endless := strings.Repeat("X-More: 0123456789\r\n", maxResponseBytes/10)
+	succeeded := decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}
+	overloaded := decide.Outcome{Result: decide.Overloaded}
+	mayHaveRun := decide.Outcome{Result: decide.Errored}
 	for _, c := range []struct {
-		name, answer string
-		want         decide.Outcome
-		kept         bool
+		name, response string
+		want           decide.Outcome
+		reused         bool
 	}{
-		{"noise", "\x07\xfb&\xa2p\r\n\r\n", spoilt, false},
-		{"noise without a line", "\x07\xfb&\xa2p", spoilt, false},
-		{"half a first line", "HTTP/1.1 20", spoilt, false},
-		{"200, unreadable head", "HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\n", done, false},
-		{"200, no end of head", "HTTP/1.1 200 OK\r\nContent-Le", done, false},
-		{"200, endless head", "HTTP/1.1 200 OK\r\n" + endless, done, false},
-		{"200, short body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", done, false},
-		{"200, bad length", "HTTP/1.1 200 OK\r\nContent-Length: -9\r\n\r\nok", done, false},
-		{"200, 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + endless, done, false},
-		{"503, no end of head", "HTTP/1.1 503 No\r\nContent-Le", spoilt, false},
-		{"503, endless head", "HTTP/1.1 503 No\r\n" + endless, spoilt, false},
-		{"503, short body", "HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nok", spoilt, false},
-		{"503, 3 GB", "HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\n" + endless, spoilt, false},
-		{"429, short body", "HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 9\r\nContent-Length: 9\r\n\r\nok", spoilt, false},
-		{"504, short body", "HTTP/1.1 504 No\r\nContent-Length: 9\r\n\r\nok", spoilt, false},
-		{"410, two lengths", "HTTP/1.1 410 No\r\nContent-Length: 9\r\nContent-Length: 2\r\n\r\nok", spoilt, false},
-		{"410, bad chunks", "HTTP/1.1 410 No\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", spoilt, false},
-		{"a second copy", good + good, done, false},
-		{"a byte more", full + "x", turned, false},
-		{"unreadable report", "HTTP/1.1 503 No\r\nSrv-Load: x0=}{,x1=-1e400,=,x0" + end, turned, true},
-		{"1xx ahead", "HTTP/1.1 100 Continue\r\n\r\n" + full, turned, true},
-		{"many 1xx", strings.Repeat("HTTP/1.1 103 Early\r\nA: b\r\n\r\n", 100) + full, turned, true},
-		{"101", "HTTP/1.1 101 Go\r\n\r\n" + full, turned, false},
-		{"1xx, spoilt 200", "HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\n:\r\n\r\n", done, false},
-		{"to be closed", "HTTP/1.1 503 No\r\nConnection: close" + end, turned, false},
+		{"noise", "\x07\xfb&\xa2p\r\n\r\n", mayHaveRun, false},
+		{"noise without a line end", "\x07\xfb&\xa2p", mayHaveRun, false},
+		{"half a status line", "HTTP/1.1 20", mayHaveRun, false},
+		{"200, malformed header", "HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\n", succeeded, false},
+		{"200, incomplete header", "HTTP/1.1 200 OK\r\nContent-Le", succeeded, false},
+		{"200, endless header", "HTTP/1.1 200 OK\r\n" + endless, succeeded, false},
+		{"200, short body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", succeeded, false},
+		{"200, bad length", "HTTP/1.1 200 OK\r\nContent-Length: -9\r\n\r\nok", succeeded, false},
+		{"200, 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + endless, succeeded, false},
+		{"503, incomplete header", "HTTP/1.1 503 No\r\nContent-Le", mayHaveRun, false},
+		{"503, endless header", "HTTP/1.1 503 No\r\n" + endless, mayHaveRun, false},
+		{"503, short body", "HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nok", mayHaveRun, false},
+		{"503, 3 GB", "HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\n" + endless, mayHaveRun, false},
+		{"429, short body", "HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 9\r\nContent-Length: 9\r\n\r\nok", mayHaveRun, false},
+		{"504, short body", "HTTP/1.1 504 No\r\nContent-Length: 9\r\n\r\nok", mayHaveRun, false},
+		{"410, two lengths", "HTTP/1.1 410 No\r\nContent-Length: 9\r\nContent-Length: 2\r\n\r\nok", mayHaveRun, false},
+		{"410, bad chunks", "HTTP/1.1 410 No\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", mayHaveRun, false},
+		{"duplicate response", response200 + response200, succeeded, false},
+		{"one extra byte", response503 + "x", overloaded, false},
+		{"malformed Srv-Load", "HTTP/1.1 503 No\r\nSrv-Load: x0=}{,x1=-1e400,=,x0" + end, overloaded, true},
+		{"1xx first", "HTTP/1.1 100 Continue\r\n\r\n" + response503, overloaded, true},
+		{"many 1xx", strings.Repeat("HTTP/1.1 103 Early\r\nA: b\r\n\r\n", 100) + response503, overloaded, true},
+		{"101", "HTTP/1.1 101 Go\r\n\r\n" + response503, overloaded, false},
+		{"1xx, malformed 200", "HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\n:\r\n\r\n", succeeded, false},
+		{"Connection: close", "HTTP/1.1 503 No\r\nConnection: close" + end, overloaded, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			address, conns := rawTarget(t, func(r *http.Request, _ string) string {
+			address, conns := startEndpoint(t, func(r *http.Request, _ string) string {
 				if r.Header.Get("Req-Id") == "next" {
 					return "HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"
 				}
-				return c.answer
+				return c.response
 			})
-			target := testTargets().open(address)
-			o := target.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute})
+			ep := newTestBack().newEndpoint(address)
+			o := ep.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute})
 			o.Latency = 0
 			if o != c.want {
 				t.Errorf("got %+v, want %+v", o, c.want)
 			}
-			if o := target.Call(t.Context(), engine.Attempt{ID: "next", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.NotSent {
+			if o := ep.Call(t.Context(), engine.Attempt{ID: "next", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.NotSent {
 				t.Errorf("the next call: %+v", o)
 			}
-			if kept := conns.Load() == 1; kept != c.kept {
-				t.Errorf("kept its connection: %v", kept)
+			if reused := conns.Load() == 1; reused != c.reused {
+				t.Errorf("connection reused: %v", reused)
 			}
 		})
 	}
 }
 
-// TestLateExtra: what comes on an idle connection is not the next call's answer.
-func TestLateExtra(t *testing.T) {
+// TestExtraDataOnIdleConnection guards against reading data that arrives on an idle connection as the response to the next call.
+func TestExtraDataOnIdleConnection(t *testing.T) {
 	more, sent := make(chan bool), make(chan bool)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -296,38 +296,38 @@
 			sent <- true
 		}
 	}()
-	target := testTargets().open(ln.Addr().String())
-	if o := target.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.Succeeded {
+	ep := newTestBack().newEndpoint(ln.Addr().String())
+	if o := ep.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.Succeeded {
 		t.Fatalf("%+v", o)
 	}
 	more <- true
-	<-sent // on loopback it is there then
-	if o := target.Call(t.Context(), engine.Attempt{ID: "next", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.NotSent {
+	<-sent // on loopback, written data has arrived
+	if o := ep.Call(t.Context(), engine.Attempt{ID: "next", Body: message.Bytes(nil), Timeout: time.Minute}); o.Result != decide.NotSent {
 		t.Errorf("the next call: %+v", o)
 	}
 }
 
-// TestConnectionBudget: idle connections of any target make room for new ones,
-// the one idle longest first, and none outlasts its target or its time.
-func TestConnectionBudget(t *testing.T) {
-	ts := testTargets()
-	ts.pool.most = 2
-	var list []*target
+// TestConnectionLimit checks that at the limit a new connection displaces the one that has been idle longest, of any endpoint, and that
+// no idle connection outlives its endpoint or its idle time-out.
+func TestConnectionLimit(t *testing.T) {
+	back := newTestBack()
+	back.pool.maxConns = 2
+	var list []*endpoint
 	for range 3 {
-		address, _ := rawTarget(t, func(*http.Request, string) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
-		list = append(list, ts.open(address))
+		address, _ := startEndpoint(t, func(*http.Request, string) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
+		list = append(list, back.newEndpoint(address))
 	}
 	idle := func() string {
-		ts.pool.mu.Lock()
-		defer ts.pool.mu.Unlock()
+		back.pool.mu.Lock()
+		defer back.pool.mu.Unlock()
 		var b strings.Builder
 		n := 0
-		for c := ts.pool.idle.first; c != nil; c = c.next {
-			b.WriteByte('a' + byte(slices.IndexFunc(list, func(t *target) bool { return t.host == c.host })))
+		for c := back.pool.idle.first; c != nil; c = c.next {
+			b.WriteByte('a' + byte(slices.IndexFunc(list, func(t *endpoint) bool { return t.host == c.host })))
 			n++
 		}
-		if ts.pool.open != n {
-			t.Errorf("%d open, %d idle", ts.pool.open, n)
+		if back.pool.openConns != n {
+			t.Errorf("%d open, %d idle", back.pool.openConns, n)
 		}
 		return b.String()
 	}
@@ -342,71 +342,70 @@
 			t.Errorf("idle: %q, want %q", got, step.want)
 		}
 	}
-	ts.pool.leave(list[0].host)
-	list[0].Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}) // one that was out as its target went
+	back.pool.releaseHost(list[0].host)
+	list[0].Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute}) // a call in flight while its endpoint is removed
 	if got := idle(); got != "c" {
 		t.Errorf("idle: %q", got)
 	}
-	ts.pool.idleTime = 0
-	ts.pool.expire()
+	back.pool.idleTimeout = 0
+	back.pool.closeExpired()
 	if got := idle(); got != "" {
 		t.Errorf("idle: %q", got)
 	}
 }
 
-func TestTargetAddresses(t *testing.T) {
+func TestUpdateEndpoints(t *testing.T) {
 	at := func(name, address string, s decide.TargetState) engine.Endpoint {
 		return engine.Endpoint{Address: address, Target: decide.Target{ID: name, State: s}}
 	}
-	ts := testTargets()
-	ts.UpdateEndpoints(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Active), at("b", "127.0.0.1:2", decide.Active)}})
-	a := ts.byName["a"]
-	ts.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Draining), at("b", "127.0.0.1:3", decide.Active)}})
-	if ts.byName["a"] != a || ts.byName["b"].host.address != "127.0.0.1:3" {
-		t.Errorf("after a change: %v", ts.byName)
+	back := newTestBack()
+	back.UpdateEndpoints(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Active), at("b", "127.0.0.1:2", decide.Active)}})
+	a := back.endpoints["a"]
+	back.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "127.0.0.1:1", decide.Draining), at("b", "127.0.0.1:3", decide.Active)}})
+	if back.endpoints["a"] != a || back.endpoints["b"].host.address != "127.0.0.1:3" {
+		t.Errorf("after the delta: %v", back.endpoints)
 	}
-	ts.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "", decide.Gone)}})
-	if ts.Endpoint("a") != nil || ts.Endpoint("b") == nil {
-		t.Errorf("after a is gone: %v", ts.byName)
+	back.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{at("a", "", decide.Gone)}})
+	if back.Endpoint("a") != nil || back.Endpoint("b") == nil {
+		t.Errorf("after the removal of a: %v", back.endpoints)
 	}
-	ts.UpdateEndpoints(engine.List{Scope: decide.Snapshot})
-	if len(ts.byName) != 0 {
-		t.Errorf("left over: %v", ts.byName)
+	back.UpdateEndpoints(engine.List{Scope: decide.Snapshot})
+	if len(back.endpoints) != 0 {
+		t.Errorf("after an empty snapshot: %v", back.endpoints)
 	}
 }
 
-// TestSharedAddress: targets at one address share its connections, and these stay until the last of
-// them is gone.
+// TestSharedAddress checks that endpoints at one address share its connections, which stay open until the last endpoint is removed.
 func TestSharedAddress(t *testing.T) {
-	address, conns := rawTarget(t, func(*http.Request, string) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
-	ts := testTargets()
+	address, conns := startEndpoint(t, func(*http.Request, string) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
+	back := newTestBack()
 	list := engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{
 		{Address: address, Target: decide.Target{ID: "a"}}, {Address: address, Target: decide.Target{ID: "b"}}}}
-	ts.UpdateEndpoints(list)
+	back.UpdateEndpoints(list)
 	call := func(name string) {
 		t.Helper()
 		a := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute}
-		if o := ts.Endpoint(name).Call(t.Context(), a); o.Result != decide.Succeeded {
+		if o := back.Endpoint(name).Call(t.Context(), a); o.Result != decide.Succeeded {
 			t.Errorf("%s: %+v", name, o)
 		}
 	}
 	call("a")
 	list.Scope, list.Endpoints[0].State = decide.Delta, decide.Gone
-	ts.UpdateEndpoints(list)
+	back.UpdateEndpoints(list)
 	call("b")
 	if n := conns.Load(); n != 1 {
-		t.Errorf("%d connections, 1 wanted", n)
+		t.Errorf("%d connections, want 1", n)
 	}
 	list.Endpoints[1].State = decide.Gone
-	ts.UpdateEndpoints(list)
-	if ts.pool.open != 0 || len(ts.pool.hosts) != 0 {
-		t.Errorf("%d connections to %d addresses left", ts.pool.open, len(ts.pool.hosts))
+	back.UpdateEndpoints(list)
+	if back.pool.openConns != 0 || len(back.pool.hosts) != 0 {
+		t.Errorf("%d connections to %d addresses are left, want none", back.pool.openConns, len(back.pool.hosts))
 	}
 }
 
-// TestSlowAnswerBehind1xx: the time for an answer that has begun holds for each part of it, and does not
-// cut short the wait for the final answer behind a 1xx.
-func TestSlowAnswerBehind1xx(t *testing.T) {
+// TestSlowResponseAfter1xx checks that responseReadTimeout applies to each 1xx response and to the final one by itself, and does not
+// shorten the wait for the final response after a 1xx.
+func TestSlowResponseAfter1xx(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -419,26 +418,26 @@
 		}
 		defer conn.Close()
 		r := bufio.NewReader(conn)
-		for range 2 { // the second call goes out long after the deadline of the first one's first part
+		for range 2 { // the second call begins long after the read deadline of the first call's 1xx response
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
 			io.WriteString(conn, "HTTP/1.1 102 Processing\r\n\r\n")
-			time.Sleep(answerTime + 200*time.Millisecond)
+			time.Sleep(responseReadTimeout + 200*time.Millisecond)
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	}()
-	target := testTargets().open(ln.Addr().String())
+	ep := newTestBack().newEndpoint(ln.Addr().String())
 	for range 2 {
-		o := target.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute})
-		if o.Result != decide.Succeeded || o.Latency < answerTime {
+		o := ep.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes(nil), Timeout: time.Minute})
+		if o.Result != decide.Succeeded || o.Latency < responseReadTimeout {
 			t.Errorf("%+v", o)
 		}
 	}
 }
 
-// TestConnectTime: where a time for connections is set, one that does not come up by then has failed, and never ran.
-func TestConnectTime(t *testing.T) {
+// TestConnectTimeout checks that a call whose connection is not established within its connect time-out fails as one that never ran.
+func TestConnectTimeout(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -452,14 +451,14 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprintf("127.0.0.1:%d", own.(*syscall.SockaddrInet4).Port)
-	for range 4 { // the queue of connections that nobody accepts is full then: more get no answer
+	for range 4 { // fills the accept queue, so that further connects are not answered
 		c, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 		if err != nil {
 			break
 		}
 		defer c.Close()
 	}
-	b := testTargets()
+	b := newTestBack()
 	b.UpdateEndpoints(engine.List{Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "s"}, Address: address}}})
 	began := time.Now()
 	o := b.Endpoint("s").Call(t.Context(), engine.Attempt{ID: "7f", Body: message.Bytes("b"), Timeout: 30 * time.Second, ConnectTimeout: 50 * time.Millisecond})
--- a/internal/back/httpcall/handover.go
+++ b/internal/back/httpcall/handover.go
@@ -11,69 +11,70 @@
 	"scaleroute/internal/engine"
 )
 
-// IdleConn is an idle connection, as another process can go on with it.
+// IdleConn is an idle connection that is handed over to another process.
 type IdleConn struct {
 	Address string
 	Conn    net.Conn
 	Since   time.Time
 }
 
-// ReleaseIdle gives away the connections that no call uses. What is still put back is closed.
+// ReleaseIdle returns all idle connections for another process. Connections that become idle afterwards are closed.
 func (b *Back) ReleaseIdle() (list []IdleConn) {
 	p := b.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.released = true
+	p.handedOver = true
 	for c := p.idle.first; c != nil; c = p.idle.first {
-		p.unidle(c)
-		p.open--
-		list = append(list, IdleConn{c.host.address, c.Conn, c.since})
+		p.removeIdle(c)
+		p.openConns--
+		list = append(list, IdleConn{c.host.address, c.Conn, c.idleSince})
 	}
 	return list
 }
 
-// AdoptIdle takes idle connections of another process, longest idle first. Those to addresses where no target is are closed.
+// AdoptIdle adds idle connections of another process, given longest idle first. Connections to addresses without an endpoint,
+// and those beyond the limit, are closed.
 func (b *Back) AdoptIdle(list []IdleConn) {
 	p := b.pool
-	for _, i := range list {
+	for _, idle := range list {
 		p.mu.Lock()
-		h := p.hosts[i.Address]
-		if p.open++; h == nil || p.open > p.most {
-			p.open--
+		h := p.hosts[idle.Address]
+		if p.openConns++; h == nil || p.openConns > p.maxConns {
+			p.openConns--
 			p.mu.Unlock()
-			i.Conn.Close()
+			idle.Conn.Close()
 			continue
 		}
 		p.mu.Unlock()
-		c := newConn(i.Conn, h)
-		since := i.Since
-		if now := time.Now(); since.After(now) { // the wall clock was set back meanwhile
+		c := newConn(idle.Conn, h)
+		since := idle.Since
+		if now := time.Now(); since.After(now) { // the wall clock was set back in the meantime
 			since = now
 		}
-		c.answered = time.Now() // it may have been answered just before
-		p.giveBack(c, since)
+		c.lastResponse = time.Now() // the other process may have read its last response just before the handover
+		p.addIdle(c, since)
 	}
 }
 
-// Resume goes on with a call that another process made, as Call does once its message is written.
-func (b *Back) Resume(ctx context.Context, endpoint string, p *engine.InFlightCall, a engine.Attempt) (o decide.Outcome) {
+// Resume continues a call that another process made, as Call does once the request is written.
+func (b *Back) Resume(ctx context.Context, name string, call *engine.InFlightCall, a engine.Attempt) (o decide.Outcome) {
 	b.pool.mu.Lock()
-	b.pool.open++
-	h := b.pool.hosts[p.Address]
-	if h == nil { // its target is not listed any more: its connection is not kept
-		h = &host{address: p.Address}
+	b.pool.openConns++
+	h := b.pool.hosts[call.Address]
+	if h == nil { // the endpoint is no longer listed, so its connection is not kept afterwards
+		h = &host{address: call.Address}
 	}
 	b.pool.mu.Unlock()
-	c := newConn(p.Conn, h)
-	c.replay, c.told = p.Read, toldWait{tell: a.OnRetryAfter}
-	c.SetDeadline(p.Deadline)
-	stop := context.AfterFunc(ctx, c.calledOff)
-	(&target{host: h, pool: b.pool}).await(ctx, c, p.Began, p.Deadline, &a, stop, &o)
+	c := newConn(call.Conn, h)
+	c.replay, c.retryAfter = call.Read, retryAfterParser{notify: a.OnRetryAfter}
+	c.SetDeadline(call.Deadline)
+	stopAbort := context.AfterFunc(ctx, c.abortCall)
+	(&endpoint{host: h, pool: b.pool}).awaitResponse(ctx, c, call.Began, call.Deadline, &a, stopAbort, &o)
 	return o
 }
 
 func newConn(raw net.Conn, h *host) *conn {
-	c := &conn{Conn: raw, host: h, since: time.Now()}
+	c := &conn{Conn: raw, host: h, idleSince: time.Now()}
 	c.r = bufio.NewReader(c)
 	if s, ok := raw.(syscall.Conn); ok {
 		c.raw, _ = s.SyscallConn()
@@ -81,9 +82,9 @@
 	return c
 }
 
-// release counts a connection out that goes to another process.
-func (p *pool) release() {
+// detach stops counting a connection that is handed over to another process.
+func (p *pool) detach() {
 	p.mu.Lock()
-	p.open--
+	p.openConns--
 	p.mu.Unlock()
 }
--- a/internal/back/httpcall/handover_test.go
+++ b/internal/back/httpcall/handover_test.go
@@ -16,9 +16,10 @@
 	"scaleroute/internal/message"
 )
 
-// TestCallHandedOver: a call goes from back to back after any part of its answer, and ends as if it had not; it is made once.
-func TestCallHandedOver(t *testing.T) {
-	for _, answer := range []struct {
+// TestCallHandover checks that a call can be handed over to another Back after any part of its response: its outcome is the same as
+// without the handover, and the endpoint receives the call once.
+func TestCallHandover(t *testing.T) {
+	for _, response := range []struct {
 		text   string
 		result decide.Result
 		wait   time.Duration
@@ -26,7 +27,7 @@
 		{"HTTP/1.1 200 OK\r\nSrv-Load: x0=0.4,x1=25\r\nContent-Length: 5\r\n\r\nhello", decide.Succeeded, 0},
 		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 700\r\nContent-Length: 0\r\n\r\n", decide.Overloaded, 700 * time.Millisecond},
 	} {
-		for at := range len(answer.text) {
+		for at := range len(response.text) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -51,21 +52,21 @@
 								fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 								continue
 							}
-							fmt.Fprint(conn, answer.text[:at])
+							fmt.Fprint(conn, response.text[:at])
 							part <- true
 							<-rest
-							fmt.Fprint(conn, answer.text[at:])
+							fmt.Fprint(conn, response.text[at:])
 						}
 					}()
 				}
 			}()
 			list := engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{{Target: decide.Target{ID: "t"}, Address: ln.Addr().String()}}}
-			first, second := testTargets(), testTargets()
+			first, second := newTestBack(), newTestBack()
 			first.UpdateEndpoints(list)
 			second.UpdateEndpoints(list)
 			ctx, cancel := context.WithCancelCause(t.Context())
-			kept := make(chan *engine.InFlightCall, 1)
-			attempt := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, HandOver: func(p *engine.InFlightCall) { kept <- p }}
+			handedOver := make(chan *engine.InFlightCall, 1)
+			attempt := engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, HandOver: func(p *engine.InFlightCall) { handedOver <- p }}
 			ended := make(chan decide.Outcome, 1)
 			go func() { ended <- first.Endpoint("t").Call(ctx, attempt) }()
 			<-part
@@ -73,27 +74,27 @@
 			<-ended
 			var p *engine.InFlightCall
 			select {
-			case p = <-kept:
+			case p = <-handedOver:
 			default:
 				t.Fatalf("cut at %d: the call is not handed over", at)
 			}
 			close(rest)
 			attempt.HandOver = nil
 			o := second.Resume(t.Context(), "t", p, attempt)
-			if o.Result != answer.result || o.RetryAfter != answer.wait || o.NoAnswerNeeded != (answer.result == decide.Succeeded) {
+			if o.Result != response.result || o.RetryAfter != response.wait || o.NoAnswerNeeded != (response.result == decide.Succeeded) {
 				t.Errorf("cut at %d: %+v", at, o)
 			}
-			// Its connection is kept there, and used for the next call.
+			// The second back keeps the connection and uses it for the next call.
 			if o := second.Endpoint("t").Call(t.Context(), engine.Attempt{ID: "next", Body: message.Bytes("x"), Timeout: time.Minute}); o.Result != decide.Succeeded {
 				t.Errorf("cut at %d: the next call: %+v", at, o)
 			}
-			if idle := second.ReleaseIdle(); len(idle) != 1 || len(calls) != 2 || first.pool.open != 0 || second.pool.open != 0 {
-				t.Errorf("cut at %d: %d idle, %d calls, %d and %d open", at, len(idle), len(calls), first.pool.open, second.pool.open)
+			if idle := second.ReleaseIdle(); len(idle) != 1 || len(calls) != 2 || first.pool.openConns != 0 || second.pool.openConns != 0 {
+				t.Errorf("cut at %d: %d idle, %d calls, %d and %d open", at, len(idle), len(calls), first.pool.openConns, second.pool.openConns)
 			} else {
-				third := testTargets()
+				third := newTestBack()
 				third.UpdateEndpoints(list)
 				third.AdoptIdle(idle)
-				if third.pool.open != 1 || third.pool.idle.first == nil {
+				if third.pool.openConns != 1 || third.pool.idle.first == nil {
 					t.Errorf("cut at %d: the idle connection is not adopted", at)
 				}
 				idle[0].Conn.Close()
@@ -103,20 +104,20 @@
 	}
 }
 
-// TestDrainedWhileConnecting: a call that was decided and has not begun is not made once its target drains.
+// TestDrainedWhileConnecting checks that a call that was decided on but has not begun is not made once its endpoint is draining.
 func TestDrainedWhileConnecting(t *testing.T) {
 	var served atomic.Int32
-	address, _ := rawTarget(t, func(*http.Request, string) string {
+	address, _ := startEndpoint(t, func(*http.Request, string) string {
 		served.Add(1)
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	})
-	b := testTargets()
+	b := newTestBack()
 	e := engine.Endpoint{Target: decide.Target{ID: "t"}, Address: address}
 	b.UpdateEndpoints(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{e}})
-	to := b.Endpoint("t")
+	ep := b.Endpoint("t")
 	wrote := 0
 	call := func() decide.Outcome {
-		return to.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, OnWritten: func() { wrote++ }})
+		return ep.Call(t.Context(), engine.Attempt{ID: "m", Body: message.Bytes("x"), Timeout: time.Minute, OnWritten: func() { wrote++ }})
 	}
 	if o := call(); o.Result != decide.Succeeded || wrote != 1 {
 		t.Fatalf("%+v, written %d times", o, wrote)
@@ -124,24 +125,24 @@
 	e.State = decide.Draining
 	b.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
 	if o := call(); o.Result != decide.NotSent || served.Load() != 1 || wrote != 1 {
-		t.Errorf("drained: %+v, served %d times, written %d times", o, served.Load(), wrote)
+		t.Errorf("while draining: %+v, served %d times, written %d times", o, served.Load(), wrote)
 	}
 	e.State = decide.Active
 	b.UpdateEndpoints(engine.List{Scope: decide.Delta, Endpoints: []engine.Endpoint{e}})
 	if o := call(); o.Result != decide.Succeeded {
-		t.Errorf("put back: %+v", o)
+		t.Errorf("active again: %+v", o)
 	}
 }
 
-// TestDrainedWhileBeginIsAsked: a process may be stopped while it is asked whether a call may begin, and know a newer list once it goes on. A call to an endpoint that drains by that
-// list is not made, whatever Begin says.
-func TestDrainedWhileBeginIsAsked(t *testing.T) {
+// TestDrainedDuringMayBegin: a process may be stopped while MayBegin runs, and receive a newer list before it continues. A call to an endpoint
+// that is draining in that list is not made, whatever MayBegin returns.
+func TestDrainedDuringMayBegin(t *testing.T) {
 	var served atomic.Int32
-	address, _ := rawTarget(t, func(*http.Request, string) string {
+	address, _ := startEndpoint(t, func(*http.Request, string) string {
 		served.Add(1)
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	})
-	b := testTargets()
+	b := newTestBack()
 	e := engine.Endpoint{Target: decide.Target{ID: "t"}, Address: address}
 	b.UpdateEndpoints(engine.List{Scope: decide.Snapshot, Endpoints: []engine.Endpoint{e}})
 	drain := func() bool {
--- a/internal/back/httpcall/pool.go
+++ b/internal/back/httpcall/pool.go
@@ -21,65 +21,63 @@
 )
 
 const (
-	maxAnswer  = 64 << 10 // an answer that goes on longer is not read on
-	keepRecord = 4 << 10
-
-	// A connection makes no further call until so long after its last answer: HTTP/1.1 does not say which request an answer
-	// belongs to, so a second copy of that answer that comes behind the next request would be taken for the next answer.
-	repeatWindow     = 20 * time.Millisecond
-	longRepeatWindow = 200 * time.Millisecond // at an address that has sent more than it was asked for
-	distrustFor      = 10 * time.Minute       // since it last did
+	maxResponseBytes = 64 << 10 // header and body; reading a longer response fails
+	maxRetainedBytes = 4 << 10  // largest buffer of received bytes that an idle connection keeps
+
+	// A connection is not used again until this long after its last response. HTTP/1.1 does not say which request a response
+	// belongs to, so a duplicate of that response that arrives after the next request would be read as the next response.
+	reuseDelay        = 20 * time.Millisecond
+	suspectReuseDelay = 200 * time.Millisecond // at an address that has sent unexpected data
+	suspectDuration   = 10 * time.Minute       // how long an address stays suspect after unexpected data
 )
 
-// pool keeps the connections to all addresses. net/http's Transport is not used
-// for them: it may give a connection to the next call before it looks whether
-// more than the answer came, and takes a second copy of an answer for the answer
-// to that call; and it says nothing of a first line behind which the head can't be
-// read. The requests are small; the answers are still parsed by net/http.
+// pool keeps the connections to all addresses. It does not use net/http's Transport, which may reuse a connection before it checks
+// for data after the response, reads a duplicate of a response as the response to the next call, and does not expose the status line
+// of a response whose header is malformed. Requests are small and written by this package; responses are parsed by net/http.
 type pool struct {
-	most     int           // connections, idle ones counted
-	idleTime time.Duration // one idle for so long is closed
-	connect  time.Duration // one not made by then has failed
-	control  func(network, address string, c syscall.RawConn) error
-	rest     time.Duration // one makes no further call until so long after its last answer
-	longRest time.Duration // the same at an address that is distrusted
-
-	mu       sync.Mutex
-	open     int
-	released bool     // its connections go to another process
-	idle     idleList // all idle ones, longest idle first
-	hosts    map[string]*host
-	timer    *time.Timer
+	maxConns          int           // open connections, idle ones included
+	idleTimeout       time.Duration // after which an idle connection is closed
+	connectTimeout    time.Duration // for a connection to be established; 0: the time-out of its call alone
+	dialControl       func(network, address string, c syscall.RawConn) error
+	reuseDelay        time.Duration // least time between a connection's last response and its next call
+	suspectReuseDelay time.Duration // the same at a suspect address
+
+	mu         sync.Mutex
+	openConns  int
+	handedOver bool     // the idle connections have gone to another process; no connection is kept any more
+	idle       idleList // all idle connections, longest idle first
+	hosts      map[string]*host
+	timer      *time.Timer
 }
 
-// host is one address. Several targets may be at one.
+// host is the state of one address. Several endpoints may share an address.
 type host struct {
-	address       string
-	targets       int       // at it; none are kept when there is none
-	idle          []*conn   // longest idle first
-	distrustUntil time.Time // it has sent more than it was asked for; by the pool's lock
+	address      string
+	endpoints    int       // at this address; with none, no idle connections are kept
+	idle         []*conn   // longest idle first
+	suspectUntil time.Time // the address has sent unexpected data; guarded by the pool's lock
 }
 
-// conn is a connection to an address. A call has it for itself.
+// conn is a connection to an address. It serves one call at a time.
 type conn struct {
 	net.Conn
-	raw     syscall.RawConn
-	host    *host
-	r       *bufio.Reader
-	record  []byte      // what has come since the call began
-	stopped bool        // by a deadline
-	told    toldWait    // by the answer to this call, so far
-	off     atomic.Bool // the call's context has ended it; such a connection makes no further call here
-	replay  []byte      // what another process read of it, to be read again
-	since   time.Time   // it is idle
-	// answered is when the answer to its last call was read; zero: it has made none here.
-	answered time.Time
-	spare    [1]byte
-
-	prev, next *conn // while idle
+	raw        syscall.RawConn
+	host       *host
+	r          *bufio.Reader
+	received   []byte           // all bytes since the call began
+	timedOut   bool             // the last read ended at its deadline
+	retryAfter retryAfterParser // for the response to the current call
+	aborted    atomic.Bool      // set once the end of the call's context has aborted its I/O; this process then makes no further call on it
+	replay     []byte           // bytes that another process has read already; they are read again first
+	idleSince  time.Time
+	// lastResponse is when the last response was read; zero if this process has made no call on the connection.
+	lastResponse time.Time
+	probeBuffer  [1]byte
+
+	prev, next *conn // in the idle list
 }
 
-// idleList is the idle connections to all addresses, longest idle first.
+// idleList links the idle connections to all addresses, longest idle first.
 type idleList struct{ first, last *conn }
 
 func (l *idleList) push(c *conn) {
@@ -106,8 +104,8 @@
 	c.prev, c.next = nil, nil
 }
 
-// enter counts a target at an address, and leave counts it out.
-func (p *pool) enter(address string) *host {
+// acquireHost adds an endpoint to the state of its address, which it creates if need be.
+func (p *pool) acquireHost(address string) *host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[address]
@@ -115,14 +113,15 @@
 		h = &host{address: address}
 		p.hosts[address] = h
 	}
-	h.targets++
+	h.endpoints++
 	return h
 }
 
-func (p *pool) leave(h *host) {
+// releaseHost removes an endpoint from the state of its address. With the last one, the state and its idle connections go.
+func (p *pool) releaseHost(h *host) {
 	p.mu.Lock()
-	h.targets--
-	last := h.targets == 0
+	h.endpoints--
+	last := h.endpoints == 0
 	if last {
 		delete(p.hosts, h.address)
 	}
@@ -132,51 +131,51 @@
 	}
 }
 
-// get returns a connection: of those that have rested the one used last, if it is still good, or a new
-// one. When there are too many, the one idle longest is closed, wherever it goes.
-func (p *pool) get(ctx context.Context, h *host, left time.Duration) (*conn, error) {
-	for c := p.take(h); c != nil; c = p.take(h) {
-		// The timer that closes what is idle for too long may be late: the target's is not.
-		if time.Since(c.since) < p.idleTime && p.isQuiet(c) {
+// get returns an idle connection that may be reused, the most recently used first, or a new one. Beyond the limit, a new connection
+// displaces the one that has been idle longest, whatever its address.
+func (p *pool) get(ctx context.Context, h *host, timeLeft time.Duration) (*conn, error) {
+	for c := p.takeIdle(h); c != nil; c = p.takeIdle(h) {
+		// The timer that closes expired connections may run late, while the endpoint has closed its side on time.
+		if time.Since(c.idleSince) < p.idleTimeout && p.isReusable(c) {
 			return c, nil
 		}
 		p.close(c)
 	}
 	p.mu.Lock()
-	p.open++
-	var extra *conn
-	if p.open > p.most && p.idle.first != nil {
-		extra = p.idle.first
-		p.unidle(extra)
+	p.openConns++
+	var displaced *conn
+	if p.openConns > p.maxConns && p.idle.first != nil {
+		displaced = p.idle.first
+		p.removeIdle(displaced)
 	}
 	p.mu.Unlock()
-	if extra != nil {
-		p.close(extra)
+	if displaced != nil {
+		p.close(displaced)
 	}
-	dialer := net.Dialer{Timeout: p.connectTime(left), Control: p.control}
+	dialer := net.Dialer{Timeout: p.dialTimeout(timeLeft), Control: p.dialControl}
 	raw, err := dialer.DialContext(ctx, "tcp", h.address)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openConns--
 		p.mu.Unlock()
 		return nil, err
 	}
 	return newConn(raw, h), nil
 }
 
-// connectTime is how long a connection may take: what is left of its call, where nobody tells a limit. A time-out of 0 would be none.
-func (p *pool) connectTime(left time.Duration) time.Duration {
-	if p.connect > 0 {
-		left = min(left, p.connect)
+// dialTimeout limits the time left for a call by the configured connect time-out. It is never 0, which net.Dialer takes as no time-out.
+func (p *pool) dialTimeout(timeLeft time.Duration) time.Duration {
+	if p.connectTimeout > 0 {
+		timeLeft = min(timeLeft, p.connectTimeout)
 	}
-	return max(left, time.Millisecond)
+	return max(timeLeft, time.Millisecond)
 }
 
-// unidle takes a connection out of the idle ones. The pool is locked.
-func (p *pool) unidle(c *conn) {
+// removeIdle removes a connection from the idle lists. The caller holds the pool's lock.
+func (p *pool) removeIdle(c *conn) {
 	p.idle.remove(c)
 	list := c.host.idle
-	i := 0 // the one idle longest, or else mostly the one used last
+	i := 0 // mostly the one idle longest; otherwise the search starts at the most recently used
 	if list[0] != c {
 		for i = len(list) - 1; list[i] != c; i-- {
 		}
@@ -184,87 +183,87 @@
 	c.host.idle = slices.Delete(list, i, i+1)
 }
 
-// take takes out of the pool the idle connection to an address that was used last, of those that have rested; nil if there is none.
-func (p *pool) take(h *host) *conn {
+// takeIdle removes and returns the most recently used idle connection to an address whose reuse delay is over, or nil.
+func (p *pool) takeIdle(h *host) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	rest := p.rest
-	if now.Before(h.distrustUntil) {
-		rest = p.longRest
+	delay := p.reuseDelay
+	if now.Before(h.suspectUntil) {
+		delay = p.suspectReuseDelay
 	}
 	for i := len(h.idle) - 1; i >= 0; i-- {
-		if c := h.idle[i]; now.Sub(c.answered) >= rest {
-			p.unidle(c)
+		if c := h.idle[i]; now.Sub(c.lastResponse) >= delay {
+			p.removeIdle(c)
 			return c
 		}
 	}
 	return nil
 }
 
-// isQuiet reports whether a connection is as its last answer left it: neither ended nor with bytes that would be taken for the next
-// answer. The latter are held against its address.
-func (p *pool) isQuiet(c *conn) bool {
-	state := c.look()
-	if state == connSpoke {
-		p.distrust(c, "on an idle connection")
+// isReusable reports whether an idle connection is still open and has received nothing since its last response. Bytes received since
+// would be read as the next response; they mark its address as suspect.
+func (p *pool) isReusable(c *conn) bool {
+	state := c.checkIdle()
+	if state == connHasData {
+		p.markSuspect(c, "on an idle connection")
 	}
-	return state == connQuiet
+	return state == connIdle
 }
 
-// distrust notes that more came on a connection than it was asked for.
-func (p *pool) distrust(c *conn, when string) {
+// markSuspect records that an address has sent data beyond the response to a call.
+func (p *pool) markSuspect(c *conn, when string) {
 	now := time.Now()
 	p.mu.Lock()
-	known := now.Before(c.host.distrustUntil)
-	c.host.distrustUntil = now.Add(distrustFor)
+	known := now.Before(c.host.suspectUntil)
+	c.host.suspectUntil = now.Add(suspectDuration)
 	p.mu.Unlock()
 	if !known {
-		slog.Warn("an endpoint sends more than one answer to a call: its connections rest longer between calls", "target", c.host.address, "came", when, "rest", p.longRest, "for", distrustFor)
+		slog.Warn("an endpoint sends data beyond the response to a call: its connections are reused after a longer delay", "target", c.host.address, "came", when, "rest", p.suspectReuseDelay, "for", suspectDuration)
 	}
 }
 
-// put keeps a connection for the next call.
+// put returns a connection to the pool after a call whose response has been read completely.
 func (p *pool) put(c *conn) {
-	if c.record = c.record[:0]; cap(c.record) > keepRecord {
-		c.record = nil
+	if c.received = c.received[:0]; cap(c.received) > maxRetainedBytes {
+		c.received = nil
 	}
-	c.answered = time.Now()
-	p.giveBack(c, c.answered)
+	c.lastResponse = time.Now()
+	p.addIdle(c, c.lastResponse)
 }
 
-// giveBack keeps a connection on which nothing has been written since a time.
-func (p *pool) giveBack(c *conn, since time.Time) {
+// addIdle adds a connection that has been idle since the given time, or closes it if it is no longer needed.
+func (p *pool) addIdle(c *conn, since time.Time) {
 	p.mu.Lock()
-	if c.host.targets == 0 || p.released {
+	if c.host.endpoints == 0 || p.handedOver {
 		p.mu.Unlock()
 		p.close(c)
 		return
 	}
-	c.since = since
+	c.idleSince = since
 	p.idle.push(c)
 	c.host.idle = append(c.host.idle, c)
 	if p.timer == nil {
-		p.timer = time.AfterFunc(p.idleTime, p.expire)
+		p.timer = time.AfterFunc(p.idleTimeout, p.closeExpired)
 	}
 	p.mu.Unlock()
 }
 
-// expire closes what has been idle for too long.
-func (p *pool) expire() {
+// closeExpired closes the connections whose idle time-out is over and sets the timer for the next one.
+func (p *pool) closeExpired() {
 	p.mu.Lock()
 	now := time.Now()
-	var old []*conn
-	for c := p.idle.first; c != nil && now.Sub(c.since) >= p.idleTime; c = p.idle.first {
-		p.unidle(c)
-		old = append(old, c)
+	var expired []*conn
+	for c := p.idle.first; c != nil && now.Sub(c.idleSince) >= p.idleTimeout; c = p.idle.first {
+		p.removeIdle(c)
+		expired = append(expired, c)
 	}
 	p.timer = nil
 	if p.idle.first != nil {
-		p.timer = time.AfterFunc(p.idle.first.since.Add(p.idleTime).Sub(now), p.expire)
+		p.timer = time.AfterFunc(p.idle.first.idleSince.Add(p.idleTimeout).Sub(now), p.closeExpired)
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		p.close(c)
 	}
 }
@@ -272,12 +271,12 @@
 // closeIdle closes the idle connections to an address.
 func (p *pool) closeIdle(h *host) {
 	p.mu.Lock()
-	old := slices.Clone(h.idle)
-	for _, c := range old {
-		p.unidle(c)
+	idle := slices.Clone(h.idle)
+	for _, c := range idle {
+		p.removeIdle(c)
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range idle {
 		p.close(c)
 	}
 }
@@ -285,67 +284,67 @@
 func (p *pool) close(c *conn) {
 	c.Close()
 	p.mu.Lock()
-	p.open--
+	p.openConns--
 	p.mu.Unlock()
 }
 
-// Read reads from the connection and keeps a record of it, up to the bound of an answer.
+// Read reads from the connection, appends the bytes to received and fails once these exceed maxResponseBytes.
 func (c *conn) Read(b []byte) (int, error) {
-	left := maxAnswer - len(c.record)
+	left := maxResponseBytes - len(c.received)
 	if left <= 0 {
-		return 0, errSpoilt
+		return 0, errResponseTooLarge
 	}
 	if len(c.replay) > 0 {
 		n := copy(b[:min(len(b), left)], c.replay)
 		c.replay = c.replay[n:]
-		c.record = append(c.record, b[:n]...)
-		c.told.look(c.record)
+		c.received = append(c.received, b[:n]...)
+		c.retryAfter.parse(c.received)
 		return n, nil
 	}
 	n, err := c.Conn.Read(b[:min(len(b), left)])
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		if here := c.readHere(b[:min(len(b), left)]); here > 0 {
-			n, err = here, nil
+		if available := c.readAvailable(b[:min(len(b), left)]); available > 0 {
+			n, err = available, nil
 		}
 	}
-	c.stopped = errors.Is(err, os.ErrDeadlineExceeded) // what reads lines makes other errors of it
-	c.record = append(c.record, b[:n]...)
-	c.told.look(c.record)
+	c.timedOut = errors.Is(err, os.ErrDeadlineExceeded) // noted here, since http.ReadResponse may return another error
+	c.received = append(c.received, b[:n]...)
+	c.retryAfter.parse(c.received)
 	return n, err
 }
 
-// readHere reads what has come already, once a deadline is over. Where a process was stopped for a while, or waited for a core, the end of a
-// call's time and its answer are both there when it goes on: the answer came in time, and says what has become of the message.
-func (c *conn) readHere(b []byte) (n int) {
+// readAvailable reads the bytes that have already arrived when a deadline has passed. Where the process was stopped or waited for a core,
+// it may find the deadline passed and the response there at once: the response came in time, and says what became of the message.
+func (c *conn) readAvailable(b []byte) (n int) {
 	if c.raw == nil || len(b) == 0 {
 		return 0
 	}
-	c.raw.Control(func(fd uintptr) { n, _ = syscall.Read(int(fd), b) }) // it does not wait
+	c.raw.Control(func(fd uintptr) { n, _ = syscall.Read(int(fd), b) }) // the socket is non-blocking
 	return n
 }
 
-// answer reads an answer whole, behind any 1xx, and tells when it began - or
-// when there was no more to wait for. The body means nothing to us; its beginning is kept where a reply is asked for.
-func (c *conn) answer(ctx context.Context, end time.Time, reply *engine.Reply) (resp *http.Response, began time.Time, err error) {
+// readResponse reads a complete response, after any 1xx responses, and returns when its first byte came, or when waiting for it ended.
+// The body is discarded, except for its beginning where the caller wants a reply.
+func (c *conn) readResponse(ctx context.Context, deadline time.Time, reply *engine.Reply) (resp *http.Response, firstByte time.Time, err error) {
 	var upgraded, limited bool
 	for {
-		if limited { // by what came before, a 1xx
-			c.readUntil(ctx, end)
+		if limited { // the deadline that was set for a 1xx response
+			c.limitReads(ctx, deadline)
 		}
 		_, err := c.r.Peek(1)
-		began = time.Now()
+		firstByte = time.Now()
 		if err != nil {
-			return nil, began, err
+			return nil, firstByte, err
 		}
-		if limited = !c.headIsHere(); limited { // else there is nothing to wait for
-			limit := began.Add(answerTime)
-			if end.Before(limit) {
-				limit = end
+		if limited = !c.isEmptyResponseBuffered(); limited { // otherwise the response is complete
+			limit := firstByte.Add(responseReadTimeout)
+			if deadline.Before(limit) {
+				limit = deadline
 			}
-			c.readUntil(ctx, limit)
+			c.limitReads(ctx, limit)
 		}
 		if resp, err = http.ReadResponse(c.r, nil); err != nil {
-			return nil, began, err
+			return nil, firstByte, err
 		}
 		if resp.StatusCode < 100 || resp.StatusCode > 199 {
 			break
@@ -353,108 +352,110 @@
 		upgraded = upgraded || resp.StatusCode == http.StatusSwitchingProtocols
 	}
 	defer resp.Body.Close()
-	if resp.ContentLength > maxAnswer {
-		return nil, began, errSpoilt
+	if resp.ContentLength > maxResponseBytes {
+		return nil, firstByte, errResponseTooLarge
 	}
 	var kept []byte
 	if reply != nil {
 		if kept, err = io.ReadAll(io.LimitReader(resp.Body, int64(reply.MaxBody))); err != nil {
-			return nil, began, err
+			return nil, firstByte, err
 		}
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return nil, began, err
+		return nil, firstByte, err
 	}
 	resp.Close = resp.Close || upgraded
 	if reply != nil {
 		reply.Status, reply.Header, reply.Body = resp.StatusCode, resp.Header, kept
 	}
-	return resp, began, nil
+	return resp, firstByte, nil
 }
 
-// headIsHere tells whether a whole head has been read into the buffer. A body that has not
-// come with it is read until the end of the call at the latest.
-func (c *conn) headIsHere() bool {
-	text, _ := c.r.Peek(c.r.Buffered())
-	return bytes.Contains(text, headEnd) && bytes.Contains(text, emptyBody)
+// isEmptyResponseBuffered reports whether the buffer holds a complete header and a Content-Length of 0. Where it is mistaken, for instance
+// since the two belong to different responses, the deadline of the call still bounds the reads.
+func (c *conn) isEmptyResponseBuffered() bool {
+	buffered, _ := c.r.Peek(c.r.Buffered())
+	return bytes.Contains(buffered, headerEnd) && bytes.Contains(buffered, zeroLengthHeader)
 }
 
 var (
-	headEnd   = []byte("\r\n\r\n")
-	emptyBody = []byte("\r\nContent-Length: 0\r\n")
+	headerEnd        = []byte("\r\n\r\n")
+	zeroLengthHeader = []byte("\r\nContent-Length: 0\r\n")
 )
 
-// readUntil bounds the reads to come by a time, and by the end of the call.
-func (c *conn) readUntil(ctx context.Context, t time.Time) {
+// limitReads sets a deadline for further reads, unless the call's context has ended: then reads fail at once.
+func (c *conn) limitReads(ctx context.Context, t time.Time) {
 	c.SetReadDeadline(t)
 	if ctx.Err() != nil {
-		c.giveUp()
+		c.abortIO()
 	}
 }
 
-// giveUp ends whatever is being read or written.
-func (c *conn) giveUp() { c.SetDeadline(time.Unix(1, 0)) }
+// abortIO makes all reads and writes in progress fail.
+func (c *conn) abortIO() { c.SetDeadline(time.Unix(1, 0)) }
 
-// calledOff is giveUp for the end of a call's context.
-func (c *conn) calledOff() {
-	c.giveUp()
-	c.off.Store(true)
+// abortCall is called when the call's context ends.
+func (c *conn) abortCall() {
+	c.abortIO()
+	c.aborted.Store(true)
 }
 
-// keepDeadline returns once calledOff sets none any more, if it has begun. Whoever goes on with the connection sets its own.
-func (c *conn) keepDeadline(stop func() bool) {
-	for stopped := stop(); !stopped && !c.off.Load(); {
+// settleAbort prevents abortCall from running, or waits until it has set its deadline. The process that continues with the connection sets
+// its own deadline, which abortCall must not replace.
+func (c *conn) settleAbort(stopAbort func() bool) {
+	for stopped := stopAbort(); !stopped && !c.aborted.Load(); {
 		runtime.Gosched()
 	}
 }
 
-// connState is what an idle connection shows.
+// connState is the state of an idle connection.
 type connState int
 
 const (
-	connQuiet connState = iota
-	connEnded
-	connSpoke // bytes have come
+	connIdle connState = iota
+	connClosed
+	connHasData // bytes have arrived since the last response
 )
 
-// look shows what has come on an idle connection. It does not wait.
-func (c *conn) look() connState {
+// checkIdle returns the state of an idle connection, without blocking.
+func (c *conn) checkIdle() connState {
 	if c.raw == nil {
-		return connEnded
+		return connClosed
 	}
 	var count int
 	var readErr error
-	err := c.raw.Control(func(fd uintptr) { count, readErr = syscall.Read(int(fd), c.spare[:]) })
+	err := c.raw.Control(func(fd uintptr) { count, readErr = syscall.Read(int(fd), c.probeBuffer[:]) })
 	switch {
 	case err == nil && readErr == syscall.EAGAIN:
-		return connQuiet
+		return connIdle
 	case err == nil && readErr == nil && count > 0:
-		return connSpoke
+		return connHasData
 	}
-	return connEnded
+	return connClosed
 }
 
-// says200 tells whether the first line of an answer, behind any 1xx, says 200.
-func says200(text []byte) bool {
-	status, _ := firstLine(text)
+// hasStatus200 reports whether the status line of a response, after any 1xx responses, is complete and has the status 200.
+func hasStatus200(received []byte) bool {
+	status, _ := parseStatusLine(received)
 	return status == "200"
 }
 
-// firstLine is the status that the first line of an answer says, behind any 1xx, and what follows that line; "" if there is none yet.
-func firstLine(text []byte) (status string, rest []byte) {
+// parseStatusLine returns the status in the status line of a response, after any 1xx responses, and the text after that line; "" if
+// there is no complete and valid status line yet.
+func parseStatusLine(received []byte) (status string, rest []byte) {
 	for {
-		line, after, whole := bytes.Cut(text, []byte("\n"))
+		line, after, complete := bytes.Cut(received, []byte("\n"))
 		fields := bytes.Fields(line)
-		if !whole || len(fields) < 2 || !bytes.HasPrefix(fields[0], []byte("HTTP/1.")) || len(fields[1]) != 3 {
+		if !complete || len(fields) < 2 || !bytes.HasPrefix(fields[0], []byte("HTTP/1.")) || len(fields[1]) != 3 {
 			return "", nil
 		}
 		if fields[1][0] != '1' {
 			return string(fields[1]), after
 		}
-		_, rest, whole := bytes.Cut(text, []byte("\r\n\r\n"))
-		if !whole {
+		_, rest, complete := bytes.Cut(received, []byte("\r\n\r\n"))
+		if !complete {
 			return "", nil
 		}
-		text = rest
+		received = rest
 	}
 }
