--- a/internal/back/smtpcall/smtpcall.go
+++ b/internal/back/smtpcall/smtpcall.go
@@ -1,5 +1,5 @@
-// Package smtpcall is the back that delivers messages by SMTP (RFC 5321) and LMTP (RFC 2033). It knows to the byte how far a
-// transaction came: up to the last byte of the final dot nothing has run; from there on only a reply says what did.
+// Package smtpcall is the back that delivers messages by SMTP (RFC 5321) and LMTP (RFC 2033). It tracks exactly how far a transaction has
+// come: before the last byte of the final dot is written, the message can't have been delivered; after it, only a reply tells.
 package smtpcall
 
 import (
@@ -22,128 +22,130 @@
 	"scaleroute/internal/engine"
 )
 
-// Config bounds what a Back holds.
+// Config holds the settings of a Back.
 type Config struct {
-	Hostname       string        // of this host, as it says in EHLO
-	MaxIdle        int           // connections kept idle, to all endpoints together
-	IdleTimeout    time.Duration // one idle for so long is not used any more
-	ConnectTimeout time.Duration // a connection not made by then has failed
+	Hostname       string        // of this host, sent in EHLO and LHLO
+	MaxIdle        int           // idle connections kept, to all endpoints together
+	IdleTimeout    time.Duration // after which an idle connection is not used any more
+	ConnectTimeout time.Duration // for a connection to be established
 }
 
 // Back knows the addresses of the endpoints and keeps connections to them.
 type Back struct {
-	set    Config
-	byName map[string]*target
+	config    Config
+	endpoints map[string]*endpoint
 
 	mu    sync.Mutex
-	idle  []*conn     // of all targets, the one idle longest first
-	timer *time.Timer // while any is
+	idle  []*conn     // to all endpoints, longest idle first
+	timer *time.Timer // set while any connection is idle
 }
 
-type target struct {
+// endpoint is a mail endpoint at one address.
+type endpoint struct {
 	back     *Back
-	address  string // as listed
-	host     string
+	address  string // as in the endpoint list
+	hostPort string
 	lmtp     bool
 	from, to string
 
-	gone    bool        // by the back's lock: it is not listed any more, and none is kept
-	drained atomic.Bool // nothing new goes there, also what was decided before
+	removed  bool        // no longer listed, so that no connection is kept; guarded by the back's lock
+	draining atomic.Bool // no new call is made, not even one that was decided on before
 }
 
+// conn is a connection to an endpoint on which the server has been greeted.
 type conn struct {
 	net.Conn
-	r        *bufio.Reader
-	used     time.Time
-	target   *target
-	pipeline bool   // PIPELINING (RFC 2920)
-	size     int64  // the largest message (RFC 1870); 0: not told
-	sizes    bool   // SIZE is offered
-	wrote    func() // counts a message written whole
-	begun    bool   // a transaction was refused on it: RSET comes before the next, and holds no answer up
+	r          *bufio.Reader
+	lastUsed   time.Time
+	endpoint   *endpoint
+	pipelining bool   // the server offers PIPELINING (RFC 2920)
+	maxSize    int64  // largest message that the server accepts (RFC 1870); 0: no limit announced
+	offersSize bool   // the server offers SIZE
+	onWritten  func() // called once the message is written completely
+	needsReset bool   // the last transaction failed: the next one begins with RSET, so that the outcome of the failed one does not wait for it
 }
 
 // New makes a Back without endpoints.
-func New(c Config) *Back { return &Back{set: c, byName: map[string]*target{}} }
+func New(c Config) *Back { return &Back{config: c, endpoints: map[string]*endpoint{}} }
 
-// UpdateEndpoints takes what a source tells of addresses; those for other backs are passed over.
+// UpdateEndpoints applies an endpoint list or a delta from discovery. Endpoints of other backs are ignored.
 func (b *Back) UpdateEndpoints(l engine.List) {
-	whole := l.Scope == decide.Snapshot || l.Scope == decide.LastKnown
-	named := map[string]bool{}
+	complete := l.Scope == decide.Snapshot || l.Scope == decide.LastKnown
+	listed := map[string]bool{}
 	for _, e := range l.Endpoints {
-		old := b.byName[e.ID]
-		ours := e.State != decide.Gone && engine.IsMail(e.Address)
-		if ours && (old == nil || old.address != e.Address) {
-			t, err := b.open(e.Address)
-			if err != nil { // the file is checked: this is a source that errs
-				slog.Error("an endpoint's address can't be read", "endpoint", e.ID, "err", err)
-				ours = false
+		old := b.endpoints[e.ID]
+		isMail := e.State != decide.Gone && engine.IsMail(e.Address)
+		if isMail && (old == nil || old.address != e.Address) {
+			ep, err := b.newEndpoint(e.Address)
+			if err != nil { // addresses in the configuration are validated, so this one comes from faulty discovery
+				slog.Error("invalid address of an endpoint", "endpoint", e.ID, "err", err)
+				isMail = false
 			} else {
 				b.remove(e.ID)
-				b.byName[e.ID] = t
+				b.endpoints[e.ID] = ep
 			}
 		}
-		if !ours {
+		if !isMail {
 			b.remove(e.ID)
 		}
-		if t := b.byName[e.ID]; t != nil {
-			t.drained.Store(e.State != decide.Active)
+		if ep := b.endpoints[e.ID]; ep != nil {
+			ep.draining.Store(e.State != decide.Active)
 		}
-		named[e.ID] = true
+		listed[e.ID] = true
 	}
-	for name := range b.byName {
-		if whole && !named[name] {
+	for name := range b.endpoints {
+		if complete && !listed[name] {
 			b.remove(name)
 		}
 	}
 }
 
-func (b *Back) open(address string) (*target, error) {
+func (b *Back) newEndpoint(address string) (*endpoint, error) {
 	m, err := engine.ParseMailAddress(address)
 	if err != nil {
 		return nil, err
 	}
-	return &target{back: b, address: address, host: m.HostPort, lmtp: m.LMTP, from: m.From, to: m.To}, nil
+	return &endpoint{back: b, address: address, hostPort: m.HostPort, lmtp: m.LMTP, from: m.From, to: m.To}, nil
 }
 
-// remove forgets an endpoint; calls that are out go on.
+// remove drops an endpoint. Calls in flight to it continue.
 func (b *Back) remove(name string) {
-	if t := b.byName[name]; t != nil {
-		delete(b.byName, name)
+	if e := b.endpoints[name]; e != nil {
+		delete(b.endpoints, name)
 		b.mu.Lock()
-		t.gone = true
+		e.removed = true
 		b.mu.Unlock()
-		t.CloseIdle()
+		e.CloseIdle()
 	}
 }
 
-// Endpoint finds an endpoint by its name.
+// Endpoint returns the endpoint of that name, or nil.
 func (b *Back) Endpoint(name string) engine.Caller {
-	if t := b.byName[name]; t != nil {
-		return t
+	if e := b.endpoints[name]; e != nil {
+		return e
 	}
 	return nil
 }
 
-// CloseIdle closes the idle connections to the endpoint. It waits for nothing: no QUIT is answered.
-func (t *target) CloseIdle() {
-	t.back.mu.Lock()
-	defer t.back.mu.Unlock()
-	t.back.idle = slices.DeleteFunc(t.back.idle, func(c *conn) bool {
-		if c.target == t {
+// CloseIdle closes the idle connections to the endpoint, without a QUIT, whose reply it would have to wait for.
+func (e *endpoint) CloseIdle() {
+	e.back.mu.Lock()
+	defer e.back.mu.Unlock()
+	e.back.idle = slices.DeleteFunc(e.back.idle, func(c *conn) bool {
+		if c.endpoint == e {
 			c.Close()
 		}
-		return c.target == t
+		return c.endpoint == e
 	})
 }
 
-// take returns an idle connection that is young enough, or nil.
-func (t *target) take() *conn {
-	t.back.mu.Lock()
-	defer t.back.mu.Unlock()
-	b := t.back
+// takeIdle removes and returns the endpoint's most recently used idle connection within the idle time-out, or nil.
+func (e *endpoint) takeIdle() *conn {
+	e.back.mu.Lock()
+	defer e.back.mu.Unlock()
+	b := e.back
 	for i := len(b.idle) - 1; i >= 0; i-- {
-		if c := b.idle[i]; c.target == t && time.Since(c.used) < b.set.IdleTimeout {
+		if c := b.idle[i]; c.endpoint == e && time.Since(c.lastUsed) < b.config.IdleTimeout {
 			b.idle = slices.Delete(b.idle, i, i+1)
 			return c
 		}
@@ -151,68 +153,69 @@
 	return nil
 }
 
-// expire closes the connections that have been idle for too long, and comes again while any is left.
-func (b *Back) expire() {
+// closeExpired closes the connections whose idle time-out is over, and sets the timer again while any connection is idle.
+func (b *Back) closeExpired() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for len(b.idle) > 0 && time.Since(b.idle[0].used) >= b.set.IdleTimeout {
+	for len(b.idle) > 0 && time.Since(b.idle[0].lastUsed) >= b.config.IdleTimeout {
 		b.idle[0].Close()
 		b.idle = slices.Delete(b.idle, 0, 1)
 	}
 	b.timer = nil
 	if len(b.idle) > 0 {
-		b.timer = time.AfterFunc(b.set.IdleTimeout-time.Since(b.idle[0].used), b.expire)
+		b.timer = time.AfterFunc(b.config.IdleTimeout-time.Since(b.idle[0].lastUsed), b.closeExpired)
 	}
 }
 
-func (t *target) keep(c *conn) {
-	t.back.mu.Lock()
-	defer t.back.mu.Unlock()
-	if t.gone {
+// putIdle keeps a connection for the next call, or closes it if the endpoint is no longer listed.
+func (e *endpoint) putIdle(c *conn) {
+	e.back.mu.Lock()
+	defer e.back.mu.Unlock()
+	if e.removed {
 		c.Close()
 		return
 	}
-	c.used, c.target = time.Now(), t
+	c.lastUsed, c.endpoint = time.Now(), e
 	c.SetDeadline(time.Time{})
-	b := t.back
+	b := e.back
 	b.idle = append(b.idle, c)
-	if len(b.idle) > b.set.MaxIdle { // the one idle longest makes room, whoever's it is
+	if len(b.idle) > b.config.MaxIdle { // the one idle longest is closed, whatever its endpoint
 		b.idle[0].Close()
 		b.idle = slices.Delete(b.idle, 0, 1)
 	}
 	if b.timer == nil {
-		b.timer = time.AfterFunc(b.set.IdleTimeout, b.expire)
+		b.timer = time.AfterFunc(b.config.IdleTimeout, b.closeExpired)
 	}
 }
 
-// failure is why a transaction did not come to its end.
+// failure is the reason why a transaction did not complete.
 type failure struct {
-	result decide.Result
-	closed bool // the connection is of no use any more
-	stale  bool // it was an idle one, and nothing was answered on it: a new one may do
-	err    error
+	result    decide.Result
+	unusable  bool // the connection can't be used any more
+	retryable bool // an idle connection turned out unusable before the transaction began, which may be retried on another connection
+	err       error
 }
 
 func (f *failure) Error() string { return f.err.Error() }
 
-// Call sends one message, once, and tells how that ended.
-func (t *target) Call(ctx context.Context, a engine.Attempt) (o decide.Outcome) {
-	began := time.Now()
-	defer func() { o.Latency = time.Since(began) }()
+// Call sends one message, once, and returns the outcome.
+func (e *endpoint) Call(ctx context.Context, a engine.Attempt) (o decide.Outcome) {
+	start := time.Now()
+	defer func() { o.Latency = time.Since(start) }()
 	body, err := a.Body.Load()
 	if err != nil {
-		slog.Error("a body can't be read", "id", a.ID, "err", err)
+		slog.Error("a message body can't be read", "id", a.ID, "err", err)
 		o.Result = decide.NotSent
 		return o
 	}
-	end := began.Add(a.Timeout)
-	text := compose(&a, t.from, t.to, body, began)
+	deadline := start.Add(a.Timeout)
+	mail := compose(&a, e.from, e.to, body, start)
 	for {
-		c := t.take()
+		c := e.takeIdle()
 		reused := c != nil
 		var f *failure
 		if !reused {
-			if c, f = t.connect(ctx, &a, end); f != nil {
+			if c, f = e.connect(ctx, &a, deadline); f != nil {
 				o.Result = f.result
 				return o
 			}
@@ -222,25 +225,25 @@
 			o.Result = decide.NotSent
 			return o
 		}
-		if t.drained.Load() { // since it was decided: nothing has been said of the message
-			t.keep(c)
+		if e.draining.Load() { // set since the call was decided on; nothing of the message has been sent
+			e.putIdle(c)
 			o.Result = decide.NotSent
 			return o
 		}
-		c.wrote = a.OnWritten
-		c.SetDeadline(end)
-		stop := context.AfterFunc(ctx, func() { c.Close() })
-		f = t.transact(c, text, reused)
-		alive := stop()
+		c.onWritten = a.OnWritten
+		c.SetDeadline(deadline)
+		stopClose := context.AfterFunc(ctx, func() { c.Close() })
+		f = e.transact(c, mail, reused)
+		notCancelled := stopClose()
 		switch {
 		case f == nil:
 			o.Result, o.NoAnswerNeeded = decide.Succeeded, true
-		case f.stale && alive && time.Now().Before(end):
+		case f.retryable && notCancelled && time.Now().Before(deadline):
 			c.Close()
 			continue
 		default:
 			o.Result, o.NoAnswerNeeded = f.result, f.result == decide.Succeeded
-			if ctx.Err() != nil { // called off: before the dot that is no failure of the endpoint
+			if ctx.Err() != nil { // cancelled: a connection lost before the final dot is then no failure of the endpoint
 				switch o.Result {
 				case decide.ConnectFailed:
 					o.Result = decide.NotSent
@@ -248,39 +251,39 @@
 					o.Result = decide.Cancelled
 				}
 			}
-			slog.Debug("not delivered by mail", "id", a.ID, "endpoint", t.host, "err", f.err)
+			slog.Debug("mail was not delivered", "id", a.ID, "endpoint", e.hostPort, "err", f.err)
 		}
 		switch {
-		case !alive || f != nil && f.closed:
+		case !notCancelled || f != nil && f.unusable:
 			c.Close()
 		default:
-			c.begun = f != nil
-			t.keep(c)
+			c.needsReset = f != nil
+			e.putIdle(c)
 		}
 		return o
 	}
 }
 
-// connect makes a connection on which a transaction may begin.
-func (t *target) connect(ctx context.Context, a *engine.Attempt, end time.Time) (*conn, *failure) {
-	limit := min(time.Until(end), t.back.set.ConnectTimeout)
+// connect establishes a connection and greets the server, so that a transaction may begin.
+func (e *endpoint) connect(ctx context.Context, a *engine.Attempt, deadline time.Time) (*conn, *failure) {
+	limit := min(time.Until(deadline), e.back.config.ConnectTimeout)
 	if a.ConnectTimeout > 0 {
 		limit = min(limit, a.ConnectTimeout)
 	}
 	dialer := net.Dialer{Timeout: max(limit, time.Millisecond)}
-	raw, err := dialer.DialContext(ctx, "tcp", t.host)
+	raw, err := dialer.DialContext(ctx, "tcp", e.hostPort)
 	if err != nil {
 		result := decide.ConnectFailed
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || ctx.Err() != nil {
-			result = decide.NotSent // our own want says nothing of the endpoint
+			result = decide.NotSent // a shortage of file descriptors here or a cancelled call, and no failure of the endpoint
 		}
 		return nil, &failure{result: result, err: err}
 	}
-	c := &conn{Conn: raw, r: bufio.NewReaderSize(raw, mostLine)}
-	c.SetDeadline(end)
-	stop := context.AfterFunc(ctx, func() { raw.Close() })
-	f := t.greet(c)
-	if !stop() && f == nil {
+	c := &conn{Conn: raw, r: bufio.NewReaderSize(raw, maxLineBytes)}
+	c.SetDeadline(deadline)
+	stopClose := context.AfterFunc(ctx, func() { raw.Close() })
+	f := e.greet(c)
+	if !stopClose() && f == nil {
 		f = &failure{result: decide.NotSent, err: ctx.Err()}
 	}
 	if f != nil {
@@ -293,129 +296,130 @@
 	return c, nil
 }
 
-// greet takes the greeting and introduces us.
-func (t *target) greet(c *conn) *failure {
-	if _, f := c.expect(greeting); f != nil {
+// greet reads the server's greeting, sends EHLO or LHLO and notes the extensions that the server offers.
+func (e *endpoint) greet(c *conn) *failure {
+	if _, f := c.expect(stageGreeting); f != nil {
 		return f
 	}
-	word := "EHLO"
-	if t.lmtp {
-		word = "LHLO"
+	hello := "EHLO"
+	if e.lmtp {
+		hello = "LHLO"
 	}
-	p, f := c.say(hello, "%s %s\r\n", word, t.back.set.Hostname)
-	if f != nil && p != nil && p.code/100 == 5 && p.code != 554 && !t.lmtp { // an old server (RFC 5321, section 3.2)
-		_, f = c.say(hello, "HELO %s\r\n", t.back.set.Hostname)
+	r, f := c.command(stageHello, "%s %s\r\n", hello, e.back.config.Hostname)
+	if f != nil && r != nil && r.code/100 == 5 && r.code != 554 && !e.lmtp { // a server without EHLO (RFC 5321, section 3.2)
+		_, f = c.command(stageHello, "HELO %s\r\n", e.back.config.Hostname)
 		return f
 	}
 	if f != nil {
 		return f
 	}
-	for _, line := range p.lines[1:] {
-		switch word, rest, _ := strings.Cut(strings.ToUpper(line), " "); word {
+	for _, line := range r.lines[1:] {
+		switch keyword, rest, _ := strings.Cut(strings.ToUpper(line), " "); keyword {
 		case "PIPELINING":
-			c.pipeline = true
+			c.pipelining = true
 		case "SIZE":
-			c.sizes = true
-			c.size, _ = strconv.ParseInt(rest, 10, 64)
+			c.offersSize = true
+			c.maxSize, _ = strconv.ParseInt(rest, 10, 64)
 		}
 	}
 	return nil
 }
 
-// transact hands one message over.
-func (t *target) transact(c *conn, text []byte, reused bool) *failure {
-	if c.size > 0 && int64(len(text)) > c.size {
-		return &failure{result: decide.Rejected, err: fmt.Errorf("%d bytes, and the server takes %d", len(text), c.size)}
-	}
-	if c.begun {
-		if _, f := c.say(mail, "RSET\r\n"); f != nil {
-			return &failure{result: decide.ConnectFailed, closed: true, stale: true, err: f.err}
+// transact runs the transaction of one message; nil means that the message is delivered.
+func (e *endpoint) transact(c *conn, mail []byte, reused bool) *failure {
+	if c.maxSize > 0 && int64(len(mail)) > c.maxSize {
+		return &failure{result: decide.Rejected, err: fmt.Errorf("the mail has %d bytes, but the server accepts %d", len(mail), c.maxSize)}
+	}
+	if c.needsReset {
+		if _, f := c.command(stageMail, "RSET\r\n"); f != nil {
+			return &failure{result: decide.ConnectFailed, unusable: true, retryable: true, err: f.err}
 		}
-		c.begun = false
+		c.needsReset = false
 	}
-	from := fmt.Sprintf("MAIL FROM:<%s>", t.from)
-	if c.sizes {
-		from += fmt.Sprintf(" SIZE=%d", len(text))
+	from := fmt.Sprintf("MAIL FROM:<%s>", e.from)
+	if c.offersSize {
+		from += fmt.Sprintf(" SIZE=%d", len(mail))
 	}
-	to := fmt.Sprintf("RCPT TO:<%s>\r\n", t.to)
-	if c.pipeline {
+	to := fmt.Sprintf("RCPT TO:<%s>\r\n", e.to)
+	if c.pipelining {
 		if _, err := fmt.Fprintf(c, "%s\r\n%s", from, to); err != nil {
 			return &failure{decide.ConnectFailed, true, reused, err}
 		}
-		p, f := c.expect(mail)
+		r, f := c.expect(stageMail)
 		if f != nil {
-			f.stale = reused && (p == nil || p.code == 421)
-			if p != nil && p.code != 421 {
-				if _, err := readReply(c.r); err != nil { // of RCPT
-					f.closed = true
+			f.retryable = reused && (r == nil || r.code == 421)
+			if r != nil && r.code != 421 {
+				if _, err := readReply(c.r); err != nil { // the reply to RCPT
+					f.unusable = true
 				}
 			}
 			return f
 		}
-		if _, f := c.expect(rcpt); f != nil {
+		if _, f := c.expect(stageRcpt); f != nil {
 			return f
 		}
 	} else {
-		if p, f := c.say(mail, "%s\r\n", from); f != nil {
-			f.stale = reused && (p == nil || p.code == 421)
+		if r, f := c.command(stageMail, "%s\r\n", from); f != nil {
+			f.retryable = reused && (r == nil || r.code == 421)
 			return f
 		}
-		if _, f := c.say(rcpt, "%s", to); f != nil {
+		if _, f := c.command(stageRcpt, "%s", to); f != nil {
 			return f
 		}
 	}
-	if _, f := c.say(data, "DATA\r\n"); f != nil {
+	if _, f := c.command(stageData, "DATA\r\n"); f != nil {
 		return f
 	}
-	if _, err := c.Write(text); err != nil {
-		return &failure{result: decide.ConnectFailed, closed: true, err: err}
+	if _, err := c.Write(mail); err != nil {
+		return &failure{result: decide.ConnectFailed, unusable: true, err: err}
 	}
-	if c.r.Buffered() > 0 { // it speaks before its turn: no reply to what comes now could be told from that
-		return &failure{result: decide.ConnectFailed, closed: true, err: fmt.Errorf("%w: said before the end of the message", errNoReply)}
+	if c.r.Buffered() > 0 { // a reply that came too early can't be told from the reply to the message
+		return &failure{result: decide.ConnectFailed, unusable: true, err: fmt.Errorf("%w: sent before the end of the message", errInvalidReply)}
 	}
-	// Only with its last byte is the message handed over; a server that does not get it must not deliver (RFC 5321, section 4.1.1.4).
+	// The message is handed over only with the last byte of the final dot: a server that has not received that byte must not deliver it
+	// (RFC 5321, section 4.1.1.4).
 	if _, err := c.Write([]byte(".\r\n")); err != nil {
-		return &failure{result: decide.ConnectFailed, closed: true, err: err}
+		return &failure{result: decide.ConnectFailed, unusable: true, err: err}
 	}
-	if c.wrote != nil {
-		c.wrote()
+	if c.onWritten != nil {
+		c.onWritten()
 	}
-	p, err := readReply(c.r)
-	var spoilt *replyError
+	r, err := readReply(c.r)
+	var malformed *replyError
 	switch {
 	case err == nil:
-		result, ok := meaning(dot, p.code)
+		result, ok := classifyReply(stageDot, r.code)
 		if ok {
 			return nil
 		}
-		return &failure{result: result, closed: p.code == 421 || result == decide.Errored, err: fmt.Errorf("%d %s", p.code, strings.Join(p.lines, " "))}
-	case errors.As(err, &spoilt) && spoilt.first/100 == 2: // that is true, whatever follows
-		return &failure{result: decide.Succeeded, closed: true, err: err}
+		return &failure{result: result, unusable: r.code == 421 || result == decide.Errored, err: fmt.Errorf("%d %s", r.code, strings.Join(r.lines, " "))}
+	case errors.As(err, &malformed) && malformed.firstCode/100 == 2: // the first line counts, whatever follows it
+		return &failure{result: decide.Succeeded, unusable: true, err: err}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &failure{result: decide.TimedOut, closed: true, err: err}
-	case errors.Is(err, errNoReply) || errors.Is(err, bufio.ErrBufferFull) || c.r.Buffered() > 0:
-		return &failure{result: decide.Errored, closed: true, err: err}
+		return &failure{result: decide.TimedOut, unusable: true, err: err}
+	case errors.Is(err, errInvalidReply) || errors.Is(err, bufio.ErrBufferFull) || c.r.Buffered() > 0:
+		return &failure{result: decide.Errored, unusable: true, err: err}
 	}
-	return &failure{result: decide.Reset, closed: true, err: err}
+	return &failure{result: decide.Reset, unusable: true, err: err}
 }
 
-// say sends a command and takes its reply.
-func (c *conn) say(s stage, format string, args ...any) (*reply, *failure) {
+// command sends a command and reads its reply.
+func (c *conn) command(s stage, format string, args ...any) (*reply, *failure) {
 	if _, err := fmt.Fprintf(c, format, args...); err != nil {
-		return nil, &failure{result: decide.ConnectFailed, closed: true, err: err}
+		return nil, &failure{result: decide.ConnectFailed, unusable: true, err: err}
 	}
 	return c.expect(s)
 }
 
-// expect takes a reply before the message: without one nothing has run.
+// expect reads the reply due at a stage before the final dot. Without a valid reply, the call fails as one that never ran.
 func (c *conn) expect(s stage) (*reply, *failure) {
-	p, err := readReply(c.r)
+	r, err := readReply(c.r)
 	if err != nil {
-		return nil, &failure{result: decide.ConnectFailed, closed: true, err: err}
+		return nil, &failure{result: decide.ConnectFailed, unusable: true, err: err}
 	}
-	if result, ok := meaning(s, p.code); !ok {
-		return p, &failure{result: result, closed: p.code == 421 || s < mail || result == decide.ConnectFailed,
-			err: fmt.Errorf("%d %s", p.code, strings.Join(p.lines, " "))}
+	if result, ok := classifyReply(s, r.code); !ok {
+		return r, &failure{result: result, unusable: r.code == 421 || s < stageMail || result == decide.ConnectFailed,
+			err: fmt.Errorf("%d %s", r.code, strings.Join(r.lines, " "))}
 	}
-	return p, nil
+	return r, nil
 }
--- a/internal/back/smtpcall/smtpcall_test.go
+++ b/internal/back/smtpcall/smtpcall_test.go
@@ -15,8 +15,8 @@
 	"scaleroute/internal/standin"
 )
 
-// at starts a stand-in server, and makes a back that knows it.
-func at(t *testing.T, protocol string, offer []string, script standin.MailScript) (*standin.Mail, *Back) {
+// startServer starts a fake mail server and returns it with a Back whose endpoint "m" it is.
+func startServer(t *testing.T, protocol string, offer []string, script standin.MailScript) (*standin.Mail, *Back) {
 	t.Helper()
 	m, err := standin.NewMail(offer, script)
 	if err != nil {
@@ -34,23 +34,23 @@
 		Header: []message.Field{{Name: "X-Long", Value: strings.Repeat("v", 1000)}}})
 }
 
-// TestMatrix has a server do everything that it may do at every stage, by SMTP and LMTP, with commands one by one and together. The expected
-// outcome is worked out here from the stage and what is done alone. Whatever it is, the next message goes well.
-func TestMatrix(t *testing.T) {
-	type done struct {
+// TestReplyOutcomes runs every kind of server behaviour at every stage, by SMTP and LMTP, with and without pipelining. The expected outcome
+// is derived independently of the code, from the stage and the behaviour alone. Whatever it is, the next message must be delivered.
+func TestReplyOutcomes(t *testing.T) {
+	type behaviour struct {
 		name string
 		do   standin.MailDo
 	}
-	all := []done{
+	behaviours := []behaviour{
 		{"2xx", standin.MailDo{Say: "250 fine\r\n", Ran: true}}, {"2xx without text", standin.MailDo{Say: "250\r\n", Ran: true}},
-		{"2xx in many lines", standin.MailDo{Say: "250-a\r\n250-b\r\n250 c\r\n", Ran: true}}, {"2xx cut after its first line", standin.MailDo{Say: "250-a\r\n25", Drop: true, Ran: true}},
+		{"2xx in several lines", standin.MailDo{Say: "250-a\r\n250-b\r\n250 c\r\n", Ran: true}}, {"2xx cut after its first line", standin.MailDo{Say: "250-a\r\n25", Drop: true, Ran: true}},
 		{"2xx cut in its first line", standin.MailDo{Say: "250", Drop: true, Ran: true}}, {"354", standin.MailDo{Say: "354 go on\r\n"}},
 		{"4xx", standin.MailDo{Say: "451 4.7.1 later\r\n"}}, {"421", standin.MailDo{Say: "421 closing\r\n", Drop: true}}, {"452", standin.MailDo{Say: "452 too many\r\n"}},
 		{"5xx", standin.MailDo{Say: "550 5.1.1 never\r\n"}}, {"552", standin.MailDo{Say: "552 too large\r\n"}}, {"554", standin.MailDo{Say: "554 no\r\n"}},
-		{"codes that differ", standin.MailDo{Say: "450-a\r\n550 b\r\n"}}, {"noise", standin.MailDo{Say: "HTTP/1.1 200 OK\r\n"}}, {"a line too long", standin.MailDo{Say: "250 " + strings.Repeat("x", 3000) + "\r\n"}},
+		{"different codes", standin.MailDo{Say: "450-a\r\n550 b\r\n"}}, {"noise", standin.MailDo{Say: "HTTP/1.1 200 OK\r\n"}}, {"a line too long", standin.MailDo{Say: "250 " + strings.Repeat("x", 3000) + "\r\n"}},
 		{"too many lines", standin.MailDo{Say: strings.Repeat("450-x\r\n", 200) + "450 x\r\n"}}, {"dropped", standin.MailDo{Drop: true}}, {"silent", standin.MailDo{Silent: true}},
 	}
-	// want is the table of docs/smtp.md once more.
+	// want implements the table in docs/smtp.md independently of classifyReply.
 	want := func(s standin.MailStage, name string) decide.Result {
 		two, four, five := strings.HasPrefix(name, "2xx") && !strings.Contains(name, "cut"), strings.HasPrefix(name, "4"), strings.HasPrefix(name, "5")
 		switch {
@@ -59,7 +59,7 @@
 		case s == standin.MailDot && name == "2xx cut in its first line":
 			return decide.Reset
 		case s == standin.MailData && name == "354", s != standin.MailDot && s != standin.MailData && two:
-			return decide.Succeeded // it goes on
+			return decide.Succeeded // the transaction continues
 		case four:
 			return decide.Overloaded
 		case five && s != standin.MailGreeting && s != standin.MailHello:
@@ -79,20 +79,20 @@
 	for _, protocol := range []string{engine.SMTP, engine.LMTP} {
 		for _, offer := range [][]string{nil, {"PIPELINING", "SIZE 100000", "8BITMIME"}} {
 			for _, s := range []standin.MailStage{standin.MailGreeting, standin.MailHello, standin.MailFrom, standin.MailTo, standin.MailData, standin.MailDot} {
-				for _, d := range all {
+				for _, d := range behaviours {
 					name := fmt.Sprint(protocol, " ", len(offer), " ", s, " ", d.name)
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
-						var again atomic.Bool
-						m, b := at(t, protocol, offer, func(stage standin.MailStage, id string) *standin.MailDo {
-							if stage != s || again.Load() || id == "HELO" {
+						var normal atomic.Bool
+						m, b := startServer(t, protocol, offer, func(stage standin.MailStage, id string) *standin.MailDo {
+							if stage != s || normal.Load() || id == "HELO" {
 								return nil
 							}
 							return &d.do
 						})
 						expected := want(s, d.name)
 						if s == standin.MailHello && strings.HasPrefix(d.name, "5") && d.name != "554" && protocol == engine.SMTP {
-							expected = decide.Succeeded // HELO does
+							expected = decide.Succeeded // the client falls back to HELO, which succeeds
 						}
 						timeout := 5 * time.Second
 						if d.do.Silent || s == standin.MailDot && d.name == "354" || d.name == "2xx" {
@@ -103,18 +103,18 @@
 							t.Fatalf("%+v, want result %d", o, expected)
 						}
 						ran, _ := m.Ran("one")
-						if never := o.Result == decide.Overloaded || o.Result == decide.Rejected || o.Result == decide.ConnectFailed; never && ran > 0 {
-							t.Error("it is said to have never run, and did")
+						if neverRan := o.Result == decide.Overloaded || o.Result == decide.Rejected || o.Result == decide.ConnectFailed; neverRan && ran > 0 {
+							t.Error("the outcome says that the message was not delivered, but it was")
 						}
 						if expected == decide.Succeeded && ran != 1 {
-							t.Errorf("ran %d times", ran)
+							t.Errorf("delivered %d times", ran)
 						}
-						again.Store(true)
+						normal.Store(true)
 						if o := send(b, "two", "next", 5*time.Second); o.Result != decide.Succeeded {
-							t.Errorf("the next one: %+v", o)
+							t.Errorf("the next message: %+v", o)
 						}
 						if ran, body := m.Ran("two"); ran != 1 || body != "next" {
-							t.Errorf("the next one ran %d times with %q", ran, body)
+							t.Errorf("the next message was delivered %d times, with the body %q", ran, body)
 						}
 					})
 					n++
@@ -125,10 +125,11 @@
 	t.Logf("%d conversations", n)
 }
 
-// TestCutInTheBody: a connection that ends before the dot has done nothing, however far it came; bodies of every length arrive as they are.
-func TestCutInTheBody(t *testing.T) {
+// TestConnectionCutInBody checks that a message is not delivered if the connection ends anywhere before the final dot, and that bodies of
+// various lengths arrive unchanged. It also covers reuse of connections, a dead idle connection and a call that is cancelled early.
+func TestConnectionCutInBody(t *testing.T) {
 	var cut atomic.Pointer[standin.MailDo]
-	m, b := at(t, engine.SMTP, nil, func(s standin.MailStage, _ string) *standin.MailDo {
+	m, b := startServer(t, engine.SMTP, nil, func(s standin.MailStage, _ string) *standin.MailDo {
 		if s == standin.MailBody {
 			return cut.Load()
 		}
@@ -141,7 +142,7 @@
 			t.Errorf("%d: %+v", n, o)
 		}
 		if ran, _ := m.Ran(id); ran > 0 {
-			t.Errorf("%d: ran without its end", n)
+			t.Errorf("%d: an incomplete message was delivered", n)
 		}
 		cut.Store(nil)
 		id = fmt.Sprint("whole", n)
@@ -149,35 +150,35 @@
 			t.Errorf("%d: %+v", n, o)
 		}
 		if ran, got := m.Ran(id); ran != 1 || got != body {
-			t.Errorf("%d: ran %d times, %d bytes of %d", n, ran, len(got), len(body))
+			t.Errorf("%d: delivered %d times, %d bytes of %d", n, ran, len(got), len(body))
 		}
 	}
 	if o := send(b, "idle", "x", time.Second); o.Result != decide.Succeeded {
 		t.Fatal(o)
 	}
-	had := m.Connections()
+	before := m.Connections()
 	for n := range 20 {
 		if o := send(b, fmt.Sprint("more", n), "x", time.Second); o.Result != decide.Succeeded {
 			t.Fatal(o)
 		}
 	}
-	if m.Connections() != had {
-		t.Errorf("%d new connections for 20 messages", m.Connections()-had)
+	if m.Connections() != before {
+		t.Errorf("%d new connections for 20 messages", m.Connections()-before)
 	}
-	m.Drop() // the idle one is dead: that is no failure of the next message
+	m.Drop() // a dead idle connection must not fail the next message
 	if o := send(b, "dead", "x", time.Second); o.Result != decide.Succeeded {
 		t.Errorf("on a dead connection: %+v", o)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if o := b.Endpoint("m").Call(ctx, engine.Attempt{ID: "off", Body: message.Bytes("x"), Timeout: time.Second}); o.Result != decide.NotSent {
-		t.Errorf("called off before it began: %+v", o)
+		t.Errorf("cancelled before it began: %+v", o)
 	}
 }
 
-// TestSize: a message over what the server offers to take is not begun.
-func TestSize(t *testing.T) {
-	m, b := at(t, engine.SMTP, []string{"SIZE 5000"}, nil)
+// TestSizeLimit checks that no transaction begins for a message larger than the server's announced SIZE.
+func TestSizeLimit(t *testing.T) {
+	m, b := startServer(t, engine.SMTP, []string{"SIZE 5000"}, nil)
 	if o := send(b, "large", strings.Repeat("x", 5000), time.Second); o.Result != decide.Rejected {
 		t.Errorf("%+v", o)
 	}
@@ -186,21 +187,21 @@
 	}
 }
 
-// FuzzReply: whatever a server says, reading it ends, within bounds, and what is read means one thing.
+// FuzzReply checks that reading a reply ends within its limits, whatever the server sends, and that a reply that is read has one meaning.
 func FuzzReply(f *testing.F) {
 	for _, s := range []string{"250 ok\r\n", "250-a\r\n250 b\n", "25", "999 x\r\n", "250-a\r\n550 b\r\n", "354", "\r\n", "421\r\n", "2500\r\n"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		p, err := readReply(bufio.NewReaderSize(strings.NewReader(string(text)), mostLine))
+		p, err := readReply(bufio.NewReaderSize(strings.NewReader(string(text)), maxLineBytes))
 		if err != nil {
 			return
 		}
-		if p.code < 200 || p.code > 599 || len(p.lines) == 0 || len(p.lines) > mostLines || !strings.HasPrefix(string(text), fmt.Sprint(p.code)) {
+		if p.code < 200 || p.code > 599 || len(p.lines) == 0 || len(p.lines) > maxReplyLines || !strings.HasPrefix(string(text), fmt.Sprint(p.code)) {
 			t.Errorf("%q read as %+v", text, p)
 		}
-		for s := greeting; s <= dot; s++ {
-			if result, ok := meaning(s, p.code); ok != (result == decide.Succeeded) {
+		for s := stageGreeting; s <= stageDot; s++ {
+			if result, ok := classifyReply(s, p.code); ok != (result == decide.Succeeded) {
 				t.Errorf("%d at %d: %v %v", p.code, s, result, ok)
 			}
 		}
