--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent speaks to the platform's agent on this machine: it watches
-// discovery's list of endpoints, and takes final answers to the platform as notices.
+// Package agent is the client of the platform's agent on this machine: it follows
+// discovery's endpoint list and delivers completion notices to the platform.
 package agent
 
 import (
@@ -21,39 +21,39 @@
 	"scaleroute/internal/version"
 )
 
-// What a watch misses that has fallen silent counts as told 6 s after that, or 2 s after the end of the wait that it may last, if that is later
-// (the platform's page on the standing test). So where asking costs nothing a watch waits for no longer than makes the two the same; and it is
-// given up in the middle of those 2 s, so that there is time left to ask anew.
+// The platform's standing test counts a change as received 6 s after the watch that should have carried it fell silent, or 2 s after the end of
+// that watch's hold time if that is later. Where a request costs discovery nothing, the hold time is the one at which the two limits coincide. A watch
+// without a response is abandoned halfway through the 2 s, which leaves time for another request.
 const (
-	silentTold = 6 * time.Second
-	waitTold   = 2 * time.Second
-	pushedHold = silentTold - waitTold
-	askedHold  = 20 * time.Second // where each call is work for discovery
-	holdMargin = waitTold / 2
+	receiptLimit          = 6 * time.Second
+	receiptLimitAfterHold = 2 * time.Second
+	pushedHold            = receiptLimit - receiptLimitAfterHold
+	subscribedHold        = 20 * time.Second // where discovery works on each request
+	holdMargin            = receiptLimitAfterHold / 2
 )
 
 const (
-	listTime    = 2 * time.Second
-	askedTime   = 5 * time.Second / 2    // where the list must be asked for: a refusal may take 2 s to come, and tells more than silence
-	noticeTime  = 100 * time.Millisecond // the first time; twice as long each time after
-	noticeMost  = time.Second
-	maxList     = 64 << 20 // bytes of a list
-	maxOther    = 4 << 10  // of any other answer
-	noticeBatch = 256
-
-	// Draining and Deleted are states of a target; any other is that it serves.
+	listTimeout           = 2 * time.Second
+	subscribedListTimeout = 5 * time.Second / 2    // where discovery works on each request: a refusal may take 2 s to arrive, and says more than a timeout
+	noticeTimeout         = 100 * time.Millisecond // of the first attempt; doubled after each timeout
+	maxNoticeTimeout      = time.Second
+	maxListBytes          = 64 << 20 // of a list
+	maxOtherBytes         = 4 << 10  // of any other response
+	maxNoticeBatch        = 256
+
+	// Draining and Deleted are endpoint states; an endpoint in any other state is serving.
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 )
 
-// List is a list of targets in discovery's form.
+// List is an endpoint snapshot or delta in discovery's format.
 type List struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Endpoint is one target in such a list.
+// Endpoint is one entry of a List.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -64,24 +64,24 @@
 	Weight  float64 `json:"weight"`
 }
 
-// ToEngineList is the list in the engine's terms.
+// ToEngineList converts the list to the engine's form, with the given scope.
 func (l *List) ToEngineList(scope decide.ListScope) engine.List {
-	v := engine.List{Scope: scope, Endpoints: make([]engine.Endpoint, len(l.Endpoints))}
-	for i, t := range l.Endpoints {
+	list := engine.List{Scope: scope, Endpoints: make([]engine.Endpoint, len(l.Endpoints))}
+	for i, e := range l.Endpoints {
 		state := decide.Active
-		switch t.Status {
+		switch e.Status {
 		case Draining:
 			state = decide.Draining
 		case Deleted:
 			state = decide.Gone
 		}
-		v.Endpoints[i] = engine.Endpoint{Address: t.Address, Target: decide.Target{ID: t.Name, Destination: t.Group,
-			Kind: t.Type, Zone: t.Zone, State: state, Weight: t.Weight}}
+		list.Endpoints[i] = engine.Endpoint{Address: e.Address, Target: decide.Target{ID: e.Name, Destination: e.Group,
+			Kind: e.Type, Zone: e.Zone, State: state, Weight: e.Weight}}
 	}
-	return v
+	return list
 }
 
-// EngineUpdate is the list as told by a watch: whole, or what changed.
+// EngineUpdate converts a list that a watch reported to the engine's form, as a snapshot or a delta.
 func (l *List) EngineUpdate() engine.List {
 	if l.Snapshot {
 		return l.ToEngineList(decide.Snapshot)
@@ -89,81 +89,81 @@
 	return l.ToEngineList(decide.Delta)
 }
 
-// Platform speaks to discovery and takes notices to the platform.
+// Platform follows discovery's endpoint list and delivers completion notices to the platform.
 type Platform struct {
 	fleet Fleet
 
-	mu      sync.Mutex
-	last    map[string]Endpoint // the list as told last, where Last is wanted
-	version int64               // its
-	agent   *agent
-	pending []notice
-	look    func()            // ends the wait of the watch that is out, or of the pause; nil while none is
-	asked   []chan<- struct{} // who waits for an answer to a call that begins from now on
-	wake    chan struct{}
+	mu             sync.Mutex
+	latest         map[string]Endpoint // the endpoints by name as last reported; nil unless RetainLatest was called
+	latestIndex    int64               // the index of that report
+	client         *discoveryClient
+	pending        []notice
+	cancelWait     func()            // cancels the watch's call in flight or its back-off; nil while there is neither
+	refreshWaiters []chan<- struct{} // each is closed once a call that begins after its registration was answered
+	noticeQueued   chan struct{}
 }
 
-// agent is one address of discovery, until move names another.
-type agent struct {
-	base   string
-	client *http.Client
-	left   context.Context // ends when another address is used
-	leave  context.CancelFunc
+// discoveryClient sends requests to one address of discovery, until SetAddress replaces it.
+type discoveryClient struct {
+	base         string
+	httpClient   *http.Client
+	replaced     context.Context // cancelled when another address is in use
+	markReplaced context.CancelFunc
 }
 
-// notice is the end of a message that was not delivered.
+// notice is the wire form of a completion notice, which reports a message that was not delivered.
 type notice struct {
 	Ref    string `json:"ref"`
 	Result string `json:"result"`
 	WaitMS int64  `json:"wait_ms,omitempty"`
 }
 
-// New makes a Platform that speaks to an address, host:port, as one of a fleet.
+// New returns a Platform for discovery's address, host:port. fleet describes the forwarders that share it.
 func New(address string, fleet Fleet) *Platform {
-	return &Platform{fleet: fleet, agent: newAgent(address), wake: make(chan struct{}, 1)}
+	return &Platform{fleet: fleet, client: newDiscoveryClient(address), noticeQueued: make(chan struct{}, 1)}
 }
 
-func newAgent(address string) *agent {
-	a := &agent{base: "http://" + address, client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
-	a.left, a.leave = context.WithCancel(context.Background())
-	return a
+func newDiscoveryClient(address string) *discoveryClient {
+	c := &discoveryClient{base: "http://" + address, httpClient: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
+	c.replaced, c.markReplaced = context.WithCancel(context.Background())
+	return c
 }
 
-// current is the agent to speak to now.
-func (p *Platform) current() *agent {
+// currentClient returns the client for the address in use.
+func (p *Platform) currentClient() *discoveryClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.agent
+	return p.client
 }
 
-// SetAddress goes on at another address: calls that are out at the old one are given
-// up, so that a held watch ends and notices without an answer are sent again there.
+// SetAddress switches to another address of discovery. Calls in flight to the old one are cancelled,
+// so that a held watch ends and notices without a response are sent again to the new address.
 func (p *Platform) SetAddress(address string) {
 	p.mu.Lock()
-	old := p.agent
+	old := p.client
 	if old.base == "http://"+address {
 		p.mu.Unlock()
 		return
 	}
-	p.agent = newAgent(address)
+	p.client = newDiscoveryClient(address)
 	p.mu.Unlock()
-	slog.Info("discovery has moved", "address", address)
-	old.leave()
-	old.client.CloseIdleConnections()
+	slog.Info("discovery address changed", "address", address)
+	old.markReplaced()
+	old.httpClient.CloseIdleConnections()
 }
 
-// do makes one call and has its answer read; the context ends with limit and when the agent is left.
-func (a *agent) do(ctx context.Context, limit time.Duration, method, path string, body []byte,
+// do sends one request and has read consume the response. The request is cancelled after limit, and when the client is replaced.
+func (c *discoveryClient) do(ctx context.Context, limit time.Duration, method, path string, body []byte,
 	read func(status int, body io.Reader) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	defer context.AfterFunc(a.left, cancel)()
-	req, err := http.NewRequestWithContext(ctx, method, a.base+path, bytes.NewReader(body))
+	defer context.AfterFunc(c.replaced, cancel)()
+	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	req.Close = method == http.MethodPost // a second copy of its answer must not count as the next notice's
-	resp, err := a.client.Do(req)
+	req.Close = method == http.MethodPost // a duplicate of this response must not be read as the response to the next notice
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return err
 	}
@@ -171,162 +171,166 @@
 	if err := read(resp.StatusCode, resp.Body); err != nil {
 		return err
 	}
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxOther)) // so that its connection is used again
+	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxOtherBytes)) // drained, so that the connection can be reused
 	return err
 }
 
-// FetchSnapshot fetches the whole list, if it comes in so short a time. Where the list must be asked for it returns nil: what has
-// changed since it was last told is told by the watch, and a fleet that starts together must not ask twice.
+// FetchSnapshot fetches the endpoint snapshot within limit. It returns nil where the forwarder has to subscribe (Fleet.MustSubscribe): the watch
+// reports what has changed since the last known list, and forwarders that start together must not request the list twice each.
 func (p *Platform) FetchSnapshot(limit time.Duration) (*List, error) {
 	if p.fleet.MustSubscribe {
 		return nil, nil
 	}
-	return p.current().listAt(context.Background(), "/v1/servers", true, limit)
+	return p.currentClient().requestList(context.Background(), "/v1/servers", true, limit)
 }
 
-// Watch tells each change after the list known - or the whole list, if none
-// is or discovery has moved - until ctx ends. A call that fails is made again
-// from where the last one ended. A list that is older than what was told last is not told, unless discovery says the same when it is asked for all
-// that there is: then it counts anew.
-func (p *Platform) Watch(ctx context.Context, known *List, tell func(*List)) {
+// Watch reports each change after the list known, until ctx ends. Without a known list, and after a change of discovery's address, it begins with a
+// snapshot. A failed call is repeated from the last accepted index. A list that is older than the last reported one is rejected, unless discovery
+// returns a snapshot with that same index twice in a row: then its numbering has restarted, and the snapshot is accepted.
+func (p *Platform) Watch(ctx context.Context, known *List, report func(*List)) {
 	index := int64(-1)
 	if known != nil {
 		index = known.Index
-		p.note(known)
+		p.recordLatest(known)
 	}
-	fetch := func(ctx context.Context, a *agent, at *position, wait bool) (*List, error) {
-		l, err := a.list(ctx, at.from, p.fleet.hold(), p.fleet.callTime(), wait)
+	fetch := func(ctx context.Context, c *discoveryClient, at *watchPosition, wait bool) (*List, error) {
+		l, err := c.fetchList(ctx, at.from, p.fleet.holdTime(), p.fleet.callTimeout(), wait)
 		if err == nil {
 			err = at.accept(l.Index, l.Snapshot)
 		}
 		return l, err
 	}
-	warn := func(err error, wait time.Duration) { slog.Warn("discovery", "err", err, "again_in", wait) }
-	p.watch(ctx, index, p.fleet.again(), warn, fetch, func(l *List) {
-		p.note(l)
-		tell(l)
+	warn := func(err error, wait time.Duration) {
+		slog.Warn("request to discovery failed", "err", err, "again_in", wait)
+	}
+	p.watch(ctx, index, p.fleet.newListBackoff(), warn, fetch, func(l *List) {
+		p.recordLatest(l)
+		report(l)
 	})
 }
 
-// position is how far a watch has come.
-type position struct {
-	from  int64 // which changes are asked for; -1: the whole list
-	told  int64 // the index that was told last, -1: none
-	older int64 // the index of a whole list that was older than what was told
+// watchPosition is the progress of a watch.
+type watchPosition struct {
+	from          int64 // changes after this index are requested; -1: the snapshot
+	latest        int64 // the index reported last; -1: none
+	olderSnapshot int64 // the index of a rejected snapshot that was older than latest; -1: none
 }
 
-// startingAt is where a watch begins, with an index that is known or -1.
-func startingAt(index int64) position { return position{from: index, told: index, older: -1} }
+// startingAt returns the position of a watch that begins at a known index, or without one at -1.
+func startingAt(index int64) watchPosition {
+	return watchPosition{from: index, latest: index, olderSnapshot: -1}
+}
 
-// accept refuses a list that is older than what was told, unless it is whole and discovery says so for the second time.
-func (at *position) accept(index int64, snapshot bool) error {
-	if index >= at.told || snapshot && index == at.older {
+// accept rejects a list that is older than the last reported one, unless it is a snapshot that discovery returns for the second time.
+func (at *watchPosition) accept(index int64, snapshot bool) error {
+	if index >= at.latest || snapshot && index == at.olderSnapshot {
 		return nil
 	}
-	at.from, at.older = -1, -1
+	at.from, at.olderSnapshot = -1, -1
 	if snapshot {
-		at.older = index
+		at.olderSnapshot = index
 	}
-	return fmt.Errorf("list: version %d, after %d was told: discovery is asked for the whole list, and this one is not heeded unless it says so again", index, at.told)
+	return fmt.Errorf("list: version %d is older than version %d, which was reported before: the snapshot is requested, and an older one is ignored unless discovery returns it twice", index, at.latest)
 }
 
-// fetchList makes one call for what comes after a position.
-type fetchList func(ctx context.Context, a *agent, at *position, wait bool) (*List, error)
+// fetchFunc makes one call for the changes after a position.
+type fetchFunc func(ctx context.Context, c *discoveryClient, at *watchPosition, wait bool) (*List, error)
 
-// watch makes one call after another, and tells what came of those that did not fail; warn is told of the others.
-func (p *Platform) watch(ctx context.Context, index int64, again backoff, warn func(error, time.Duration), fetch fetchList, tell func(*List)) {
-	at, last := startingAt(index), p.current()
-	failing := false // the call before failed, or was given up: this one is to come back at once
-	last.pause(ctx, time.Duration(p.fleet.random()*float64(p.fleet.firstWait())))
+// watch makes one call after another and passes each list to report, and each failure to warn, with the delay until the next call.
+func (p *Platform) watch(ctx context.Context, index int64, retry backoff, warn func(error, time.Duration), fetch fetchFunc, report func(*List)) {
+	at, previous := startingAt(index), p.currentClient()
+	failing := false // where discovery works on each call: the previous one failed or timed out, so the next one is to be answered without a hold
+	previous.sleep(ctx, time.Duration(p.fleet.random()*float64(p.fleet.initialSpread())))
 	for ctx.Err() == nil {
-		a := p.current()
-		if a != last {
-			at, last = startingAt(-1), a
-			again.worked()
+		client := p.currentClient()
+		if client != previous {
+			at, previous = startingAt(-1), client
+			retry.reset()
 		}
-		call, done, waiting := p.begin(ctx)
+		call, done, waiters := p.beginCall(ctx)
 		began := time.Now()
-		held := len(waiting) == 0 && at.from >= 0 && !failing
-		l, err := fetch(call, a, &at, held)
+		held := len(waiters) == 0 && at.from >= 0 && !failing
+		l, err := fetch(call, client, &at, held)
 		if err != nil {
-			p.put(waiting)
-			if a.left.Err() == nil && call.Err() == nil {
-				wait := p.fleet.retryPause(&again, time.Since(began), err)
-				if held && time.Since(began) >= p.fleet.hold() { // it has fallen silent: whoever waits now is told too late
-					again.worked()
-					wait = min(wait, time.Duration(p.fleet.random()*float64(reopenPause)))
+			p.requeueWaiters(waiters)
+			if client.replaced.Err() == nil && call.Err() == nil {
+				wait := p.fleet.retryDelay(&retry, time.Since(began), err)
+				if held && time.Since(began) >= p.fleet.holdTime() { // the watch fell silent: a longer delay would exceed the receipt limit
+					retry.reset()
+					wait = min(wait, time.Duration(p.fleet.random()*float64(reopenDelay)))
 				}
 				failing = p.fleet.MustSubscribe
 				warn(err, wait)
-				if p.fleet.MustSubscribe { // each call is work there, whoever wants it
-					a.pause(ctx, wait)
+				if p.fleet.MustSubscribe { // discovery works on each call, so that Refresh does not cut the back-off short
+					client.sleep(ctx, wait)
 				} else {
-					a.pause(call, wait)
+					client.sleep(call, wait)
 				}
 			}
 			done()
 			continue
 		}
 		done()
-		again.worked()
+		retry.reset()
 		failing = false
 		at = startingAt(l.Index)
-		tell(l)
-		for _, w := range waiting {
-			close(w)
+		report(l)
+		for _, waiter := range waiters {
+			close(waiter)
 		}
 	}
 }
 
-// begin readies the next call of the watch. Its context ends when somebody must know what there is now; who did so before is returned.
-func (p *Platform) begin(ctx context.Context) (call context.Context, done func(), waiting []chan<- struct{}) {
+// beginCall prepares the watch's next call. The call's context ends when Refresh is called. The returned waiters belong to earlier calls of Refresh.
+func (p *Platform) beginCall(ctx context.Context) (call context.Context, done func(), waiters []chan<- struct{}) {
 	call, cancel := context.WithCancel(ctx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waiting, p.asked = p.asked, nil
-	p.look = cancel
+	waiters, p.refreshWaiters = p.refreshWaiters, nil
+	p.cancelWait = cancel
 	return call, func() {
 		p.mu.Lock()
-		p.look = nil
+		p.cancelWait = nil
 		p.mu.Unlock()
 		cancel()
-	}, waiting
+	}, waiters
 }
 
-func (p *Platform) put(waiting []chan<- struct{}) {
+// requeueWaiters registers waiters again after a failed call.
+func (p *Platform) requeueWaiters(waiters []chan<- struct{}) {
 	p.mu.Lock()
-	p.asked = append(p.asked, waiting...)
+	p.refreshWaiters = append(p.refreshWaiters, waiters...)
 	p.mu.Unlock()
 }
 
-// Refresh has the watch ask what there is now, in place of waiting for what changes, and returns once the answer to a call that began after
-// that has been told.
+// Refresh has the watch request the current state in place of waiting for a change. It returns once a list has been reported from a call that began
+// afterwards.
 func (p *Platform) Refresh(ctx context.Context) error {
-	told := make(chan struct{})
+	reported := make(chan struct{})
 	p.mu.Lock()
-	p.asked = append(p.asked, told)
-	if p.look != nil {
-		p.look()
+	p.refreshWaiters = append(p.refreshWaiters, reported)
+	if p.cancelWait != nil {
+		p.cancelWait()
 	}
 	p.mu.Unlock()
 	select {
-	case <-told:
+	case <-reported:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// list asks for the whole list, or from a version on for changes. It is held for so long until there are some, if wait says so; else it is to come at
-// once, within limit.
-func (a *agent) list(ctx context.Context, from int64, hold, limit time.Duration, wait bool) (*List, error) {
+// fetchList requests the snapshot if from is negative, and else the changes after that index. With wait set, discovery may hold the request for up to
+// hold until there are changes; otherwise the response is due at once, within limit.
+func (c *discoveryClient) fetchList(ctx context.Context, from int64, hold, limit time.Duration, wait bool) (*List, error) {
 	if from >= 0 && wait {
 		limit = hold + holdMargin
 	}
-	return a.listAt(ctx, listPath(from, hold, wait), from < 0, limit)
+	return c.requestList(ctx, listPath(from, hold, wait), from < 0, limit)
 }
 
-// listPath is the call for the whole list, or for changes.
+// listPath returns the path of a request for the snapshot, or for changes.
 func listPath(from int64, hold time.Duration, wait bool) string {
 	switch {
 	case from >= 0 && wait:
@@ -337,17 +341,17 @@
 	return "/v1/servers"
 }
 
-// listAt makes the call; whole: its answer is the whole list, whatever it says.
-func (a *agent) listAt(ctx context.Context, path string, whole bool, limit time.Duration) (*List, error) {
+// requestList sends the request. With whole set, the response counts as a snapshot whatever it says.
+func (c *discoveryClient) requestList(ctx context.Context, path string, whole bool, limit time.Duration) (*List, error) {
 	var l *List
-	err := a.do(ctx, limit, http.MethodGet, path, nil, func(status int, body io.Reader) (err error) {
+	err := c.do(ctx, limit, http.MethodGet, path, nil, func(status int, body io.Reader) (err error) {
 		if status != http.StatusOK {
-			return &refusedError{status}
+			return &statusError{status}
 		}
-		in := &io.LimitedReader{R: body, N: maxList}
-		l, err = readList(in, whole)
-		if err != nil && in.N <= 0 {
-			return fmt.Errorf("more than %d MiB", maxList>>20)
+		limited := &io.LimitedReader{R: body, N: maxListBytes}
+		l, err = readList(limited, whole)
+		if err != nil && limited.N <= 0 {
+			return fmt.Errorf("more than %d MiB", maxListBytes>>20)
 		}
 		return err
 	})
@@ -357,56 +361,56 @@
 	return l, nil
 }
 
-// Final queues the notice of a final answer; Deliver takes it out.
-func (p *Platform) NotifyCompletion(f engine.Completion) {
-	n := notice{Ref: f.ID, Result: "bounced", WaitMS: f.RetryAfter.Milliseconds()}
-	if f.Failed {
-		n = notice{Ref: f.ID, Result: "dead"}
+// NotifyCompletion queues the notice of a completion for DeliverNotices.
+func (p *Platform) NotifyCompletion(c engine.Completion) {
+	n := notice{Ref: c.ID, Result: "bounced", WaitMS: c.RetryAfter.Milliseconds()}
+	if c.Failed {
+		n = notice{Ref: c.ID, Result: "dead"}
 	}
 	p.mu.Lock()
 	p.pending = append(p.pending, n)
 	p.mu.Unlock()
 	select {
-	case p.wake <- struct{}{}:
+	case p.noticeQueued <- struct{}{}:
 	default:
 	}
 }
 
-// DeliverNotices sends the notices in batches, each until it gets its 204, and tells
-// which have arrived, until ctx ends.
+// DeliverNotices sends the queued notices in batches until ctx ends. Each batch is repeated until
+// the platform answers it with 204, and arrived is then called with the references of its notices.
 func (p *Platform) DeliverNotices(ctx context.Context, arrived func(refs []string)) {
 	for {
 		p.mu.Lock()
-		batch := p.pending[:min(noticeBatch, len(p.pending))]
+		batch := p.pending[:min(maxNoticeBatch, len(p.pending))]
 		p.pending = p.pending[len(batch):]
 		p.mu.Unlock()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-p.wake:
+			case <-p.noticeQueued:
 			}
 			continue
 		}
-		p.post(ctx, batch, arrived)
+		p.postNotices(ctx, batch, arrived)
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-func (p *Platform) post(ctx context.Context, batch []notice, arrived func([]string)) {
+func (p *Platform) postNotices(ctx context.Context, batch []notice, arrived func([]string)) {
 	var lines bytes.Buffer
 	refs := make([]string, 0, len(batch))
 	for _, n := range batch {
-		json.NewEncoder(&lines).Encode(n) // ends the line; a struct of plain fields does not fail
+		json.NewEncoder(&lines).Encode(n) // ends the line; can't fail for a struct of plain fields
 		refs = append(refs, n.Ref)
 	}
-	again, limit := backoff{first: firstPause, most: noticePause, random: p.fleet.random}, noticeTime
+	retry, timeout := backoff{initial: initialBackoff, max: maxNoticeBackoff, random: p.fleet.random}, noticeTimeout
 	for ctx.Err() == nil {
-		a := p.current()
+		client := p.currentClient()
 		var status int
-		err := a.do(ctx, limit, http.MethodPost, "/v2/finals", lines.Bytes(), func(s int, _ io.Reader) error {
+		err := client.do(ctx, timeout, http.MethodPost, "/v2/finals", lines.Bytes(), func(s int, _ io.Reader) error {
 			status = s
 			return nil
 		})
@@ -415,68 +419,68 @@
 			arrived(refs)
 			return
 		case err == nil && status == http.StatusBadRequest && len(batch) > 1:
-			// One line that can't be read must not keep out the others.
+			// One unreadable line must not block the others of the batch.
 			for i := range batch {
-				p.post(ctx, batch[i:i+1], arrived)
+				p.postNotices(ctx, batch[i:i+1], arrived)
 			}
 			return
 		case err == nil && status == http.StatusBadRequest:
-			// The journal keeps it, so the next start tries it once more.
-			slog.Error("a notice can't be read", "ref", batch[0].Ref)
+			// The journal keeps the notice, so that it is sent again after the next start.
+			slog.Error("the platform rejects a notice as unreadable", "ref", batch[0].Ref)
 			return
 		}
-		if a.left.Err() != nil {
-			continue // at once at the new address
+		if client.replaced.Err() != nil {
+			continue // without a delay, since the address is new
 		}
-		wait := again.failed()
-		if errors.Is(err, context.DeadlineExceeded) { // its connection may have fallen silent, while a notice is due: at once by a new one. Twice does no harm
-			a.client.CloseIdleConnections()
-			wait, limit = 0, min(2*limit, noticeMost)
+		wait := retry.nextDelay()
+		if errors.Is(err, context.DeadlineExceeded) { // the connection may have fallen silent while the notice is due: retry at once on a new one, since a duplicate does no harm
+			client.httpClient.CloseIdleConnections()
+			wait, timeout = 0, min(2*timeout, maxNoticeTimeout)
 		}
-		slog.Warn("notices not taken", "status", status, "err", err, "first", batch[0].Ref, "count", len(batch), "again_in", wait)
-		a.pause(ctx, wait)
+		slog.Warn("notices not accepted", "status", status, "err", err, "first", batch[0].Ref, "count", len(batch), "again_in", wait)
+		client.sleep(ctx, wait)
 	}
 }
 
-// RetainLatest has the list kept for Last. It is called before Watch.
-func (p *Platform) RetainLatest() { p.last = map[string]Endpoint{} }
+// RetainLatest has reported lists kept for Latest. It is called before Watch.
+func (p *Platform) RetainLatest() { p.latest = map[string]Endpoint{} }
 
-// note keeps the list, from what was told.
-func (p *Platform) note(l *List) {
+// recordLatest applies a reported list to the retained one.
+func (p *Platform) recordLatest(l *List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.last == nil {
+	if p.latest == nil {
 		return
 	}
-	if p.version = l.Index; l.Snapshot {
-		clear(p.last)
+	if p.latestIndex = l.Index; l.Snapshot {
+		clear(p.latest)
 	}
 	for _, e := range l.Endpoints {
-		if p.last[e.Name] = e; e.Status == Deleted {
-			delete(p.last, e.Name)
+		if p.latest[e.Name] = e; e.Status == Deleted {
+			delete(p.latest, e.Name)
 		}
 	}
 }
 
-// Latest is the whole list, as told last; nil if none was. It is asked for once Watch has ended.
+// Latest returns the whole list as last reported, or nil if it has no endpoints or is not retained. It is called once Watch has ended.
 func (p *Platform) Latest() *List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.last) == 0 {
+	if len(p.latest) == 0 {
 		return nil
 	}
-	l := &List{Index: p.version, Snapshot: true}
-	for _, name := range slices.Sorted(maps.Keys(p.last)) {
-		l.Endpoints = append(l.Endpoints, p.last[name])
+	l := &List{Index: p.latestIndex, Snapshot: true}
+	for _, name := range slices.Sorted(maps.Keys(p.latest)) {
+		l.Endpoints = append(l.Endpoints, p.latest[name])
 	}
 	return l
 }
 
-// VersionEntries is a list as its digest is made of.
+// VersionEntries returns the entries from which the list's digest is computed.
 func (l *List) VersionEntries() []version.Entry {
-	v := make([]version.Entry, len(l.Endpoints))
-	for i, t := range l.Endpoints {
-		v[i] = version.Entry{Name: t.Name, Address: t.Address, Zone: t.Zone, Kind: t.Type, State: t.Status, Group: t.Group, Weight: t.Weight, Gone: t.Status == Deleted}
+	entries := make([]version.Entry, len(l.Endpoints))
+	for i, e := range l.Endpoints {
+		entries[i] = version.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, State: e.Status, Group: e.Group, Weight: e.Weight, Gone: e.Status == Deleted}
 	}
-	return v
+	return entries
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -16,19 +16,19 @@
 	"scaleroute/internal/engine"
 )
 
-// testPlatform stands in for discovery's address.
-func testPlatform(t *testing.T, h http.HandlerFunc) *Platform {
+// newTestPlatform returns a Platform whose discovery is the handler h.
+func newTestPlatform(t *testing.T, h http.HandlerFunc) *Platform {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return New(s.Listener.Addr().String(), Fleet{})
 }
 
-// TestWatch: the whole list first, then each change from the version before,
-// and after an error again from where it was.
-func TestWatch(t *testing.T) {
+// TestWatchReportsSnapshotThenChanges guards against a watch that skips or repeats changes: the first call requests the snapshot, each further one the
+// changes after the last index, and after an error the same changes again.
+func TestWatchReportsSnapshotThenChanges(t *testing.T) {
 	var mu sync.Mutex
-	var asked []string
+	var requestedFrom []string
 	answers := []string{
 		`{"index":41,"endpoints":[{"name":"a","address":"127.0.0.1:1","group":3,"status":"SERVING","weight":2.5}]}`,
 		`{"index":43,"endpoints":[{"name":"a","address":"127.0.0.1:1","group":3,"status":"DRAINING"}]}`,
@@ -36,22 +36,22 @@
 		``,
 		`{"index":44,"snapshot":false,"endpoints":[{"name":"a","group":3,"status":"DELETED"}]}`,
 	}
-	over := make(chan struct{})
-	p := testPlatform(t, func(w http.ResponseWriter, r *http.Request) {
+	done := make(chan struct{})
+	p := newTestPlatform(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		n := len(asked)
-		asked = append(asked, r.URL.Query().Get("from"))
+		n := len(requestedFrom)
+		requestedFrom = append(requestedFrom, r.URL.Query().Get("from"))
 		mu.Unlock()
 		switch {
 		case n >= len(answers):
-			<-over
+			<-done
 		case answers[n] == "":
 			w.WriteHeader(http.StatusInternalServerError)
 		default:
 			w.Write([]byte(answers[n]))
 		}
 	})
-	t.Cleanup(func() { close(over) })
+	t.Cleanup(func() { close(done) })
 	lists := make(chan *List)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -73,18 +73,18 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if got := strings.Join(asked[:5], " "); got != " 41 43 43 43" {
-		t.Errorf("asked from %q", got)
+	if got := strings.Join(requestedFrom[:5], " "); got != " 41 43 43 43" {
+		t.Errorf("requested changes after %q", got)
 	}
 }
 
-// TestNotices: each is sent until it gets its 204, and one that can't be read
-// does not keep out the others.
-func TestNotices(t *testing.T) {
+// TestNoticesAreSentUntilAccepted checks that each notice is repeated until it is answered with 204, and that an unreadable notice
+// does not block the others of its batch.
+func TestNoticesAreSentUntilAccepted(t *testing.T) {
 	var mu sync.Mutex
-	taken := map[string]notice{}
-	failures := 0
-	p := testPlatform(t, func(w http.ResponseWriter, r *http.Request) {
+	accepted := map[string]notice{}
+	requests := 0
+	p := newTestPlatform(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		var batch []notice
@@ -95,7 +95,7 @@
 			}
 			batch = append(batch, n)
 		}
-		if failures++; failures <= 2 {
+		if requests++; requests <= 2 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -103,7 +103,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		taken[batch[0].Ref] = batch[0]
+		accepted[batch[0].Ref] = batch[0]
 		w.WriteHeader(http.StatusNoContent)
 	})
 	p.NotifyCompletion(engine.Completion{ID: "bad", Failed: true})
@@ -123,18 +123,18 @@
 			t.Errorf("%s arrived", got)
 		}
 		mu.Lock()
-		if taken[n.Ref] != n {
-			t.Errorf("taken: %+v, want %+v", taken[n.Ref], n)
+		if accepted[n.Ref] != n {
+			t.Errorf("accepted: %+v, want %+v", accepted[n.Ref], n)
 		}
 		mu.Unlock()
 	}
 }
 
-// TestLargeList: a list far over 4 MiB is read whole; one without an end is given up, with the reason.
+// TestLargeList checks that a list far over 4 MiB is read completely, and that reading an endless one fails with an error that names the limit.
 func TestLargeList(t *testing.T) {
 	const n = 40_000
 	endless := false
-	p := testPlatform(t, func(w http.ResponseWriter, r *http.Request) {
+	p := newTestPlatform(t, func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, `{"index":7,"snapshot":true,"endpoints":[`)
 		for i := 0; i < n || endless; i++ {
 			if i > 0 {
--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -8,45 +8,47 @@
 	"time"
 )
 
-// How long to wait before a call that failed is made again. All forwarders of a fleet call the same discovery and
-// fail in the same moment, so that what is harmless from one of them keeps it down when all do it: the waits grow with each
-// failure in a row, and each is drawn between nought and that (full jitter), which spreads the calls evenly.
+// Failed calls are retried with a back-off. All forwarders of a fleet call the same discovery and fail at the same moment, so that retries which are
+// harmless from one of them keep discovery down when all make them. The back-off therefore has exponential growth and full jitter: its ceiling doubles with each
+// consecutive failure, and each delay is drawn between 0 and the ceiling, which spreads the calls evenly.
 //
-// They begin at what a fleet of that size can be told in: discovery that must be asked for its list works on each call, and a
-// call that waits there for longer than its time-out was work for nothing. Nobody says what it can do; a tenth of a second
-// for each forwarder is what it is given at first, and whoever gets its list leaves room for the others.
+// The first ceiling is the time in which discovery can serve a fleet of this size: it works on each call of a fleet that has to subscribe, and work on a
+// call that waits there for longer than its timeout is wasted. Discovery does not announce its capacity; 100 ms for each forwarder is assumed at
+// first, and each forwarder that has received its list leaves capacity for the others.
 const (
-	firstPause  = 100 * time.Millisecond // of one forwarder; for the list, times as many as there are
-	listPause   = 30 * time.Second       // the longest for the list, or four times the former if that is more
-	pushedPause = 2 * firstPause         // the same where the list is pushed: one's own agent is asked, at no cost, and what it has counts as told
-	reopenPause = 5 * firstPause         // after a watch that fell silent
-	noticePause = firstPause             // and for notices: one that is 300 ms late is a message lost, and the agent is this machine's own
-	// retryWithin is how long after the beginning of a failed call the next one begins at the latest: a change counts as received 6 s after discovery had it and
-	// could be reached, whatever failed before.
-	retryWithin = silentTold - reopenPause
-	// maxRefusals in a row, or twice as many calls without an answer, and discovery that must be asked is taken to be overloaded, by a fleet that is too large for
-	// each of it to be answered so soon: it would stay so if all of them kept on at that rate.
-	maxRefusals = 4
+	initialBackoff       = 100 * time.Millisecond // for one forwarder; multiplied by the number of forwarders for list calls of a fleet that has to subscribe
+	maxSubscribedBackoff = 30 * time.Second       // for list calls; four times the initial call period if that is longer
+	maxPushedBackoff     = 2 * initialBackoff     // for list calls where the list is pushed: the call to the machine's own agent costs nothing, and what the agent has counts as received
+	reopenDelay          = 5 * initialBackoff     // the longest delay after a watch that fell silent
+	maxNoticeBackoff     = initialBackoff         // for notices: one that is 300 ms late counts as a lost message, and the agent is this machine's own
+	// maxRetryInterval is the longest time from the beginning of a failed call to the beginning of the next one: a change counts as received 6 s after
+	// discovery had it and could be reached, whatever failed before.
+	maxRetryInterval = receiptLimit - reopenDelay
+	// overloadRefusals consecutive refusals, or twice as many calls without a response, are taken as overload of discovery by a fleet that is too
+	// large for each forwarder to be answered within maxRetryInterval. Discovery would stay overloaded if all of them kept on calling at that rate.
+	overloadRefusals = 4
 )
 
-// Fleet is what a Platform is told of those that call the same discovery.
+// Fleet describes the forwarders that call the same discovery.
 type Fleet struct {
-	Forwarders          int            // how many there are, this one included
-	MustSubscribe       bool           // the list comes only when it is asked for, and asking is work there
-	ResubscribeInterval time.Duration  // where that is so: who has not asked for so long is taken to be told what changed; 0: no such rule
-	Random              func() float64 // from 0 to 1; nil: the runtime's own
+	Forwarders          int            // their number, this one included
+	MustSubscribe       bool           // the list has to be requested, and discovery works on each request
+	ResubscribeInterval time.Duration  // with MustSubscribe: a forwarder without a request for this long counts as having received all changes; 0: no such rule
+	Random              func() float64 // returns numbers from 0 to 1; nil: the runtime's generator
 }
 
-// turns is how long it takes until each of a fleet has had its turn at first.
-func (f Fleet) turns() time.Duration { return firstPause * time.Duration(max(1, f.Forwarders)) }
+// initialCallPeriod is the time in which discovery is assumed to serve each forwarder of the fleet once.
+func (f Fleet) initialCallPeriod() time.Duration {
+	return initialBackoff * time.Duration(max(1, f.Forwarders))
+}
 
-// firstWait is the span over which a fleet spreads its first calls after a start of all of them: not so long that what changes
-// counts as told meanwhile.
-func (f Fleet) firstWait() time.Duration {
+// initialSpread is the span over which the first calls of forwarders that start together are spread: short enough that no change counts as received
+// before a forwarder's first call.
+func (f Fleet) initialSpread() time.Duration {
 	if !f.MustSubscribe {
 		return 0
 	}
-	span := f.turns()
+	span := f.initialCallPeriod()
 	if f.ResubscribeInterval > 0 {
 		span = min(span, f.ResubscribeInterval*3/4)
 	}
@@ -60,47 +62,47 @@
 	return rand.Float64()
 }
 
-// hold is how long a watch may wait for what changes.
-func (f Fleet) hold() time.Duration {
+// holdTime is how long discovery may hold a watch until there are changes.
+func (f Fleet) holdTime() time.Duration {
 	if f.MustSubscribe {
-		return askedHold
+		return subscribedHold
 	}
 	return pushedHold
 }
 
-// callTime is how long a call may take that does not wait for changes.
-func (f Fleet) callTime() time.Duration {
+// callTimeout is the timeout of a call that does not wait for changes.
+func (f Fleet) callTimeout() time.Duration {
 	if f.MustSubscribe {
-		return askedTime
+		return subscribedListTimeout
 	}
-	return listTime
+	return listTimeout
 }
 
-// again are the waits after list calls that failed.
-func (f Fleet) again() backoff {
+// newListBackoff returns the back-off for list calls.
+func (f Fleet) newListBackoff() backoff {
 	if !f.MustSubscribe {
-		return backoff{first: firstPause, most: pushedPause, random: f.random}
+		return backoff{initial: initialBackoff, max: maxPushedBackoff, random: f.random}
 	}
-	return backoff{first: max(firstPause, f.firstWait()), most: max(listPause, 4*f.turns()), random: f.random}
+	return backoff{initial: max(initialBackoff, f.initialSpread()), max: max(maxSubscribedBackoff, 4*f.initialCallPeriod()), random: f.random}
 }
 
-// retryPause is how long to wait after a list call that failed after so long.
-func (f Fleet) retryPause(b *backoff, took time.Duration, err error) time.Duration {
-	wait := b.failed()
+// retryDelay returns the delay after a list call that failed with err; took is the duration of that call.
+func (f Fleet) retryDelay(b *backoff, took time.Duration, err error) time.Duration {
+	delay := b.nextDelay()
 	if !f.MustSubscribe {
-		return wait
+		return delay
 	}
-	b.overload += overloadSign(err)
-	latest := retryWithin - min(took, askedTime)
-	if b.next <= latest || f.turns() > retryWithin && b.overload >= 2*maxRefusals {
-		return wait
+	b.overloadScore += overloadScore(err)
+	limit := maxRetryInterval - min(took, subscribedListTimeout)
+	if b.ceiling <= limit || f.initialCallPeriod() > maxRetryInterval && b.overloadScore >= 2*overloadRefusals {
+		return delay
 	}
-	return time.Duration((1 + b.random()) / 2 * float64(latest))
+	return time.Duration((1 + b.random()) / 2 * float64(limit))
 }
 
-// overloadSign is how much a failed call says for an overload of discovery: a refusal twice as much as silence, and nothing if there was no connection.
-func overloadSign(err error) int {
-	var refusal *refusedError
+// overloadScore rates a failed call as a sign that discovery is overloaded: a refusal counts twice as much as a timeout, and a failed connection not at all.
+func overloadScore(err error) int {
+	var refusal *statusError
 	switch {
 	case errors.As(err, &refusal):
 		return 2
@@ -110,36 +112,36 @@
 	return 0
 }
 
-// backoff is the waits between the failures in a row of one kind of call.
+// backoff computes the delays after consecutive failures of one kind of call.
 type backoff struct {
-	first    time.Duration
-	most     time.Duration
-	next     time.Duration
-	overload int            // signs of it in a row, as overloadSign has them
-	random   func() float64 // from 0 to 1
+	initial       time.Duration
+	max           time.Duration
+	ceiling       time.Duration  // of the last delay; doubled by each failure, up to max
+	overloadScore int            // the sum over the consecutive failures, as rated by the function overloadScore
+	random        func() float64 // from 0 to 1
 }
 
-// failed is how long to wait after one more failure.
-func (b *backoff) failed() time.Duration {
-	b.next = min(b.most, max(b.first, 2*b.next))
-	return time.Duration(b.random() * float64(b.next))
+// nextDelay returns the delay after one more failure.
+func (b *backoff) nextDelay() time.Duration {
+	b.ceiling = min(b.max, max(b.initial, 2*b.ceiling))
+	return time.Duration(b.random() * float64(b.ceiling))
 }
 
-// worked starts afresh.
-func (b *backoff) worked() { b.next, b.overload = 0, 0 }
+// reset starts over after a success.
+func (b *backoff) reset() { b.ceiling, b.overloadScore = 0, 0 }
 
-// pause waits so long, until ctx ends, or until the agent is left.
-func (a *agent) pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// sleep waits for d, until ctx ends, or until the client is replaced.
+func (c *discoveryClient) sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-a.left.Done():
-	case <-t.C:
+	case <-c.replaced.Done():
+	case <-timer.C:
 	}
 }
 
-// refusedError is an answer that holds no list: discovery can be reached, and has not answered the call.
-type refusedError struct{ status int }
+// statusError is a response that holds no list: discovery can be reached, but has not answered the request.
+type statusError struct{ status int }
 
-func (e *refusedError) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
--- a/internal/agent/check.go
+++ b/internal/agent/check.go
@@ -9,42 +9,42 @@
 	"net"
 )
 
-// What discovery says is checked before it counts: a list that can't be right is not heeded, and one entry that can't be right is left out of one
-// that can. Neither empties the list in force, has a target that drains serve again, or ends the process.
+// Lists from discovery are validated before they take effect: an invalid list is rejected as a whole, and an invalid entry of a valid list is skipped.
+// Neither empties the list in force, returns a draining endpoint to service, or ends the process.
 
-// mostWeight is the largest weight that is believed: calls a second.
-const mostWeight = 1e9
+// maxWeight is the largest accepted weight, in calls per second.
+const maxWeight = 1e9
 
-// Serving is the state of a target that takes calls.
+// Serving is the state of an endpoint that accepts calls.
 const Serving = "SERVING"
 
-// readList reads a list as it comes: a large one need not be held twice. What is whole says so whatever the list does.
+// readList decodes a list while it arrives, so that a large one is not held in memory twice. With whole set, it is a snapshot whatever it says.
 func readList(from io.Reader, whole bool) (*List, error) {
-	var in struct {
+	var fields struct {
 		Index     *int64      `json:"index"`
 		Snapshot  bool        `json:"snapshot"`
 		Endpoints *[]Endpoint `json:"endpoints"`
 	}
-	if err := json.NewDecoder(from).Decode(&in); err != nil {
+	if err := json.NewDecoder(from).Decode(&fields); err != nil {
 		return nil, err
 	}
-	whole = whole || in.Snapshot
+	whole = whole || fields.Snapshot
 	switch {
-	case in.Index == nil:
-		return nil, errors.New("it says no index: discovery owes each list its version")
-	case *in.Index < 0:
-		return nil, fmt.Errorf("index %d: a version is 0 or more", *in.Index)
-	case whole && in.Endpoints == nil:
-		return nil, errors.New("a whole list without endpoints: where there are none, it owes an empty list of them")
+	case fields.Index == nil:
+		return nil, errors.New("no index: discovery has to give each list a version")
+	case *fields.Index < 0:
+		return nil, fmt.Errorf("index %d: a version can't be negative", *fields.Index)
+	case whole && fields.Endpoints == nil:
+		return nil, errors.New("snapshot without endpoints: where there are none, discovery has to send an empty list of them")
 	}
-	l := &List{Index: *in.Index, Snapshot: whole}
-	if in.Endpoints == nil {
+	l := &List{Index: *fields.Index, Snapshot: whole}
+	if fields.Endpoints == nil {
 		return l, nil
 	}
-	l.Endpoints = (*in.Endpoints)[:0]
-	for i, e := range *in.Endpoints {
+	l.Endpoints = (*fields.Endpoints)[:0]
+	for i, e := range *fields.Endpoints {
 		if err := e.Validate(); err != nil {
-			slog.Warn("an entry of discovery's list is left out", "index", l.Index, "entry", i, "name", fmt.Sprintf("%.80q", e.Name), "err", err)
+			slog.Warn("invalid entry of discovery's list skipped", "index", l.Index, "entry", i, "name", fmt.Sprintf("%.80q", e.Name), "err", err)
 			continue
 		}
 		l.Endpoints = append(l.Endpoints, e)
@@ -52,26 +52,26 @@
 	return l, nil
 }
 
-// Validate says what can't be right in an entry. Of one that is to get nothing new, only its name counts.
+// Validate returns an error if an entry is invalid. Of a draining or deleted endpoint only the name is checked, since it gets no new calls.
 func (e *Endpoint) Validate() error {
 	if e.Name == "" {
-		return errors.New("name: it has none")
+		return errors.New("name is empty")
 	}
 	switch e.Status {
 	case Draining, Deleted:
 		return nil
 	case Serving, "":
 	default:
-		return fmt.Errorf("status %.40q: one of %s, %s and %s is known", e.Status, Serving, Draining, Deleted)
+		return fmt.Errorf("status %.40q is none of %s, %s and %s", e.Status, Serving, Draining, Deleted)
 	}
 	if _, port, err := net.SplitHostPort(e.Address); err != nil || port == "" {
-		return fmt.Errorf("address %.80q: no host and port", e.Address)
+		return fmt.Errorf("address %.80q is not of the form host:port", e.Address)
 	}
 	if e.Group < 0 {
-		return fmt.Errorf("group %d: a destination is 0 or more", e.Group)
+		return fmt.Errorf("group %d: a destination can't be negative", e.Group)
 	}
-	if !(e.Weight >= 0 && e.Weight <= mostWeight) {
-		return fmt.Errorf("weight %g: from 0 to %g", e.Weight, mostWeight)
+	if !(e.Weight >= 0 && e.Weight <= maxWeight) {
+		return fmt.Errorf("weight %g is not from 0 to %g", e.Weight, maxWeight)
 	}
 	return nil
 }
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -9,24 +9,24 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// The entries of a large list are read in three stages, each of which takes about a microsecond an entry: one goroutine finds where each entry ends,
-// several decode batches of them, and one hands them on in their order.
+// The entries of a large list are read by a pipeline of three stages, each of which takes about a microsecond per entry: one goroutine finds the end of
+// each entry, several decode batches of entries, and one delivers the entries in order.
 
 const (
 	maxBatchEntries = 512
-	maxBatchBytes   = 128 << 10 // a batch ends with the entry that exceeds it
+	maxBatchBytes   = 128 << 10 // a batch ends with the entry that exceeds this size
 	maxDecoders     = 4
 )
 
-// streamOptions have lists read as encoding/json reads them: of a name that occurs twice the last one counts, and bytes that are no UTF-8 are replaced.
+// streamOptions make lists decode as with encoding/json: the last of duplicate names counts, invalid UTF-8 is replaced, and names match in any case.
 var streamOptions = json.JoinOptions(jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true), json.MatchCaseInsensitiveNames(true))
 
-// entryBatch is some entries of a list, in their order.
+// entryBatch holds consecutive entries of a list.
 type entryBatch struct {
 	text    []byte
-	ends    []int // of each entry, in text
-	decoded []earlyEntry
-	done    chan struct{} // of one place: it has been decoded
+	ends    []int // the offset of the end of each entry in text
+	decoded []decodedEntry
+	done    chan struct{} // of capacity 1; receives a value once the batch is decoded
 }
 
 func newEntryBatch() *entryBatch { return &entryBatch{done: make(chan struct{}, 1)} }
@@ -41,7 +41,7 @@
 }
 
 func (b *entryBatch) reset() {
-	if cap(b.text) > 2*maxBatchBytes { // a very long entry is not kept room for
+	if cap(b.text) > 2*maxBatchBytes { // the buffer of a very long entry is released
 		b.text = nil
 	}
 	clear(b.decoded)
@@ -57,8 +57,8 @@
 	b.done <- struct{}{}
 }
 
-// decodeEntry decodes one entry. Where something in it has a wrong type encoding/json still fills in the rest, so that the entry can be named.
-func decodeEntry(value []byte) (entry earlyEntry) {
+// decodeEntry decodes one entry. Where a value in it has a wrong type, encoding/json still fills in the other fields, so that the log can name the entry.
+func decodeEntry(value []byte) (entry decodedEntry) {
 	if err := json.Unmarshal(value, &entry.endpoint, streamOptions); err != nil {
 		entry.endpoint = Endpoint{}
 		entry.malformed = stdjson.Unmarshal(value, &entry.endpoint)
@@ -66,18 +66,18 @@
 	return entry
 }
 
-// entryPipeline decodes batches beside each other and hands their entries on in the order in which the batches came.
+// entryPipeline decodes batches concurrently and delivers their entries in the order in which the batches were submitted.
 type entryPipeline struct {
 	put     func(Endpoint, error) error
-	free    chan *entryBatch // bounds how many there are
+	free    chan *entryBatch // bounds the number of batches
 	work    chan *entryBatch
 	ordered chan *entryBatch
-	running sync.WaitGroup
+	workers sync.WaitGroup
 	failed  chan struct{} // closed once put has failed
 	err     error
 }
 
-// newEntryPipeline begins to hand entries to put, from another goroutine, until the pipeline is closed.
+// newEntryPipeline starts a pipeline that passes entries to put, from a goroutine of its own, until the pipeline is closed.
 func newEntryPipeline(put func(Endpoint, error) error) *entryPipeline {
 	decoders := min(maxDecoders, runtime.GOMAXPROCS(0))
 	batches := 3 * decoders
@@ -87,17 +87,17 @@
 		p.free <- newEntryBatch()
 	}
 	for range decoders {
-		p.running.Go(func() {
+		p.workers.Go(func() {
 			for batch := range p.work {
 				batch.decode()
 			}
 		})
 	}
-	p.running.Go(p.handOn)
+	p.workers.Go(p.deliver)
 	return p
 }
 
-func (p *entryPipeline) handOn() {
+func (p *entryPipeline) deliver() {
 	for batch := range p.ordered {
 		<-batch.done
 		for i := 0; i < len(batch.decoded) && p.err == nil; i++ {
@@ -115,7 +115,7 @@
 	p.work <- batch
 }
 
-// hasFailed reports whether an entry was not taken: then there is no use in more.
+// hasFailed reports whether put has rejected an entry: further entries are not needed then.
 func (p *entryPipeline) hasFailed() bool {
 	select {
 	case <-p.failed:
@@ -125,15 +125,16 @@
 	}
 }
 
-// close returns once all that was submitted has been handed on, or an entry was not taken.
+// close waits until all submitted batches are delivered or put has rejected an entry, and returns the error of put.
 func (p *entryPipeline) close() error {
 	close(p.work)
 	close(p.ordered)
-	p.running.Wait()
+	p.workers.Wait()
 	return p.err
 }
 
-// readEntries reads entries up to the end of their list, or to what can't be read, and hands them on. What came before an error is handed on.
+// readEntries reads entries up to the end of their array, or to the first one that is unreadable, and passes them to put. Entries before an error are
+// delivered too.
 func readEntries(from *jsontext.Decoder, put func(Endpoint, error) error) error {
 	pipeline := newEntryPipeline(put)
 	readErr := submitEntries(from, pipeline)
--- a/internal/agent/entries_test.go
+++ b/internal/agent/entries_test.go
@@ -12,23 +12,23 @@
 	"pgregory.net/rapid"
 )
 
-// readAll reads a list's text, and is what was handed on of it.
-func readAll(text string) (entries []earlyEntry, err error) {
-	r := &listReader{whole: true, accept: func(int64, bool) error { return nil }, sink: &collectingSink{entries: &entries}}
+// readAllEntries reads the text of a list and returns the entries that reached the sink.
+func readAllEntries(text string) (entries []decodedEntry, err error) {
+	r := &listReader{wholeRequested: true, accept: func(int64, bool) error { return nil }, sink: &collectingSink{entries: &entries}}
 	err = r.read(jsontext.NewDecoder(strings.NewReader(text), streamOptions))
 	return entries, err
 }
 
-// collectingSink keeps what it is handed.
-type collectingSink struct{ entries *[]earlyEntry }
+// collectingSink keeps the entries that it receives.
+type collectingSink struct{ entries *[]decodedEntry }
 
 func (s *collectingSink) Begin(int64, bool) error { return nil }
 func (s *collectingSink) Put(e Endpoint, malformed error) {
-	*s.entries = append(*s.entries, earlyEntry{e, malformed})
+	*s.entries = append(*s.entries, decodedEntry{e, malformed})
 }
 func (s *collectingSink) Commit() {}
 
-// drawEntryText is an entry as discovery might send it, also wrongly.
+// drawEntryText draws the text of an entry, valid or not.
 func drawEntryText(t *rapid.T) string {
 	return rapid.SampledFrom([]string{
 		`{"name":"a","address":"127.0.0.1:1","zone":"z","type":"std","group":7,"status":"SERVING","weight":1.5,"since_ms":0}`,
@@ -39,22 +39,23 @@
 	}).Draw(t, "entry")
 }
 
-// TestEntriesAsBefore: entries of every kind, over any number of batches, are handed on in their order, and as encoding/json reads them one by one.
-func TestEntriesAsBefore(t *testing.T) {
+// TestEntriesMatchEncodingJSON checks that entries of every kind, over any number of batches, are delivered in order, and decoded as encoding/json
+// decodes them one by one.
+func TestEntriesMatchEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		texts := rapid.SliceOfN(rapid.Custom(drawEntryText), 0, 20).Draw(t, "entries")
 		for i := range rapid.SampledFrom([]int{0, 1, maxBatchEntries - 1, maxBatchEntries, 9 * maxBatchEntries}).Draw(t, "more") {
 			texts = slices.Insert(texts, i%(len(texts)+1), fmt.Sprintf(`{"name":"n%d"}`, i))
 		}
-		var want []earlyEntry
+		var want []decodedEntry
 		for _, text := range texts {
-			var e earlyEntry
+			var e decodedEntry
 			e.malformed = json.Unmarshal([]byte(text), &e.endpoint)
 			want = append(want, e)
 		}
-		got, err := readAll(`{"index":4,"snapshot":true,"endpoints":[` + strings.Join(texts, ",") + `]}`)
+		got, err := readAllEntries(`{"index":4,"snapshot":true,"endpoints":[` + strings.Join(texts, ",") + `]}`)
 		if err != nil || len(got) != len(want) {
-			t.Fatalf("%d entries are handed on, of %d: %v", len(got), len(want), err)
+			t.Fatalf("%d of %d entries are delivered: %v", len(got), len(want), err)
 		}
 		for i := range want {
 			if got[i].endpoint != want[i].endpoint || (got[i].malformed == nil) != (want[i].malformed == nil) {
@@ -64,45 +65,46 @@
 	})
 }
 
-// TestEntriesCutAnywhere: a list that ends at any byte before its last is an error, and the whole entries before that byte are handed on.
-func TestEntriesCutAnywhere(t *testing.T) {
+// TestEntriesOfTruncatedList checks that a list that ends at any byte before its last is an error, and that the entries that are complete by then are
+// delivered.
+func TestEntriesOfTruncatedList(t *testing.T) {
 	const head = `{"index":4,"snapshot":true,"endpoints":[`
 	entries := []string{`{"name":"a","zone":"\u00e4"}`, ` {"name":"b","more":[1]}`, `{"name":"c"}`}
 	text := head + strings.Join(entries, ",") + "] }"
-	if got, err := readAll(text); err != nil || len(got) != 3 {
+	if got, err := readAllEntries(text); err != nil || len(got) != 3 {
 		t.Fatal(got, err)
 	}
 	for cut := range len(text) {
-		whole, end := 0, len(head)
+		complete, end := 0, len(head)
 		for _, e := range entries {
 			if end += len(e); cut >= end {
-				whole++
+				complete++
 			}
 			end++ // the comma
 		}
-		if got, err := readAll(text[:cut]); err == nil || len(got) != whole {
-			t.Errorf("cut at %d: %d entries, want %d; %v", cut, len(got), whole, err)
+		if got, err := readAllEntries(text[:cut]); err == nil || len(got) != complete {
+			t.Errorf("cut at %d: %d entries, want %d; %v", cut, len(got), complete, err)
 		}
 	}
 }
 
-// TestEntriesNotTaken: once an entry is not taken no other is handed on, whatever is still being decoded.
-func TestEntriesNotTaken(t *testing.T) {
-	errNotTaken := errors.New("not this one")
+// TestEntriesStopAfterRejection checks that no entry is delivered after one that put has rejected, even if others are still being decoded.
+func TestEntriesStopAfterRejection(t *testing.T) {
+	errRejected := errors.New("rejected")
 	text := "[" + strings.Repeat(`{"name":"a"},`, 20*maxBatchEntries) + `{"name":"a"}]`
 	from := jsontext.NewDecoder(strings.NewReader(text), streamOptions)
 	if err := expectKind(from, jsontext.KindBeginArray); err != nil {
 		t.Fatal(err)
 	}
-	taken := 0
+	accepted := 0
 	err := readEntries(from, func(Endpoint, error) error {
-		if taken == maxBatchEntries+7 {
-			return errNotTaken
+		if accepted == maxBatchEntries+7 {
+			return errRejected
 		}
-		taken++
+		accepted++
 		return nil
 	})
-	if !errors.Is(err, errNotTaken) || taken != maxBatchEntries+7 {
-		t.Errorf("%v after %d entries", err, taken)
+	if !errors.Is(err, errRejected) || accepted != maxBatchEntries+7 {
+		t.Errorf("%v after %d entries", err, accepted)
 	}
 }
--- a/internal/agent/repeat_test.go
+++ b/internal/agent/repeat_test.go
@@ -11,14 +11,14 @@
 	"scaleroute/internal/engine"
 )
 
-// TestRepeatedAnswerTakesNoNotice guards against a notice that counts as taken by a second copy of the answer to the one before.
-func TestRepeatedAnswerTakesNoNotice(t *testing.T) {
+// TestDuplicateResponseAcknowledgesNoNotice guards against a notice that counts as accepted because of a duplicate of the response to the notice before.
+func TestDuplicateResponseAcknowledgesNoNotice(t *testing.T) {
 	const (
-		takenAnswer    = "HTTP/1.1 204 No Content\r\n\r\n"
-		refusedAnswer  = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
-		repeatBehind   = 2 * time.Millisecond
-		refusedBehind  = 20 * time.Millisecond
-		noticesRefused = 1 // the second call
+		acceptedResponse = "HTTP/1.1 204 No Content\r\n\r\n"
+		refusedResponse  = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
+		duplicateDelay   = 2 * time.Millisecond
+		refusalDelay     = 20 * time.Millisecond
+		refusedCall      = 1 // the second one
 	)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,13 +37,13 @@
 			io.Copy(io.Discard, request.Body)
 			number := len(calls)
 			calls <- number
-			if number == noticesRefused {
-				time.Sleep(refusedBehind)
-				io.WriteString(conn, refusedAnswer)
+			if number == refusedCall {
+				time.Sleep(refusalDelay)
+				io.WriteString(conn, refusedResponse)
 				continue
 			}
-			io.WriteString(conn, takenAnswer)
-			time.AfterFunc(repeatBehind, func() { io.WriteString(conn, takenAnswer) })
+			io.WriteString(conn, acceptedResponse)
+			time.AfterFunc(duplicateDelay, func() { io.WriteString(conn, acceptedResponse) })
 		}
 	}
 	go func() {
@@ -60,10 +60,10 @@
 	go p.DeliverNotices(t.Context(), func(refs []string) { arrived <- len(calls) })
 	p.NotifyCompletion(engine.Completion{ID: "first", Failed: true})
 	if got := <-arrived; got != 1 {
-		t.Fatalf("the first notice is taken by call %d", got)
+		t.Fatalf("the first notice counts as accepted after %d calls", got)
 	}
 	p.NotifyCompletion(engine.Completion{ID: "second", Failed: true})
 	if got := <-arrived; got != 3 {
-		t.Errorf("the second notice counts as taken after %d calls, of which the second was refused", got)
+		t.Errorf("the second notice counts as accepted after %d calls, of which the second was refused", got)
 	}
 }
--- a/internal/agent/silence_test.go
+++ b/internal/agent/silence_test.go
@@ -17,10 +17,11 @@
 	"scaleroute/internal/engine"
 )
 
-// answering is a discovery of one agent whose answer to each call is written byte by byte by a test.
-func answering(t *testing.T, fleet Fleet, answer func(n int, r *http.Request, conn net.Conn)) (p *Platform, over func()) {
+// newScriptedPlatform returns a Platform whose discovery answers each connection with bytes that answer writes; n is the number of the request. stop ends
+// it.
+func newScriptedPlatform(t *testing.T, fleet Fleet, answer func(n int, r *http.Request, conn net.Conn)) (p *Platform, stop func()) {
 	t.Helper()
-	network := &memory{conns: make(chan net.Conn), over: make(chan struct{})}
+	network := &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	var calls atomic.Int32
 	go func() {
 		for {
@@ -41,33 +42,35 @@
 		}
 	}()
 	p = New("discovery:1", fleet)
-	p.agent.client.Transport.(*http.Transport).DialContext = network.dial
+	p.client.httpClient.Transport.(*http.Transport).DialContext = network.dial
 	logs := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	return p, func() {
 		slog.SetDefault(logs)
-		close(network.over)
-		p.agent.client.CloseIdleConnections()
+		close(network.closed)
+		p.client.httpClient.CloseIdleConnections()
 	}
 }
 
-func whole(body string) string {
+// okResponse returns an HTTP response with status 200 and the given body.
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// TestSilentWatch: a watch falls silent behind each byte of its answer, the first moment or the last; what it missed is in force before it counts
-// as told: 6 s after that, or, where asking is work for discovery and a call waits for longer, 2 s after the end of that wait. It takes one call more.
+// TestSilentWatch guards against a watch that hangs on a dead connection. The watch falls silent after each byte of its response, at the beginning and at
+// the end of its hold time. The missed change is in force before it counts as received: after 6 s, or, where discovery works on each request and
+// a call may be held for longer, 2 s after the end of the hold time. That takes one more call.
 func TestSilentWatch(t *testing.T) {
-	const news = `{"index":42,"snapshot":false,"endpoints":[{"name":"a","group":3,"status":"DRAINING"}]}`
-	text := whole(news)
-	for name, fleet := range map[string]Fleet{"pushed": {Forwarders: 300}, "asked for": {Forwarders: 300, MustSubscribe: true, ResubscribeInterval: 10 * time.Second}} {
+	const change = `{"index":42,"snapshot":false,"endpoints":[{"name":"a","group":3,"status":"DRAINING"}]}`
+	text := okResponse(change)
+	for name, fleet := range map[string]Fleet{"pushed": {Forwarders: 300}, "requested": {Forwarders: 300, MustSubscribe: true, ResubscribeInterval: 10 * time.Second}} {
 		for cut := 0; cut < len(text); cut++ {
-			for _, at := range []float64{0, 1} { // of the time that the call may wait
+			for _, at := range []float64{0, 1} { // of the hold time
 				synctest.Test(t, func(t *testing.T) {
 					fleet.Random = func() float64 { return 1 }
 					var silent, wait time.Duration
 					began, calls := time.Now(), 0
-					p, over := answering(t, fleet, func(n int, r *http.Request, conn net.Conn) {
+					p, stop := newScriptedPlatform(t, fleet, func(n int, r *http.Request, conn net.Conn) {
 						if calls = n; n > 1 {
 							conn.Write([]byte(text))
 							return
@@ -79,41 +82,42 @@
 						time.Sleep(time.Duration(at * float64(wait)))
 						conn.Write([]byte(text[:cut]))
 						var b [1]byte
-						conn.Read(b[:]) // until it is given up
+						conn.Read(b[:]) // until the client closes the connection
 						conn.Close()
 					})
 					ctx, cancel := context.WithCancel(t.Context())
 					p.Watch(ctx, &List{Index: 41}, func(l *List) {
 						if l.Index != 42 {
-							t.Errorf("told %+v", l)
+							t.Errorf("reported %+v", l)
 						}
 						cancel()
 					})
 					late := time.Since(began) - silent - 6*time.Second
-					if fleet.MustSubscribe { // each call is work there: as long as the page lets it
+					if fleet.MustSubscribe { // discovery works on each call: as late as the standing test allows
 						late = time.Since(began) - silent - max(6*time.Second, wait+2*time.Second)
 					}
 					if late > 0 {
-						t.Errorf("%s, silent behind byte %d: in force %v after it counts as told", name, cut, late)
+						t.Errorf("%s, silent after byte %d: in force %v after it counts as received", name, cut, late)
 					}
 					if calls != 2 {
-						t.Errorf("%s, silent behind byte %d: %d calls", name, cut, calls)
+						t.Errorf("%s, silent after byte %d: %d calls", name, cut, calls)
 					}
-					over()
+					stop()
 				})
 			}
 		}
 	}
 }
 
-// TestSilentNotice: the connection by which a notice goes has fallen silent, behind each byte of the answer. The notice is at the platform before it is 300 ms
-// late, whatever the draw of the pauses. An agent that answers nobody for 10 s is asked no more often than each second in the end.
+// TestSilentNotice guards against a notice that waits on a dead connection. The connection falls silent after each byte of the response; the notice reaches
+// the platform before it is 300 ms late, whatever delays are drawn. An agent that answers no call for 10 s is called no more than about once a second
+// in the end.
 func TestSilentNotice(t *testing.T) {
 	const text = "HTTP/1.1 204 No Content\r\n\r\n"
 	for _, draw := range []float64{0, 1} {
 		for cut := range len(text) {
 			synctest.Test(t, func(t *testing.T) {
-				p, over := answering(t, Fleet{Random: func() float64 { return draw }}, func(n int, r *http.Request, conn net.Conn) {
+				p, stop := newScriptedPlatform(t, Fleet{Random: func() float64 { return draw }}, func(n int, r *http.Request, conn net.Conn) {
 					io.Copy(io.Discard, r.Body)
 					if n != 2 {
 						conn.Write([]byte(text))
@@ -135,13 +139,13 @@
 					}
 				}
 				cancel()
-				over()
+				stop()
 			})
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
 		var calls atomic.Int32
-		p, over := answering(t, Fleet{Random: func() float64 { return 0 }}, func(n int, r *http.Request, conn net.Conn) {
+		p, stop := newScriptedPlatform(t, Fleet{Random: func() float64 { return 0 }}, func(n int, r *http.Request, conn net.Conn) {
 			calls.Add(1)
 			var b [1]byte
 			conn.Read(b[:])
@@ -155,63 +159,64 @@
 			t.Errorf("%d calls in 10 s", n)
 		}
 		cancel()
-		over()
+		stop()
 	})
 }
 
-// TestAgentAway: however long one's own agent refuses connections or answers badly, what it has once it is back is in force soon after: it counts as
-// told at once. Where asking is work for discovery, the waits have grown.
-func TestAgentAway(t *testing.T) {
-	for _, away := range []time.Duration{time.Second, 8 * time.Second, 10 * time.Minute} {
+// TestLocalAgentOutage checks that, however long the machine's own agent refuses connections or answers with errors, its list is in force soon after its
+// return: a change that the agent has counts as received at once. Only where discovery works on each call does the back-off keep growing.
+func TestLocalAgentOutage(t *testing.T) {
+	for _, outage := range []time.Duration{time.Second, 8 * time.Second, 10 * time.Minute} {
 		for _, known := range []*List{nil, {Index: 41}} {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
-				p, over := answering(t, Fleet{Forwarders: 300, Random: func() float64 { return 1 }}, func(n int, r *http.Request, conn net.Conn) {
-					if time.Since(began) < away {
+				p, stop := newScriptedPlatform(t, Fleet{Forwarders: 300, Random: func() float64 { return 1 }}, func(n int, r *http.Request, conn net.Conn) {
+					if time.Since(began) < outage {
 						fmt.Fprint(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 						return
 					}
-					conn.Write([]byte(whole(`{"index":42,"snapshot":true,"endpoints":[]}`)))
+					conn.Write([]byte(okResponse(`{"index":42,"snapshot":true,"endpoints":[]}`)))
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				p.Watch(ctx, known, func(*List) { cancel() })
-				if late := time.Since(began) - away; late > 250*time.Millisecond {
-					t.Errorf("away for %v: in force %v after its return", away, late)
+				if late := time.Since(began) - outage; late > 250*time.Millisecond {
+					t.Errorf("outage of %v: in force %v after its end", outage, late)
 				}
-				over()
+				stop()
 			})
 		}
 	}
 }
 
-// TestOlderLists: a list that is older than the one in force is not told: a target that drains would serve again. Where discovery says so once more when it
-// is asked for all that there is, it counts anew. Each case is a run of answers, and of the versions that are told.
+// TestOlderLists checks that a list older than the one in force is not reported, since a draining endpoint would be called again. If discovery returns the
+// older index once more when the snapshot is requested, its numbering has restarted, and the snapshot is accepted. Each case is a sequence of responses,
+// the versions that are requested, and those that are reported.
 func TestOlderLists(t *testing.T) {
 	change := func(n int) string { return fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, n) }
-	all := func(n int) string { return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[]}`, n) }
+	snapshot := func(n int) string { return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[]}`, n) }
 	for name, c := range map[string]struct {
-		answers []string
-		asked   string // from which versions; * is the whole list
-		told    string
+		responses []string
+		requested string // the versions after which changes are requested; * is the snapshot
+		reported  string
 	}{
-		"in order":                      {[]string{all(41), change(42), change(42), change(50)}, "* 41 42 42", "41 42 42 50"},
-		"an old change":                 {[]string{all(41), change(40), all(43)}, "* 41 *", "41 43"},
-		"an old whole list":             {[]string{all(41), all(40), all(42)}, "* 41 *", "41 42"},
-		"two old ones that differ":      {[]string{all(41), all(40), all(39), all(43)}, "* 41 * *", "41 43"},
-		"discovery counts anew":         {[]string{all(41), all(3), all(3), change(4)}, "* 41 * 3", "41 3 4"},
-		"it counts anew, by a change":   {[]string{all(41), change(3), all(3), all(3), change(4)}, "* 41 * * 3", "41 3 4"},
-		"once old, then as it was":      {[]string{all(41), change(3), all(41), change(42)}, "* 41 * 41", "41 41 42"},
-		"no index, then as it was":      {[]string{all(41), `{"snapshot":true,"endpoints":[]}`, change(42)}, "* 41 41", "41 42"},
-		"nothing in it, at the start":   {[]string{`{}`, `{"index":5}`, `null`, `[]`, all(6)}, "* * * * *", "6"},
-		"a whole list without the list": {[]string{all(41), `{"index":42,"snapshot":true}`, change(43)}, "* 41 41", "41 43"},
-		"a change without entries":      {[]string{all(41), `{"index":42}`, change(43)}, "* 41 42", "41 42 43"},
+		"in order":                         {[]string{snapshot(41), change(42), change(42), change(50)}, "* 41 42 42", "41 42 42 50"},
+		"an old change":                    {[]string{snapshot(41), change(40), snapshot(43)}, "* 41 *", "41 43"},
+		"an old snapshot":                  {[]string{snapshot(41), snapshot(40), snapshot(42)}, "* 41 *", "41 42"},
+		"two old ones that differ":         {[]string{snapshot(41), snapshot(40), snapshot(39), snapshot(43)}, "* 41 * *", "41 43"},
+		"numbering restarts":               {[]string{snapshot(41), snapshot(3), snapshot(3), change(4)}, "* 41 * 3", "41 3 4"},
+		"numbering restarts with a change": {[]string{snapshot(41), change(3), snapshot(3), snapshot(3), change(4)}, "* 41 * * 3", "41 3 4"},
+		"old once, then the same":          {[]string{snapshot(41), change(3), snapshot(41), change(42)}, "* 41 * 41", "41 41 42"},
+		"no index, then the next change":   {[]string{snapshot(41), `{"snapshot":true,"endpoints":[]}`, change(42)}, "* 41 41", "41 42"},
+		"without content, at the start":    {[]string{`{}`, `{"index":5}`, `null`, `[]`, snapshot(6)}, "* * * * *", "6"},
+		"a snapshot without endpoints":     {[]string{snapshot(41), `{"index":42,"snapshot":true}`, change(43)}, "* 41 41", "41 43"},
+		"a change without endpoints":       {[]string{snapshot(41), `{"index":42}`, change(43)}, "* 41 42", "41 42 43"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var asked, told []string
+				var requested, reported []string
 				ctx, cancel := context.WithCancel(t.Context())
-				p, over := answering(t, Fleet{}, func(n int, r *http.Request, conn net.Conn) {
-					if n > len(c.answers) {
+				p, stop := newScriptedPlatform(t, Fleet{}, func(n int, r *http.Request, conn net.Conn) {
+					if n > len(c.responses) {
 						cancel()
 						return
 					}
@@ -219,28 +224,28 @@
 					if from == "" {
 						from = "*"
 					}
-					asked = append(asked, from)
-					conn.Write([]byte(whole(c.answers[n-1])))
+					requested = append(requested, from)
+					conn.Write([]byte(okResponse(c.responses[n-1])))
 				})
-				p.Watch(ctx, nil, func(l *List) { told = append(told, fmt.Sprint(l.Index)) })
-				if got := strings.Join(asked, " "); got != c.asked {
-					t.Errorf("asked from %s, want %s", got, c.asked)
+				p.Watch(ctx, nil, func(l *List) { reported = append(reported, fmt.Sprint(l.Index)) })
+				if got := strings.Join(requested, " "); got != c.requested {
+					t.Errorf("requested %s, want %s", got, c.requested)
 				}
-				if got := strings.Join(told, " "); got != c.told {
-					t.Errorf("told %s, want %s", got, c.told)
+				if got := strings.Join(reported, " "); got != c.reported {
+					t.Errorf("reported %s, want %s", got, c.reported)
 				}
-				over()
+				stop()
 			})
 		})
 	}
 }
 
-// TestBadEntries: an entry that can't be right is left out, and the others count. One that is to get nothing new needs its name alone.
-func TestBadEntries(t *testing.T) {
+// TestInvalidEntriesAreSkipped checks that an invalid entry is skipped and the others count. A draining or deleted endpoint needs a valid name only.
+func TestInvalidEntriesAreSkipped(t *testing.T) {
 	const good = `{"name":"a","address":"127.0.0.1:1","group":3,"status":"SERVING","weight":2.5}`
 	for entry, kept := range map[string]bool{
 		good: true,
-		`{"name":"b","address":"127.0.0.1:1","group":3}`:                                       true, // as ever: it serves
+		`{"name":"b","address":"127.0.0.1:1","group":3}`:                                       true, // without a status it serves
 		`{"name":"b","status":"DRAINING"}`:                                                     true,
 		`{"name":"b","status":"DELETED","address":"nowhere","group":-1,"weight":-1}`:           true,
 		`{"name":"","address":"127.0.0.1:1","group":3,"status":"SERVING"}`:                     false,
@@ -261,7 +266,7 @@
 	}
 }
 
-// FuzzList: whatever comes, a list is refused or can be right, and nothing else happens.
+// FuzzList checks that any text is either rejected with an error, or read as a list whose entries are all valid.
 func FuzzList(f *testing.F) {
 	f.Add(`{"index":7,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:1","group":3,"status":"SERVING","weight":2.5}]}`, true)
 	f.Add(`{"index":-1,"endpoints":null}`, false)
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -13,108 +13,108 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// A list of millions of endpoints is not held beside what is made of it: it is handed on entry by entry.
+// A list of millions of endpoints is passed on entry by entry, so that it is not held in memory beside the data that its receiver builds from it.
 
-// Sink takes over lists as they are read.
+// Sink receives lists as they are read.
 type Sink interface {
-	// Begin is called once the index of a list is known and accepted. A list that was begun before and not committed was cut off.
+	// Begin is called once the index of a list is known and accepted. A list that was begun before and not committed was truncated.
 	Begin(index int64, snapshot bool) error
-	// Put is called for each entry, unchecked; one that could not be read as an entry comes with the reason.
+	// Put is called for each entry, before validation. malformed is the reason why a value could not be decoded as an entry.
 	Put(e Endpoint, malformed error)
 	// Commit is called when a list has been read to its end.
 	Commit()
 }
 
-// StreamLimits bound what Stream reads.
+// StreamLimits bounds what Stream reads.
 type StreamLimits struct {
 	MaxBytes         int64         // of one list
-	FirstByteTimeout time.Duration // until a whole list begins to come
-	IdleTimeout      time.Duration // between two pieces of a list
+	FirstByteTimeout time.Duration // until the first byte of a snapshot
+	IdleTimeout      time.Duration // between two reads of a list
 }
 
-// maxReordered bounds the entries of a list that come before it has said what it is.
+// maxReordered bounds the entries that may precede the index and snapshot fields of their list.
 const maxReordered = 1 << 16
 
 const (
-	maxStream       = 10 * time.Minute // a call ends whatever still comes
-	maxStreamPause  = time.Second      // between two calls
-	failureLogPause = 30 * time.Second // between two lines about failures in a row
+	maxStreamDuration  = 10 * time.Minute // a call is cancelled after this, even while data arrives
+	maxStreamBackoff   = time.Second      // between two calls
+	failureLogInterval = 30 * time.Second // between two log lines about consecutive failures
 )
 
-// errStreamSilent is the cause of a call that is cancelled as nothing has come for too long.
-var errStreamSilent = errors.New("nothing has come for too long")
+// errStreamIdle is the cause of the cancellation of a call that has received no data for too long.
+var errStreamIdle = errors.New("no data received for too long")
 
-// Stream is Watch for lists of any size: it goes on from an index, or from nothing where that is -1. Entries are handed on as they are read, so that
-// a list that breaks off has been handed on in part.
+// Stream is Watch for lists of any size: it continues from an index, or begins with a snapshot if that is -1. Entries are passed on as they are read, so
+// that the sink has received a part of a truncated list.
 func (p *Platform) Stream(ctx context.Context, index int64, limits StreamLimits, sink Sink) {
-	fetch := func(ctx context.Context, a *agent, at *position, wait bool) (*List, error) {
-		first := limits.FirstByteTimeout
+	fetch := func(ctx context.Context, c *discoveryClient, at *watchPosition, wait bool) (*List, error) {
+		firstByte := limits.FirstByteTimeout
 		if at.from >= 0 {
-			first = listTime
+			firstByte = listTimeout
 			if wait {
-				first = p.fleet.hold() + holdMargin
+				firstByte = p.fleet.holdTime() + holdMargin
 			}
 		}
-		r := &listReader{whole: at.from < 0, accept: at.accept, sink: sink}
-		if err := a.stream(ctx, listPath(at.from, p.fleet.hold(), wait), first, limits, r); err != nil {
+		reader := &listReader{wholeRequested: at.from < 0, accept: at.accept, sink: sink}
+		if err := c.stream(ctx, listPath(at.from, p.fleet.holdTime(), wait), firstByte, limits, reader); err != nil {
 			return nil, fmt.Errorf("list: %w", err)
 		}
-		return &List{Index: r.index, Snapshot: r.whole || r.snapshot}, nil
+		return &List{Index: reader.index, Snapshot: reader.wholeRequested || reader.snapshot}, nil
 	}
-	again := backoff{first: firstPause, most: maxStreamPause, random: p.fleet.random}
-	var failures repeatedFailure
-	p.watch(ctx, index, again, failures.warn, fetch, func(*List) {
-		failures.end()
+	retry := backoff{initial: initialBackoff, max: maxStreamBackoff, random: p.fleet.random}
+	var failures failureLog
+	p.watch(ctx, index, retry, failures.warn, fetch, func(*List) {
+		failures.recovered()
 		sink.Commit()
 	})
 }
 
-// repeatedFailure logs the first of the failures in a row, then one in a while, and their end.
-type repeatedFailure struct {
-	count  int
-	logged time.Time
+// failureLog logs the first of several consecutive failures, then one per failureLogInterval, and the recovery.
+type failureLog struct {
+	count      int
+	lastLogged time.Time
 }
 
-func (f *repeatedFailure) warn(err error, _ time.Duration) {
+func (f *failureLog) warn(err error, _ time.Duration) {
 	f.count++
-	if f.count > 1 && time.Since(f.logged) < failureLogPause {
+	if f.count > 1 && time.Since(f.lastLogged) < failureLogInterval {
 		return
 	}
-	f.logged = time.Now()
-	slog.Warn("discovery does not answer with a list", "err", err, "failures_in_a_row", f.count)
+	f.lastLogged = time.Now()
+	slog.Warn("no list from discovery", "err", err, "failures_in_a_row", f.count)
 }
 
-func (f *repeatedFailure) end() {
+func (f *failureLog) recovered() {
 	if f.count > 0 {
-		slog.Info("discovery answers again", "failures_in_a_row", f.count)
+		slog.Info("discovery has recovered", "failures_in_a_row", f.count)
 	}
 	f.count = 0
 }
 
-// stream makes the call and has its answer read as it comes.
-func (a *agent) stream(ctx context.Context, path string, first time.Duration, limits StreamLimits, r *listReader) error {
+// stream sends the request and has r read the response while it arrives.
+func (c *discoveryClient) stream(ctx context.Context, path string, firstByte time.Duration, limits StreamLimits, r *listReader) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(first, func() { cancel(errStreamSilent) })
-	defer silence.Stop()
-	err := a.do(ctx, maxStream, http.MethodGet, path, nil, func(status int, body io.Reader) error {
+	idle := time.AfterFunc(firstByte, func() { cancel(errStreamIdle) })
+	defer idle.Stop()
+	err := c.do(ctx, maxStreamDuration, http.MethodGet, path, nil, func(status int, body io.Reader) error {
 		if status != http.StatusOK {
 			return fmt.Errorf("status %d", status)
 		}
-		in := &io.LimitedReader{R: &progressReader{from: body, progress: func() { silence.Reset(limits.IdleTimeout) }}, N: limits.MaxBytes}
-		err := r.read(jsontext.NewDecoder(in, streamOptions))
-		if err != nil && in.N <= 0 {
+		limited := &io.LimitedReader{R: &progressReader{from: body, progress: func() { idle.Reset(limits.IdleTimeout) }}, N: limits.MaxBytes}
+		err := r.read(jsontext.NewDecoder(limited, streamOptions))
+		if err != nil && limited.N <= 0 {
 			return fmt.Errorf("more than %d MiB", limits.MaxBytes>>20)
 		}
 		return err
 	})
-	if cause := context.Cause(ctx); err != nil && errors.Is(cause, errStreamSilent) {
+	if cause := context.Cause(ctx); err != nil && errors.Is(cause, errStreamIdle) {
 		return cause
 	}
 	return err
 }
 
-// progressReader calls progress whenever something came.
+// progressReader calls progress whenever data was read.
 type progressReader struct {
 	from     io.Reader
 	progress func()
@@ -128,19 +128,19 @@
 	return n, err
 }
 
-// listReader hands one list on to a sink.
+// listReader passes one list on to a sink.
 type listReader struct {
-	whole    bool // it was asked for as a whole, whatever it says
-	accept   func(index int64, snapshot bool) error
-	sink     Sink
-	index    int64
-	snapshot bool
+	wholeRequested bool // the snapshot was requested: the list is one whatever it says
+	accept         func(index int64, snapshot bool) error
+	sink           Sink
+	index          int64
+	snapshot       bool
 	hasIndex, hasSnapshot, hasEndpoints,
 	begun bool
-	early []earlyEntry // entries that came before it was clear what the list is
+	buffered []decodedEntry // entries that preceded the index and snapshot fields
 }
 
-type earlyEntry struct {
+type decodedEntry struct {
 	endpoint  Endpoint
 	malformed error
 }
@@ -186,8 +186,8 @@
 		return fmt.Errorf("endpoints: %w", err)
 	}
 	r.hasEndpoints = true
-	if r.hasIndex && (r.whole || r.hasSnapshot) {
-		if err := r.begin(); err != nil {
+	if r.hasIndex && (r.wholeRequested || r.hasSnapshot) {
+		if err := r.beginList(); err != nil {
 			return err
 		}
 	}
@@ -197,11 +197,11 @@
 	return expectKind(from, jsontext.KindEndArray)
 }
 
-func (r *listReader) begin() error {
+func (r *listReader) beginList() error {
 	if r.index < 0 {
-		return fmt.Errorf("index %d: a version is 0 or more", r.index)
+		return fmt.Errorf("index %d: a version can't be negative", r.index)
 	}
-	snapshot := r.whole || r.snapshot
+	snapshot := r.wholeRequested || r.snapshot
 	if err := r.accept(r.index, snapshot); err != nil {
 		return err
 	}
@@ -214,27 +214,27 @@
 		r.sink.Put(e, malformed)
 		return nil
 	}
-	if len(r.early) == maxReordered {
-		return fmt.Errorf("more than %d entries before index and snapshot: discovery owes these first", maxReordered)
+	if len(r.buffered) == maxReordered {
+		return fmt.Errorf("more than %d entries before index and snapshot: discovery has to send these first", maxReordered)
 	}
-	r.early = append(r.early, earlyEntry{e, malformed})
+	r.buffered = append(r.buffered, decodedEntry{e, malformed})
 	return nil
 }
 
-// finish hands on what came before the list had said what it is.
+// finish checks that the list is complete, and passes on entries that preceded the index and snapshot fields.
 func (r *listReader) finish() error {
 	switch {
 	case !r.hasIndex:
-		return errors.New("it says no index: discovery owes each list its version")
-	case (r.whole || r.snapshot) && !r.hasEndpoints:
-		return errors.New("a whole list without endpoints: where there are none, it owes an empty list of them")
+		return errors.New("no index: discovery has to give each list a version")
+	case (r.wholeRequested || r.snapshot) && !r.hasEndpoints:
+		return errors.New("snapshot without endpoints: where there are none, discovery has to send an empty list of them")
 	case r.begun:
 		return nil
 	}
-	if err := r.begin(); err != nil {
+	if err := r.beginList(); err != nil {
 		return err
 	}
-	for _, e := range r.early {
+	for _, e := range r.buffered {
 		r.sink.Put(e.endpoint, e.malformed)
 	}
 	return nil
@@ -246,7 +246,7 @@
 		return err
 	}
 	if got := token.Kind(); got != want {
-		return fmt.Errorf("%v in place of %v", got, want)
+		return fmt.Errorf("got %v, want %v", got, want)
 	}
 	return nil
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -14,76 +14,76 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// recordingSink notes what it is handed.
+// recordingSink records the calls of its methods.
 type recordingSink struct {
-	notes   strings.Builder
+	calls   strings.Builder
 	commits int
 	stopAt  int
 	stop    context.CancelFunc
 }
 
 func (s *recordingSink) Begin(index int64, snapshot bool) error {
-	fmt.Fprintf(&s.notes, "[%d %t", index, snapshot)
+	fmt.Fprintf(&s.calls, "[%d %t", index, snapshot)
 	if index == 99 {
-		return errors.New("not this one")
+		return errors.New("rejected")
 	}
 	return nil
 }
 
 func (s *recordingSink) Put(e Endpoint, malformed error) {
-	fmt.Fprintf(&s.notes, " %s", e.Name)
+	fmt.Fprintf(&s.calls, " %s", e.Name)
 	if malformed != nil {
-		s.notes.WriteString("!")
+		s.calls.WriteString("!")
 	}
 }
 
 func (s *recordingSink) Commit() {
-	s.notes.WriteString("]")
+	s.calls.WriteString("]")
 	if s.commits++; s.commits == s.stopAt {
 		s.stop()
 	}
 }
 
-// TestStream: lists are handed on as they are read, whatever the order of their fields; one entry of a wrong type is marked, a list that breaks off is
-// begun and not committed, and an older one is not begun until discovery says it twice.
+// TestStream checks that lists are passed on as they are read, whatever the order of their fields: an entry with a wrong type is marked, a truncated list
+// is begun and not committed, and an older one is not begun until discovery returns it twice.
 func TestStream(t *testing.T) {
 	for name, c := range map[string]struct {
 		answers []string
 		want    string
 	}{
-		"whole, then changes":       {[]string{`{"index":4,"snapshot":true,"endpoints":[{"name":"a"},{"name":"b"}]}`, `{"index":5,"snapshot":false,"endpoints":[{"name":"c"}]}`}, "[4 true a b][5 false c]"},
+		"snapshot, then changes":    {[]string{`{"index":4,"snapshot":true,"endpoints":[{"name":"a"},{"name":"b"}]}`, `{"index":5,"snapshot":false,"endpoints":[{"name":"c"}]}`}, "[4 true a b][5 false c]"},
 		"fields in another order":   {[]string{`{"endpoints":[{"name":"a"}],"more":{"x":[1]},"snapshot":true,"index":4}`, `{"index":5,"endpoints":[{"name":"c"}]}`}, "[4 true a][5 false c]"},
 		"a wrong type":              {[]string{`{"index":4,"snapshot":true,"endpoints":[{"group":"x","name":"a"},{"name":"b"}]}`}, "[4 true a! b]"},
-		"cut off":                   {[]string{`{"index":4,"snapshot":true,"endpoints":[{"name":"a"},{"na`, `{"index":4,"snapshot":true,"endpoints":[{"name":"a"}]}`}, "[4 true a[4 true a]"},
+		"truncated":                 {[]string{`{"index":4,"snapshot":true,"endpoints":[{"name":"a"},{"na`, `{"index":4,"snapshot":true,"endpoints":[{"name":"a"}]}`}, "[4 true a[4 true a]"},
 		"no list":                   {[]string{`[]`, `{"index":4}`, `{"endpoints":[]}`, `{"index":-1,"endpoints":[]}`, `{"index":4,"endpoints":{}}`, `{"index":4,"endpoints":null}`, `{"index":4,"endpoints":[]}`}, "[4 true]"},
 		"older, and once more":      {[]string{`{"index":4,"endpoints":[]}`, `{"index":3,"snapshot":true,"endpoints":[{"name":"a"}]}`, `{"index":3,"snapshot":true,"endpoints":[{"name":"b"}]}`}, "[4 true][3 true b]"},
-		"older, then as it was":     {[]string{`{"index":4,"endpoints":[]}`, `{"index":3,"snapshot":false,"endpoints":[{"name":"a"}]}`, `{"index":4,"endpoints":[{"name":"b"}]}`}, "[4 true][4 true b]"},
-		"not taken by the sink":     {[]string{`{"index":99,"endpoints":[{"name":"a"}]}`, `{"index":4,"endpoints":[]}`}, "[99 true[4 true]"},
-		"too much":                  {[]string{`{"index":4,"endpoints":[{"name":"` + strings.Repeat("x", 5000) + `"}]}`, `{"index":5,"endpoints":[]}`}, "[4 true[5 true]"},
+		"older, then the same":      {[]string{`{"index":4,"endpoints":[]}`, `{"index":3,"snapshot":false,"endpoints":[{"name":"a"}]}`, `{"index":4,"endpoints":[{"name":"b"}]}`}, "[4 true][4 true b]"},
+		"rejected by the sink":      {[]string{`{"index":99,"endpoints":[{"name":"a"}]}`, `{"index":4,"endpoints":[]}`}, "[99 true[4 true]"},
+		"too large":                 {[]string{`{"index":4,"endpoints":[{"name":"` + strings.Repeat("x", 5000) + `"}]}`, `{"index":5,"endpoints":[]}`}, "[4 true[5 true]"},
 		"a change without endpoint": {[]string{`{"index":4,"endpoints":[]}`, `{"index":5,"snapshot":false}`}, "[4 true][5 false]"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				sink := &recordingSink{stopAt: strings.Count(c.want, "]"), stop: cancel}
-				p, over := answering(t, Fleet{}, func(n int, r *http.Request, conn net.Conn) { conn.Write([]byte(whole(c.answers[n-1]))) })
+				p, stop := newScriptedPlatform(t, Fleet{}, func(n int, r *http.Request, conn net.Conn) { conn.Write([]byte(okResponse(c.answers[n-1]))) })
 				p.Stream(ctx, -1, StreamLimits{MaxBytes: 4096, FirstByteTimeout: time.Second, IdleTimeout: time.Second}, sink)
-				if got := sink.notes.String(); got != c.want {
-					t.Errorf("handed on %s, want %s", got, c.want)
+				if got := sink.calls.String(); got != c.want {
+					t.Errorf("passed on %s, want %s", got, c.want)
 				}
-				over()
+				stop()
 			})
 		})
 	}
 }
 
-// TestStreamSilence: a long list that keeps coming is read to its end, one that falls silent is asked for again.
-func TestStreamSilence(t *testing.T) {
+// TestStreamIdleTimeout checks that a list that keeps arriving slowly is read to its end, and that one that falls silent is requested again.
+func TestStreamIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		sink := &recordingSink{stopAt: 1, stop: cancel}
-		text := whole(`{"index":4,"endpoints":[{"name":"a"}]}`)
-		p, over := answering(t, Fleet{}, func(n int, r *http.Request, conn net.Conn) {
+		text := okResponse(`{"index":4,"endpoints":[{"name":"a"}]}`)
+		p, stop := newScriptedPlatform(t, Fleet{}, func(n int, r *http.Request, conn net.Conn) {
 			for i := range text {
 				if _, err := conn.Write([]byte(text[i : i+1])); err != nil {
 					return
@@ -94,15 +94,15 @@
 			}
 		})
 		p.Stream(ctx, -1, StreamLimits{MaxBytes: 4096, FirstByteTimeout: time.Minute * 2, IdleTimeout: time.Second}, sink)
-		if got := sink.notes.String(); got != "[4 true a[4 true a]" {
-			t.Errorf("handed on %s", got)
+		if got := sink.calls.String(); got != "[4 true a[4 true a]" {
+			t.Errorf("passed on %s", got)
 		}
-		time.Sleep(10 * time.Second) // until what still writes has seen it
-		over()
+		time.Sleep(10 * time.Second) // until the goroutine that still writes has noticed
+		stop()
 	})
 }
 
-// discardSink takes everything.
+// discardSink counts entries and discards them.
 type discardSink struct{ entries int }
 
 func (s *discardSink) Begin(int64, bool) error { return nil }
@@ -122,7 +122,7 @@
 	text.WriteString("]}")
 	for b.Loop() {
 		sink := &discardSink{}
-		r := &listReader{whole: true, accept: func(int64, bool) error { return nil }, sink: sink}
+		r := &listReader{wholeRequested: true, accept: func(int64, bool) error { return nil }, sink: sink}
 		if err := r.read(jsontext.NewDecoder(strings.NewReader(text.String()), streamOptions)); err != nil || sink.entries != entries {
 			b.Fatal(err, sink.entries)
 		}
--- a/internal/agent/withdrawn.go
+++ b/internal/agent/withdrawn.go
@@ -12,94 +12,95 @@
 	"slices"
 )
 
-// A forwarder that starts while discovery does not answer knows the list of its configuration alone, which may be older than what the process
-// before it was told. What was told to drain or to be gone is told for good: it gets nothing from the next process either, until discovery says
-// otherwise. So the folder that lasts keeps the names of such targets, and of which version of the list that is.
+// A forwarder that starts while discovery is unavailable has only the list of its configuration, which may be older than the last list that the previous
+// process received. An endpoint that was reported as draining or deleted must get no calls from the next process either, until discovery reports
+// otherwise. The state folder therefore keeps the names of these endpoints, and the index of the list that last changed them.
 
 const (
-	withdrawnName = "withdrawn"
-	// mostWithdrawn bounds the file. It and its successor fit, beside the targets left out by hand, into what the journal leaves of the folder (16 KiB).
-	mostWithdrawn = 3 << 9
+	withdrawnFileName = "withdrawn"
+	// maxWithdrawnBytes bounds the file. The file and its successor fit, beside the endpoints disabled by an operator, into what the journal leaves of the
+	// folder (16 KiB).
+	maxWithdrawnBytes = 3 << 9
 )
 
-// WithdrawnStore is that file. It is used by one goroutine at a time.
+// WithdrawnStore keeps the names of withdrawn endpoints in a file. It is used by one goroutine at a time.
 type WithdrawnStore struct {
-	path  string
-	known *List // of the configuration: what a start without discovery would call
-	saved withdrawn
+	path       string
+	configured *List // the list of the configuration, which a start without discovery uses
+	saved      withdrawnRecord
 }
 
-type withdrawn struct {
+type withdrawnRecord struct {
 	Index int64    `json:"index"`
-	Names []string `json:"names"` // the newest last
+	Names []string `json:"names"` // the latest withdrawal last
 }
 
-// OpenWithdrawnStore reads the one in a folder. known is the list of the configuration. A file that can't be read is as good as none, and the log says so.
-func OpenWithdrawnStore(folder string, known *List) *WithdrawnStore {
-	w := &WithdrawnStore{path: filepath.Join(folder, withdrawnName), known: known}
-	f, err := os.Open(w.path)
+// OpenWithdrawnStore reads the file in a folder. configured is the list of the configuration. An unreadable file is logged and counts as missing.
+func OpenWithdrawnStore(folder string, configured *List) *WithdrawnStore {
+	store := &WithdrawnStore{path: filepath.Join(folder, withdrawnFileName), configured: configured}
+	file, err := os.Open(store.path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return w
+		return store
 	}
 	if err == nil {
-		defer f.Close()
-		err = json.NewDecoder(io.LimitReader(f, mostWithdrawn)).Decode(&w.saved)
+		defer file.Close()
+		err = json.NewDecoder(io.LimitReader(file, maxWithdrawnBytes)).Decode(&store.saved)
 	}
 	if err != nil {
-		w.saved = withdrawn{}
-		slog.Error("targets that drained before this start may be called until discovery answers; the file is written anew with the next such change", "file", w.path, "err", err)
+		store.saved = withdrawnRecord{}
+		slog.Error("endpoints that drained before this start may be called until discovery answers: their file is unreadable, and is rewritten with the next withdrawal", "file", store.path, "err", err)
 	}
-	if w.saved.Index <= known.Index { // the configuration has heard of what became of them
-		w.saved = withdrawn{}
+	if store.saved.Index <= configured.Index { // the configuration is at least as recent
+		store.saved = withdrawnRecord{}
 	}
-	return w
+	return store
 }
 
-// InitialList is the list of the configuration as the process before would have it now: what it was told to drain by a later list drains.
+// InitialList returns the list of the configuration, with the endpoints draining that a later list withdrew from the previous process.
 func (w *WithdrawnStore) InitialList() *List {
 	if len(w.saved.Names) == 0 {
-		return w.known
+		return w.configured
 	}
-	l := *w.known
+	l := *w.configured
 	l.Endpoints = slices.Clone(l.Endpoints)
-	var drain []string
+	var draining []string
 	for i := range l.Endpoints {
-		if e := &l.Endpoints[i]; e.serves() && slices.Contains(w.saved.Names, e.Name) {
+		if e := &l.Endpoints[i]; e.isServing() && slices.Contains(w.saved.Names, e.Name) {
 			e.Status = Draining
-			drain = append(drain, e.Name)
+			draining = append(draining, e.Name)
 		}
 	}
-	if len(drain) > 0 {
-		slog.Info("these targets were told to drain before this start, and do until discovery answers", "targets", drain, "index", w.saved.Index)
+	if len(draining) > 0 {
+		slog.Info("endpoints that were withdrawn before this start drain until discovery answers", "targets", draining, "index", w.saved.Index)
 	}
 	return &l
 }
 
-// Update takes a list that was told. What it withdraws is in the folder when it returns.
+// Update applies a reported list. The endpoints that it withdraws are in the file when Update returns; a failure to write it is logged.
 func (w *WithdrawnStore) Update(l *List) {
-	serves := make(map[string]bool, len(l.Endpoints)) // of those that the list names
+	serving := make(map[string]bool, len(l.Endpoints)) // whether each listed endpoint is serving, by name
 	for _, e := range l.Endpoints {
-		serves[e.Name] = e.serves()
+		serving[e.Name] = e.isServing()
 	}
 	var names []string
-	in := map[string]bool{}
+	added := map[string]bool{}
 	add := func(name string) {
-		if !in[name] {
-			names, in[name] = append(names, name), true
+		if !added[name] {
+			names, added[name] = append(names, name), true
 		}
 	}
 	for _, name := range w.saved.Names {
-		if !serves[name] {
+		if !serving[name] {
 			add(name)
 		}
 	}
-	for _, e := range w.known.Endpoints {
-		if _, named := serves[e.Name]; l.Snapshot && e.serves() && !named { // gone, as it is missing
+	for _, e := range w.configured.Endpoints {
+		if _, listed := serving[e.Name]; l.Snapshot && e.isServing() && !listed { // gone, since a snapshot does not list it
 			add(e.Name)
 		}
 	}
 	for _, e := range l.Endpoints {
-		if !serves[e.Name] {
+		if !serving[e.Name] {
 			add(e.Name)
 		}
 	}
@@ -107,30 +108,31 @@
 		return
 	}
 	text, names := encodeWithdrawn(l.Index, names)
-	if err := w.store(text); err != nil {
-		slog.Error("a start without discovery may call what drains now: make room in NODE_STATE", "err", err)
+	if err := w.save(text); err != nil {
+		slog.Error("withdrawn endpoints are not saved, and a start without discovery may call them: free space in NODE_STATE", "err", err)
 		return
 	}
-	w.saved = withdrawn{l.Index, names}
+	w.saved = withdrawnRecord{l.Index, names}
 }
 
-// encodeWithdrawn keeps as many of the names as there is room for, the newest.
+// encodeWithdrawn encodes as many of the names as fit into the file, in preference the latest withdrawals. It returns the text and the names in it.
 func encodeWithdrawn(index int64, names []string) ([]byte, []string) {
 	size := len(`{"index":,"names":[]}`) + len(fmt.Sprint(index))
 	kept := []string{}
 	for _, name := range slices.Backward(names) {
-		text, _ := json.Marshal(name) // of a string does not fail
-		if more := len(text) + len(","); size+more <= mostWithdrawn {
+		text, _ := json.Marshal(name) // can't fail for a string
+		if more := len(text) + len(","); size+more <= maxWithdrawnBytes {
 			size += more
 			kept = append(kept, name)
 		}
 	}
 	slices.Reverse(kept)
-	text, _ := json.Marshal(withdrawn{index, kept})
+	text, _ := json.Marshal(withdrawnRecord{index, kept})
 	return text, kept
 }
 
-func (w *WithdrawnStore) store(text []byte) error {
+// save writes a new file and renames it to the old one, which a failed write leaves as it is.
+func (w *WithdrawnStore) save(text []byte) error {
 	next := w.path + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		os.Remove(next)
@@ -139,5 +141,5 @@
 	return os.Rename(next, w.path)
 }
 
-// serves tells whether a target takes calls.
-func (e *Endpoint) serves() bool { return e.Status != Draining && e.Status != Deleted }
+// isServing reports whether an endpoint accepts calls.
+func (e *Endpoint) isServing() bool { return e.Status != Draining && e.Status != Deleted }
--- a/internal/agent/withdrawn_test.go
+++ b/internal/agent/withdrawn_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-func entry(name, status string) Endpoint {
+func newEndpoint(name, status string) Endpoint {
 	return Endpoint{Name: name, Address: "127.0.0.1:1", Status: status}
 }
 
-// TestWithdrawn: lists come in any order and form, with restarts between them, of which some have a newer configuration. A start without discovery has
-// serve what the newer of the two says: the configuration, or what was told before.
-func TestWithdrawn(t *testing.T) {
+// TestWithdrawnEndpointsAfterRestart draws snapshots and changes in any order, with restarts between them, some of which have a newer configuration. A
+// start without discovery lets an endpoint serve according to the newer of the two: the configuration, or the lists reported before.
+func TestWithdrawnEndpointsAfterRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "withdrawn")
 		if err != nil {
@@ -27,11 +27,11 @@
 		status := func(what string) string {
 			return rapid.SampledFrom([]string{Serving, Draining, Deleted}).Draw(t, what)
 		}
-		known := &List{Index: 1, Snapshot: true, Endpoints: []Endpoint{entry("a", Serving), entry("b", Serving), entry("c", Serving), entry("d", Draining)}}
-		now := map[string]bool{"a": true, "b": true, "c": true} // as told
-		inForce := map[string]bool{"a": true, "b": true, "c": true}
+		known := &List{Index: 1, Snapshot: true, Endpoints: []Endpoint{newEndpoint("a", Serving), newEndpoint("b", Serving), newEndpoint("c", Serving), newEndpoint("d", Draining)}}
+		serving := map[string]bool{"a": true, "b": true, "c": true} // as reported last
+		configured := map[string]bool{"a": true, "b": true, "c": true}
 		index := int64(1)
-		w := OpenWithdrawnStore(folder, known)
+		store := OpenWithdrawnStore(folder, known)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"changes", "whole", "restart", "new configuration"}).Draw(t, "step") {
 			case "changes":
@@ -39,66 +39,66 @@
 				l := &List{Index: index}
 				for _, name := range names {
 					if rapid.Bool().Draw(t, "names "+name) {
-						e := entry(name, status(name))
-						l.Endpoints, now[name] = append(l.Endpoints, e), e.serves()
+						e := newEndpoint(name, status(name))
+						l.Endpoints, serving[name] = append(l.Endpoints, e), e.isServing()
 					}
 				}
-				w.Update(l)
+				store.Update(l)
 			case "whole":
 				index++
 				l := &List{Index: index, Snapshot: true}
 				for _, name := range names {
-					if now[name] = false; rapid.Bool().Draw(t, "names "+name) {
-						e := entry(name, status(name))
-						l.Endpoints, now[name] = append(l.Endpoints, e), e.serves()
+					if serving[name] = false; rapid.Bool().Draw(t, "names "+name) {
+						e := newEndpoint(name, status(name))
+						l.Endpoints, serving[name] = append(l.Endpoints, e), e.isServing()
 					}
 				}
-				w.Update(l)
-			case "new configuration": // of now, which the process before may not have heard
+				store.Update(l)
+			case "new configuration": // of the current state, which the previous process may not have received
 				if rapid.Bool().Draw(t, "changes") {
 					index++
 					for _, name := range names {
-						now[name] = rapid.Bool().Draw(t, "serves "+name)
+						serving[name] = rapid.Bool().Draw(t, "serves "+name)
 					}
 				}
 				known = &List{Index: index, Snapshot: true}
 				for _, name := range names {
-					if inForce[name] = now[name]; now[name] {
-						known.Endpoints = append(known.Endpoints, entry(name, Serving))
+					if configured[name] = serving[name]; serving[name] {
+						known.Endpoints = append(known.Endpoints, newEndpoint(name, Serving))
 					}
 				}
-				w = OpenWithdrawnStore(folder, known)
+				store = OpenWithdrawnStore(folder, known)
 			case "restart":
-				w = OpenWithdrawnStore(folder, known)
+				store = OpenWithdrawnStore(folder, known)
 			}
 			for _, e := range OpenWithdrawnStore(folder, known).InitialList().Endpoints {
-				if want := inForce[e.Name] && now[e.Name]; e.serves() != want {
-					t.Fatalf("%s: serves %t, and %t was told", e.Name, e.serves(), want)
+				if want := configured[e.Name] && serving[e.Name]; e.isServing() != want {
+					t.Fatalf("%s: serves %t, and %t was reported", e.Name, e.isServing(), want)
 				}
 			}
 		}
 	})
 }
 
-// TestWithdrawnFile: the file stays in its bound whatever the names are, and keeps the newest; what can't be read, or be written, loosens nothing that
-// is in force.
-func TestWithdrawnFile(t *testing.T) {
+// TestWithdrawnFileBoundsAndErrors checks that the file stays within its bound whatever the names are, and keeps the latest withdrawals; that an unreadable
+// file counts as missing; and that a failed write leaves the old file in force.
+func TestWithdrawnFileBoundsAndErrors(t *testing.T) {
 	folder := t.TempDir()
 	known := &List{Index: 1, Snapshot: true}
 	for i := range 10000 {
-		known.Endpoints = append(known.Endpoints, entry(fmt.Sprintf("target-%05d\"", i), Serving))
+		known.Endpoints = append(known.Endpoints, newEndpoint(fmt.Sprintf("target-%05d\"", i), Serving))
 	}
 	w := OpenWithdrawnStore(folder, known)
-	w.Update(&List{Index: 2, Snapshot: true}) // all are gone
-	path := filepath.Join(folder, withdrawnName)
-	if info, err := os.Stat(path); err != nil || info.Size() > mostWithdrawn || info.Size() < mostWithdrawn/2 {
+	w.Update(&List{Index: 2, Snapshot: true}) // all are missing
+	path := filepath.Join(folder, withdrawnFileName)
+	if info, err := os.Stat(path); err != nil || info.Size() > maxWithdrawnBytes || info.Size() < maxWithdrawnBytes/2 {
 		t.Fatalf("%v, %v", info, err)
 	}
 	last := &known.Endpoints[len(known.Endpoints)-1]
 	drains := func() (n int, newest bool) {
 		l := OpenWithdrawnStore(folder, known).InitialList()
 		for _, e := range l.Endpoints {
-			if !e.serves() {
+			if !e.isServing() {
 				n, newest = n+1, newest || e.Name == last.Name
 			}
 		}
@@ -107,22 +107,22 @@
 	if n, newest := drains(); n < 50 || !newest {
 		t.Errorf("%d drain, the newest: %t", n, newest)
 	}
-	w.Update(&List{Index: 3, Endpoints: []Endpoint{entry(strings.Repeat("x", mostWithdrawn), Draining)}}) // no room for that name
-	if info, err := os.Stat(path); err != nil || info.Size() > mostWithdrawn {
+	w.Update(&List{Index: 3, Endpoints: []Endpoint{newEndpoint(strings.Repeat("x", maxWithdrawnBytes), Draining)}}) // the name does not fit
+	if info, err := os.Stat(path); err != nil || info.Size() > maxWithdrawnBytes {
 		t.Fatalf("%v, %v", info, err)
 	}
 	if n, newest := drains(); n < 50 || !newest {
-		t.Errorf("beside a name that has no room: %d drain, the newest: %t", n, newest)
+		t.Errorf("beside a name that does not fit: %d drain, the newest: %t", n, newest)
 	}
-	for _, text := range []string{"", "{", `{"index":9}`, `{"index":"9","names":[]}`, "\x00\x00", `{"index":9,"names":["` + strings.Repeat("x", mostWithdrawn) + `"]}`} {
+	for _, text := range []string{"", "{", `{"index":9}`, `{"index":"9","names":[]}`, "\x00\x00", `{"index":9,"names":["` + strings.Repeat("x", maxWithdrawnBytes) + `"]}`} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		w := OpenWithdrawnStore(folder, known)
 		if l := w.InitialList(); l != known {
-			t.Errorf("%q: another list", text)
+			t.Errorf("%q: not the list of the configuration", text)
 		}
-		w.Update(&List{Index: 4, Endpoints: []Endpoint{entry(last.Name, Draining)}})
+		w.Update(&List{Index: 4, Endpoints: []Endpoint{newEndpoint(last.Name, Draining)}})
 		if n, newest := drains(); n != 1 || !newest {
 			t.Errorf("after %q: %d drain, the newest: %t", text, n, newest)
 		}
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	w = OpenWithdrawnStore(folder, known)
-	w.Update(&List{Index: 5, Endpoints: []Endpoint{entry(last.Name, Serving), entry(known.Endpoints[0].Name, Draining)}})
+	w.Update(&List{Index: 5, Endpoints: []Endpoint{newEndpoint(last.Name, Serving), newEndpoint(known.Endpoints[0].Name, Draining)}})
 	if n, newest := drains(); n != 1 || !newest {
 		t.Errorf("not written: %d drain, the newest: %t", n, newest)
 	}
