--- a/internal/front/resp2/drain.go
+++ b/internal/front/resp2/drain.go
@@ -5,71 +5,71 @@
 	"time"
 )
 
-// A drain by hand: clients are sent away and may come back. It goes the way of a planned stop, but the listener stays open, for PING
-// and for the way back, and each step can be left again.
+// A drain by an operator sends clients to other forwarders for a time. It takes the steps of a planned stop, except that the listener stays open, for
+// PING and for clients that return, and that each step can be undone.
 
 const (
-	drainLook = 500 * time.Millisecond // until whoever deals out connections has seen that PING says no
-	drainNew  = 250 * time.Millisecond // a connection that comes after that has so long for its one request
+	drainDetectTime     = 500 * time.Millisecond // until the load balancer has noticed that PING is refused
+	drainRequestTimeout = 250 * time.Millisecond // for the one request of a connection that is accepted after that
 )
 
-// ErrStopping is the answer to a drain once the end has begun.
+// ErrStopping is the error of Drain and Resume once the server is being closed or detached.
 var ErrStopping = errors.New("this process is stopping: its clients are sent away for good")
 
-// drain is what a drain is at.
-type drain struct {
-	closing bool // connections are closed once nothing is read or answered on them
+// drainState is the progress of a drain.
+type drainState struct {
+	closing bool // connections are closed once no request is read or answered on them
 	timer   *time.Timer
 }
 
-// Drain sends clients away: PING says no from now on, and the connections are closed, idle ones first, once new ones have stopped
-// coming. To drain twice changes nothing.
-func (c *Server) Drain() error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closing {
+// Drain sends clients to other forwarders: PING is refused from now on, and connections are closed, idle ones first, once new ones have stopped
+// coming. A second call changes nothing.
+func (s *Server) Drain() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closing {
 		return ErrStopping
 	}
-	c.drained.Store(true)
-	if c.drain.timer == nil {
-		c.drain.timer = time.AfterFunc(drainLook, c.drainIdle)
+	s.draining.Store(true)
+	if s.drain.timer == nil {
+		s.drain.timer = time.AfterFunc(drainDetectTime, s.drainIdle)
 	}
 	return nil
 }
 
-// Resume takes clients again, at whatever step a drain is.
-func (c *Server) Resume() error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closing {
+// Resume ends a drain at whatever step it is, and accepts clients again.
+func (s *Server) Resume() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closing {
 		return ErrStopping
 	}
-	c.drained.Store(false)
-	if c.drain.timer != nil {
-		c.drain.timer.Stop()
+	s.draining.Store(false)
+	if s.drain.timer != nil {
+		s.drain.timer.Stop()
 	}
-	c.drain = drain{}
+	s.drain = drainState{}
 	return nil
 }
 
-// Draining tells whether clients are sent away.
-func (c *Server) Draining() bool { return c.drained.Load() }
+// Draining reports whether the server drains.
+func (s *Server) Draining() bool { return s.draining.Load() }
 
-// drainIdle closes what is idle. What is not closes itself after its answer.
-func (c *Server) drainIdle() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.drained.Load() || c.closing {
+// drainIdle closes the idle connections. Each other one is closed by its own goroutine after the response.
+func (s *Server) drainIdle() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.draining.Load() || s.closing {
 		return
 	}
-	c.drain.closing = true
-	c.closeIdle()
+	s.drain.closing = true
+	s.closeIdle()
 }
 
-// closeIdle has the connections between requests end, after a last look. The server is locked.
-func (c *Server) closeIdle() {
-	for conn, s := range c.conns {
-		if s.idle {
+// closeIdle has idle connections end after FinalReadGrace, within which a request is still read. The server is locked.
+func (s *Server) closeIdle() {
+	for conn, state := range s.conns {
+		if state.idle {
 			conn.SetReadDeadline(time.Now().Add(FinalReadGrace))
 		}
 	}
--- a/internal/front/resp2/drain_test.go
+++ b/internal/front/resp2/drain_test.go
@@ -9,9 +9,10 @@
 	"scaleroute/internal/message"
 )
 
-func takesAll(*message.Message) engine.Answer { return engine.Answer{} }
+// acceptAll accepts every message.
+func acceptAll(*message.Message) engine.Answer { return engine.Answer{} }
 
-// ping asks on a connection of its own.
+// ping sends PING on a connection of its own and returns the reply.
 func ping(t *testing.T, address string) string {
 	t.Helper()
 	conn, r := dial(t, address)
@@ -20,23 +21,24 @@
 	return line(t, r)
 }
 
-// TestDrainTakenBack: a drain ends idle connections, answers what is in hand, and can be taken back at each of its steps, again and again.
-func TestDrainTakenBack(t *testing.T) {
-	hold, taken := make(chan bool), make(chan bool)
-	c, address := startClients(t, 100, taker(func(m *message.Message) engine.Answer {
+// TestDrainAndResumeAtEachStep checks that a drain closes idle connections and answers pending requests, and that Resume undoes it at each of its steps,
+// also repeatedly.
+func TestDrainAndResumeAtEachStep(t *testing.T) {
+	finish, accepted := make(chan bool), make(chan bool)
+	server, address := startServer(t, 100, acceptorFunc(func(m *message.Message) engine.Answer {
 		if m.Class == "slow" {
-			taken <- true
-			<-hold
+			accepted <- true
+			<-finish
 		}
 		return engine.Answer{}
 	}))
 	enqueue := resp("ENQUEUE", "k", "id", "c=note,d=1500,dest=3", "x")
-	serves := func(step string) {
+	checkServing := func(step string) {
 		t.Helper()
 		conn, r := dial(t, address)
 		for range 2 {
 			if fmt.Fprint(conn, enqueue); line(t, r) != "+OK" {
-				t.Errorf("%s: not served", step)
+				t.Errorf("%s: a message is not accepted", step)
 			}
 		}
 		if got := ping(t, address); got != "+PONG" {
@@ -44,62 +46,62 @@
 		}
 	}
 	for range 3 {
-		_, early := dial(t, address)
-		must(t, c.Drain())
-		must(t, c.Drain()) // twice is once
+		_, idle := dial(t, address)
+		must(t, server.Drain())
+		must(t, server.Drain()) // the second call changes nothing
 		if got := ping(t, address); got[0] != '-' {
-			t.Errorf("PING got %q in a drain", got)
+			t.Errorf("PING got %q during a drain", got)
 		}
-		must(t, c.Resume()) // before anything was closed
-		serves("taken back at once")
+		must(t, server.Resume()) // before any connection was closed
+		checkServing("resumed at once")
 
 		busyConn, busy := dial(t, address)
 		fmt.Fprint(busyConn, resp("ENQUEUE", "k", "id", "c=slow,d=1500,dest=3", "x"))
-		<-taken
-		must(t, c.Drain())
-		c.drainIdle() // its time has come
-		if _, err := early.ReadByte(); err != io.EOF {
+		<-accepted
+		must(t, server.Drain())
+		server.drainIdle() // as after drainDetectTime
+		if _, err := idle.ReadByte(); err != io.EOF {
 			t.Errorf("an idle connection: %v", err)
 		}
-		lateConn, late := dial(t, address) // whoever has not seen PING's no yet is served once
+		lateConn, late := dial(t, address) // a client that has not seen PING refused yet is served once
 		if fmt.Fprint(lateConn, enqueue); line(t, late) != "+OK" {
-			t.Error("a late client is not served")
+			t.Error("a late client's message is not accepted")
 		}
 		if _, err := late.ReadByte(); err != io.EOF {
-			t.Errorf("a late client's connection goes on: %v", err)
+			t.Errorf("a late client's connection stays open: %v", err)
 		}
 		_, silent := dial(t, address)
 		if _, err := silent.ReadByte(); err != io.EOF {
-			t.Errorf("one that says nothing: %v", err)
+			t.Errorf("a silent connection: %v", err)
 		}
-		hold <- true
+		finish <- true
 		if got := line(t, busy); got != "+OK" {
-			t.Errorf("the request in hand got %q", got)
+			t.Errorf("the pending request got %q", got)
 		}
 		if _, err := busy.ReadByte(); err != io.EOF {
-			t.Errorf("its connection goes on: %v", err)
+			t.Errorf("its connection stays open: %v", err)
 		}
-		must(t, c.Resume())
-		serves("taken back at the end")
+		must(t, server.Resume())
+		checkServing("resumed at the end")
 
 		stayConn, stay := dial(t, address)
 		fmt.Fprint(stayConn, resp("ENQUEUE", "k", "id", "c=slow,d=1500,dest=3", "x"))
-		<-taken
-		must(t, c.Drain())
-		c.drainIdle()
-		must(t, c.Resume()) // while a request is in hand: its connection may stay
-		hold <- true
+		<-accepted
+		must(t, server.Drain())
+		server.drainIdle()
+		must(t, server.Resume()) // while a request is pending: its connection stays open
+		finish <- true
 		if got := line(t, stay); got != "+OK" {
-			t.Errorf("the request in hand got %q", got)
+			t.Errorf("the pending request got %q", got)
 		}
 		if fmt.Fprint(stayConn, enqueue); line(t, stay) != "+OK" {
-			t.Error("its connection does not go on")
+			t.Error("its connection does not stay open")
 		}
 	}
-	must(t, c.Drain())
-	c.Close()
-	if c.Drain() != ErrStopping || c.Resume() != ErrStopping {
-		t.Error("a drain by hand in a planned stop is said yes to")
+	must(t, server.Drain())
+	server.Close()
+	if server.Drain() != ErrStopping || server.Resume() != ErrStopping {
+		t.Error("a drain by an operator is accepted during a planned stop")
 	}
 }
 
--- a/internal/front/resp2/room_test.go
+++ b/internal/front/resp2/evict_test.go
@@ -14,12 +14,12 @@
 	"scaleroute/internal/message"
 )
 
-// TestRoomFromHalfRequests: clients that stop behind any byte of their request take all connections. Others come, and stay: they are served while there are
-// still some in the middle of a request, and those that are not closed for it go on, and get their answer.
-func TestRoomFromHalfRequests(t *testing.T) {
-	const most, left = 6, 2
+// TestEvictionOfPartialRequests has clients that stop after any byte of their request occupy all connections. Further clients connect and stay: they are
+// served while there are connections in the middle of a request, and those of them that are not evicted can still finish their request.
+func TestEvictionOfPartialRequests(t *testing.T) {
+	const maxConns, left = 6, 2
 	finish := make(chan bool)
-	_, address := startClients(t, most, taker(func(m *message.Message) engine.Answer {
+	_, address := startServer(t, maxConns, acceptorFunc(func(m *message.Message) engine.Answer {
 		if m.ID == "stays" {
 			<-finish
 		}
@@ -27,19 +27,19 @@
 	}))
 	defer close(finish)
 	request := resp("ENQUEUE", "k", "id1", "c=note,d=1500,dest=3", "some body")
-	type half struct {
+	type partial struct {
 		conn net.Conn
 		r    *bufio.Reader
 		sent int
 	}
-	var halves []half
-	for i := range most {
+	var partials []partial
+	for i := range maxConns {
 		conn, r := dial(t, address)
-		sent := 1 + i*(len(request)-2)/(most-1) // from the first byte to the last but one
+		sent := 1 + i*(len(request)-2)/(maxConns-1) // from the first byte to the last but one
 		fmt.Fprint(conn, request[:sent])
-		halves = append(halves, half{conn, r, sent})
+		partials = append(partials, partial{conn, r, sent})
 	}
-	for range most - left {
+	for range maxConns - left {
 		conn, r := dial(t, address)
 		fmt.Fprint(conn, request)
 		if got := line(t, r); got != "+OK" {
@@ -48,32 +48,32 @@
 		fmt.Fprint(conn, resp("ENQUEUE", "k", "stays", "c=note,d=1500,dest=3", "x"))
 	}
 	served := 0
-	for _, h := range halves {
-		fmt.Fprint(h.conn, request[h.sent:])
-		if text, err := h.r.ReadString('\n'); err == nil && text == "+OK\r\n" {
+	for _, p := range partials {
+		fmt.Fprint(p.conn, request[p.sent:])
+		if text, err := p.r.ReadString('\n'); err == nil && text == "+OK\r\n" {
 			served++
 		}
 	}
 	if served != left {
-		t.Errorf("%d that had stopped in the middle could go on, %d wanted", served, left)
+		t.Errorf("%d clients could finish their partial request, want %d", served, left)
 	}
 }
 
-// TestRoomFromBusyClients: all connections are in use, each idle for moments only. Who comes is let in all the same; a client whose connection is closed
-// between two requests sends the next one on a new one, and none is closed on with a request that was read.
-func TestRoomFromBusyClients(t *testing.T) {
-	const most, more = 8, 8
+// TestEvictionOfBusyClients checks that a new client is admitted even if all connections are in use and idle for moments only. A client whose connection is
+// closed between two requests sends the next one on a new connection, and none is closed after a request was read from it.
+func TestEvictionOfBusyClients(t *testing.T) {
+	const maxConns, more = 8, 8
 	var mu sync.Mutex
-	taken, answered := map[string]int{}, map[string]int{}
-	_, address := startClients(t, most, taker(func(m *message.Message) engine.Answer {
+	accepted, answered := map[string]int{}, map[string]int{}
+	_, address := startServer(t, maxConns, acceptorFunc(func(m *message.Message) engine.Answer {
 		mu.Lock()
-		taken[m.ID]++
+		accepted[m.ID]++
 		mu.Unlock()
 		return engine.Answer{}
 	}))
 	stop := make(chan bool)
 	var clients sync.WaitGroup
-	for i := range most {
+	for i := range maxConns {
 		clients.Go(func() {
 			var conn net.Conn
 			var r *bufio.Reader
@@ -108,7 +108,7 @@
 						mu.Unlock()
 					}
 				}
-				time.Sleep(time.Millisecond) // it is idle for moments
+				time.Sleep(time.Millisecond) // the connection is idle for a moment
 			}
 		})
 	}
@@ -117,7 +117,7 @@
 		conn.SetDeadline(time.Now().Add(10 * time.Second))
 		fmt.Fprint(conn, resp("PING"))
 		if text, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(text, "+PONG") {
-			t.Errorf("one more client: %q, %v", text, err)
+			t.Errorf("a further client: %q, %v", text, err)
 			break
 		}
 		conn.Close()
@@ -126,24 +126,24 @@
 	clients.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	for id, n := range taken {
+	for id, n := range accepted {
 		if n != 1 || answered[id] != 1 {
-			t.Errorf("%s was taken on %d times and answered %d times", id, n, answered[id])
+			t.Errorf("%s was accepted %d times and answered %d times", id, n, answered[id])
 		}
 	}
 }
 
-// TestQueuedAtTheEnd: connections that the kernel has queued when listening ends, with their requests written, are answered; those that come after
-// are refused.
-func TestQueuedAtTheEnd(t *testing.T) {
-	for _, most := range []int{1, 3} { // all in use at that moment
-		t.Run(fmt.Sprint("room for ", most), func(t *testing.T) {
+// TestStopAcceptingServesBacklog checks that connections that the kernel has queued when listening ends, with their requests written, are answered, and that
+// later ones are refused.
+func TestStopAcceptingServesBacklog(t *testing.T) {
+	for _, maxConns := range []int{1, 3} { // of which all are in use at that moment
+		t.Run(fmt.Sprint("connections: ", maxConns), func(t *testing.T) {
 			begun, finish := make(chan bool, 100), make(chan bool)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			c := New(ln, most, taker(func(*message.Message) engine.Answer {
+			server := New(ln, maxConns, acceptorFunc(func(*message.Message) engine.Answer {
 				begun <- true
 				<-finish
 				return engine.Answer{}
@@ -156,15 +156,15 @@
 				fmt.Fprint(conn, request)
 				readers = append(readers, r)
 			}
-			go func() { served <- c.Serve(t.Context()) }()
-			for range most {
+			go func() { served <- server.Serve(t.Context()) }()
+			for range maxConns {
 				connect()
 				<-begun
 			}
-			for range 5 { // the accepting goroutine has one of them in hand, waiting for room
+			for range 5 { // the accepting goroutine holds one of them, waiting for capacity
 				connect()
 			}
-			c.StopAccepting()
+			server.StopAccepting()
 			close(finish)
 			for i, r := range readers {
 				if text, err := r.ReadString('\n'); err != nil || text != "+OK\r\n" {
@@ -174,8 +174,8 @@
 			if err := <-served; err != nil {
 				t.Error(err)
 			}
-			c.accepting.Wait()
-			for range 1000 { // the listener closes itself just after that
+			server.accepting.Wait()
+			for range 1000 { // the listener is closed just after that
 				if conn, err := net.Dial("tcp", ln.Addr().String()); err != nil {
 					break
 				} else {
@@ -184,35 +184,35 @@
 				}
 			}
 			if _, err := net.Dial("tcp", ln.Addr().String()); err == nil {
-				t.Error("it still listens")
+				t.Error("the server still listens")
 			}
-			c.Close()
-			c.wg.Wait()
+			server.Close()
+			server.wg.Wait()
 		})
 	}
 }
 
-// lastMoment is a listener to which a connection comes in the moment in which its time ends.
-type lastMoment struct {
+// deadlineListener is a listener that gets a connection at the moment at which its deadline expires.
+type deadlineListener struct {
 	net.Listener
-	over  chan bool
-	waits chan bool // it accepts
-	conns []net.Conn
-	calls int
+	deadlineSet chan bool
+	accepting   chan bool // closed once Accept is called
+	conns       []net.Conn
+	calls       int
 }
 
-func (l *lastMoment) SetDeadline(time.Time) error {
+func (l *deadlineListener) SetDeadline(time.Time) error {
 	select {
-	case l.over <- true:
+	case l.deadlineSet <- true:
 	default:
 	}
 	return nil
 }
 
-func (l *lastMoment) Accept() (conn net.Conn, err error) {
+func (l *deadlineListener) Accept() (conn net.Conn, err error) {
 	if l.calls++; l.calls == 1 {
-		close(l.waits)
-		<-l.over
+		close(l.accepting)
+		<-l.deadlineSet
 		return nil, os.ErrDeadlineExceeded
 	}
 	if len(l.conns) == 0 {
@@ -222,18 +222,18 @@
 	return conn, nil
 }
 
-func (*lastMoment) Close() error { return nil }
+func (*deadlineListener) Close() error { return nil }
 
-// TestComesAsListeningEnds: a connection that comes as the accepting is woken for its end is served.
-func TestComesAsListeningEnds(t *testing.T) {
+// TestConnectionDuringStopAccepting checks that a connection is served that arrives just when StopAccepting interrupts Accept.
+func TestConnectionDuringStopAccepting(t *testing.T) {
 	near, far := net.Pipe()
-	ln := &lastMoment{over: make(chan bool, 1), waits: make(chan bool), conns: []net.Conn{far}}
-	c := New(ln, 10, nil)
-	<-ln.over
+	ln := &deadlineListener{deadlineSet: make(chan bool, 1), accepting: make(chan bool), conns: []net.Conn{far}}
+	server := New(ln, 10, nil)
+	<-ln.deadlineSet
 	served := make(chan error)
-	go func() { served <- c.Serve(t.Context()) }()
-	<-ln.waits
-	c.StopAccepting()
+	go func() { served <- server.Serve(t.Context()) }()
+	<-ln.accepting
+	server.StopAccepting()
 	if err := <-served; err != nil {
 		t.Fatal(err)
 	}
@@ -243,5 +243,5 @@
 		t.Errorf("%q, %v", text, err)
 	}
 	near.Close()
-	c.wg.Wait()
+	server.wg.Wait()
 }
--- a/internal/front/resp2/handover.go
+++ b/internal/front/resp2/handover.go
@@ -5,93 +5,95 @@
 	"time"
 )
 
-// DetachedConn is a client's connection that goes from one server to another, in this process or the next one.
+// DetachedConn is a client's connection that passes from one server to another, in this process or the next one.
 type DetachedConn struct {
 	Conn   net.Conn
-	Unread []byte // read from it, and not answered: a part of a request, or more
+	Unread []byte // bytes read from it but not answered: a part of a request, or more
 	Used   bool   // a request was answered on it
 }
 
-// handing is what a server is at that gives its connections away.
-type handing struct {
-	on   bool
-	over bool // what comes now is too late, and closed
-	list []DetachedConn
+// detachState is the progress of Detach.
+type detachState struct {
+	active   bool
+	finished bool // further connections are too late for the handover, and are closed
+	conns    []DetachedConn
 }
 
-// Detach ends the server without closing a connection: requests in hand are answered, and what was read of others goes along. The
-// listener stays open. A client that does not take its answer within the limit is closed, as when it is silent for too long.
-func (c *Server) Detach(limit time.Duration) []DetachedConn {
-	c.mu.Lock()
-	c.handing.on = true
-	c.closing = true // for good
-	if c.drain.timer != nil {
-		c.drain.timer.Stop()
+// Detach ends the server and returns its connections without closing them: requests that are being processed are answered, and what was read of others is
+// returned with their connections. The listener stays open. The connection of a client that does not read its response within the limit is closed, like that of
+// one that is silent for too long.
+func (s *Server) Detach(limit time.Duration) []DetachedConn {
+	s.mu.Lock()
+	s.detach.active = true
+	s.closing = true // permanently
+	if s.drain.timer != nil {
+		s.drain.timer.Stop()
 	}
-	for conn := range c.conns {
+	for conn := range s.conns {
 		conn.SetReadDeadline(time.Unix(1, 0))
 	}
-	c.mu.Unlock()
-	if l, ok := c.ln.(interface{ SetDeadline(time.Time) error }); ok {
+	s.mu.Unlock()
+	if l, ok := s.ln.(interface{ SetDeadline(time.Time) error }); ok {
 		l.SetDeadline(time.Unix(1, 0))
 	}
-	c.accepting.Wait() // nobody is admitted from now on
-	c.Wait(limit)
-	c.mu.Lock()
-	for conn := range c.conns {
+	s.accepting.Wait() // no connection is admitted from now on
+	s.Wait(limit)
+	s.mu.Lock()
+	for conn := range s.conns {
 		conn.SetDeadline(time.Unix(1, 0))
 	}
-	c.mu.Unlock()
-	c.Wait(limit)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.handing.over = true
-	return c.handing.list
+	s.mu.Unlock()
+	s.Wait(limit)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.detach.finished = true
+	return s.detach.conns
 }
 
-// handOver gives a connection away if the server does that, with what is unread of it. It tells whether it did.
-func (c *Server) handOver(conn net.Conn, unread []byte, used bool) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.handing.on || c.handing.over {
+// keepForHandover adds a connection, with its unanswered bytes, to those that Detach returns. It reports false if the server is not being detached.
+func (s *Server) keepForHandover(conn net.Conn, unread []byte, used bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.detach.active || s.detach.finished {
 		return false
 	}
-	c.handing.list = append(c.handing.list, DetachedConn{conn, unread, used})
+	s.detach.conns = append(s.detach.conns, DetachedConn{conn, unread, used})
 	return true
 }
 
-// While connections change hands nobody reads: a request that came meanwhile has less time left than it says. When it came is not known, so what is
-// there as this server begins counts from when the other one stopped; its client waits for clientWaits at most.
-const clientWaits = 400 * time.Millisecond
+// During a handover no server reads, so that a request that arrives in this gap has less time left than it says. Its time of arrival is not known: a
+// request that is there when this server begins is taken to have been sent when the other one stopped reading, but at most maxClientWait ago, since no
+// client waits for longer.
+const maxClientWait = 400 * time.Millisecond
 
-var readSoon = 50 * time.Millisecond // after that nothing has been there all the time; tests set it
+var gapReadWindow = 50 * time.Millisecond // a request read later than this after the gap was not waiting in it; tests set it
 
-// gap is that in which nobody read.
-type gap struct{ from, to time.Time }
+// readGap is the time between two servers in which no server read.
+type readGap struct{ start, end time.Time }
 
-// sent is when a request that has just been read was sent at the earliest.
-func (g gap) sent(now time.Time) time.Time {
-	if g.from.IsZero() || now.Sub(g.to) > readSoon || g.from.After(now) {
+// sentAt returns the earliest time at which a request that has just been read can have been sent.
+func (g readGap) sentAt(now time.Time) time.Time {
+	if g.start.IsZero() || now.Sub(g.end) > gapReadWindow || g.start.After(now) {
 		return now
 	}
-	if oldest := now.Add(-clientWaits); g.from.Before(oldest) {
+	if oldest := now.Add(-maxClientWait); g.start.Before(oldest) {
 		return oldest
 	}
-	return g.from
+	return g.start
 }
 
-// Adopt serves connections of another server, which stopped reading at a time; it comes before Serve.
-func (c *Server) Adopt(list []DetachedConn, stopped time.Time) {
-	c.gap = gap{stopped, time.Now()}
-	for _, h := range list {
-		h.Conn.SetDeadline(time.Time{})
-		c.mu.Lock()
-		c.conns[h.Conn] = &clientState{idle: true, used: h.Used, since: time.Now(), unread: h.Unread}
-		c.wg.Add(1)
-		c.mu.Unlock()
+// Adopt serves the connections of another server, which stopped reading at the time stopped. It is called before Serve.
+func (s *Server) Adopt(conns []DetachedConn, stopped time.Time) {
+	s.readGap = readGap{stopped, time.Now()}
+	for _, detached := range conns {
+		detached.Conn.SetDeadline(time.Time{})
+		s.mu.Lock()
+		s.conns[detached.Conn] = &connState{idle: true, used: detached.Used, since: time.Now(), unread: detached.Unread}
+		s.wg.Add(1)
+		s.mu.Unlock()
 		go func() {
-			defer c.wg.Done()
-			c.handle(h.Conn)
+			defer s.wg.Done()
+			s.handle(detached.Conn)
 		}()
 	}
 }
--- a/internal/front/resp2/handover_test.go
+++ b/internal/front/resp2/handover_test.go
@@ -12,39 +12,39 @@
 	"scaleroute/internal/message"
 )
 
-// TestHalfWritten: two requests are cut at each byte, and in between the server hands over, drains, or both: each is read whole and
-// answered once, and the connection goes on unless the server drains.
-func TestHalfWritten(t *testing.T) {
+// TestPartialRequestsOverHandoverAndDrain cuts two requests at each byte; in between the server is detached, drained, or both. Each request is read
+// completely and answered once, and the connection stays open unless the server drains.
+func TestPartialRequestsOverHandoverAndDrain(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	var taken atomic.Int32
-	take := taker(func(m *message.Message) engine.Answer {
+	var accepted atomic.Int32
+	acceptor := acceptorFunc(func(m *message.Message) engine.Answer {
 		if m.ID != "id-1" || string(m.Body.(message.Bytes)) != "body" {
-			t.Errorf("taken: %+v", m)
+			t.Errorf("accepted: %+v", m)
 		}
-		taken.Add(1)
+		accepted.Add(1)
 		return engine.Answer{}
 	})
 	request := resp("ENQUEUE", "key", "id-1", "c=note,d=1500,dest=3", "body")
 	for _, steps := range []string{"hand over, hand over", "drain", "hand over, drain"} {
 		for at := range 2*len(request) + 1 {
-			if at%len(request) == 0 && strings.HasSuffix(steps, "drain") { // between requests it is closed
+			if at%len(request) == 0 && strings.HasSuffix(steps, "drain") { // between requests the connection is closed
 				continue
 			}
 			name := fmt.Sprintf("%s, cut at %d", steps, at)
-			taken.Store(0)
+			accepted.Store(0)
 			served := make(chan error, 1)
 			serve := func(list []DetachedConn) *Server {
-				c := New(ln, 100, take)
-				c.HandoverEnabled = true
-				c.Adopt(list, time.Now())
-				go func() { served <- c.Serve(t.Context()) }()
-				return c
+				next := New(ln, 100, acceptor)
+				next.HandoverEnabled = true
+				next.Adopt(list, time.Now())
+				go func() { served <- next.Serve(t.Context()) }()
+				return next
 			}
-			server, drained := serve(nil), false
+			server, draining := serve(nil), false
 			conn, r := dial(t, ln.Addr().String())
 			both := request + request
 			fmt.Fprint(conn, both[:at])
@@ -54,18 +54,18 @@
 					t.Fatalf("%s: %q", name, got)
 				}
 			}
-			for !server.read(at%len(request) > 0) {
+			for !server.hasObserved(at%len(request) > 0) {
 				time.Sleep(50 * time.Microsecond)
 			}
 			for step := range strings.SplitSeq(steps, ", ") {
 				switch step {
 				case "drain":
-					for !server.read(at%len(request) > 0) {
+					for !server.hasObserved(at%len(request) > 0) {
 						time.Sleep(50 * time.Microsecond)
 					}
 					must(t, server.Drain())
 					server.drainIdle()
-					drained = true
+					draining = true
 				case "hand over":
 					list := server.Detach(time.Minute)
 					if err := <-served; err != nil {
@@ -78,20 +78,20 @@
 				}
 			}
 			fmt.Fprint(conn, both[at:])
-			most := 2
-			if drained {
-				most = min(2, at/len(request)+1) // the one that had begun
+			wantAnswers := 2
+			if draining {
+				wantAnswers = min(2, at/len(request)+1) // also the request that had begun
 			}
-			for ; answers < most; answers++ {
+			for ; answers < wantAnswers; answers++ {
 				if got := line(t, r); got != "+OK" {
 					t.Fatalf("%s, afterwards: %q", name, got)
 				}
 			}
-			if _, err := fmt.Fprint(conn, resp("PING")); !drained && (err != nil || line(t, r) != "+PONG") {
-				t.Errorf("%s: the connection does not go on", name)
+			if _, err := fmt.Fprint(conn, resp("PING")); !draining && (err != nil || line(t, r) != "+PONG") {
+				t.Errorf("%s: the connection does not stay open", name)
 			}
-			if n := int(taken.Load()); n < most || n > 2 {
-				t.Errorf("%s: taken %d times", name, n)
+			if n := int(accepted.Load()); n < wantAnswers || n > 2 {
+				t.Errorf("%s: accepted %d times", name, n)
 			}
 			conn.Close()
 			server.Detach(time.Minute)
@@ -100,28 +100,29 @@
 	}
 }
 
-// read tells whether there is a connection, and, where a request has begun, whether the server knows.
-func (c *Server) read(begun bool) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, s := range c.conns {
-		if s.idle == begun {
+// hasObserved reports whether there is a connection, and each is in the middle of a request if begun is set, and between requests if not.
+func (s *Server) hasObserved(begun bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, state := range s.conns {
+		if state.idle == begun {
 			return false
 		}
 	}
-	return len(c.conns) > 0
+	return len(s.conns) > 0
 }
 
-// TestHandOverInHand: a request that is being answered is, before its connection goes on; a client that takes no answer is not waited for.
-func TestHandOverInHand(t *testing.T) {
+// TestHandoverAnswersPendingRequest checks that a request that is being processed is answered before its connection is handed over, and that the next server
+// serves that connection and new ones.
+func TestHandoverAnswersPendingRequest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	asked, finish := make(chan bool), make(chan bool)
-	first := New(ln, 100, taker(func(*message.Message) engine.Answer {
-		asked <- true
+	accepted, finish := make(chan bool), make(chan bool)
+	first := New(ln, 100, acceptorFunc(func(*message.Message) engine.Answer {
+		accepted <- true
 		<-finish
 		return engine.Answer{}
 	}))
@@ -130,39 +131,40 @@
 	go func() { served <- first.Serve(t.Context()) }()
 	conn, r := dial(t, ln.Addr().String())
 	fmt.Fprint(conn, resp("ENQUEUE", "key", "id-1", "c=note,d=1500,dest=3", "body"))
-	<-asked
-	handed := make(chan []DetachedConn)
-	go func() { handed <- first.Detach(time.Minute) }()
+	<-accepted
+	detached := make(chan []DetachedConn)
+	go func() { detached <- first.Detach(time.Minute) }()
 	if err := <-served; err != nil {
 		t.Fatal(err)
 	}
 	close(finish)
-	list := <-handed
+	list := <-detached
 	if got := line(t, r); got != "+OK" || len(list) != 1 || len(list[0].Unread) != 0 || !list[0].Used {
 		t.Errorf("answered %q, handed over %+v", got, list)
 	}
-	second := New(ln, 100, taker(takesAll))
+	second := New(ln, 100, acceptorFunc(acceptAll))
 	second.Adopt(list, time.Now())
 	go second.Serve(t.Context())
 	if fmt.Fprint(conn, resp("PING")); line(t, r) != "+PONG" {
-		t.Error("the connection does not go on")
+		t.Error("the connection does not stay open")
 	}
-	late, lr := dial(t, ln.Addr().String()) // whoever connected in between is in the socket's backlog
-	if fmt.Fprint(late, resp("PING")); line(t, lr) != "+PONG" {
+	late, lateReader := dial(t, ln.Addr().String()) // as a client that connected in between, it is in the socket's backlog
+	if fmt.Fprint(late, resp("PING")); line(t, lateReader) != "+PONG" {
 		t.Error("a new connection is not served")
 	}
 	second.Close()
 }
 
-// TestDetachAtOnce: a server hands over as it begins to serve, while clients connect. Each of them is answered by the next one, on the connection that it has.
-func TestDetachAtOnce(t *testing.T) {
+// TestDetachWhileServeBegins checks a handover that starts while the server begins to serve and clients connect: each client is answered by the next server
+// on the connection that it has.
+func TestDetachWhileServeBegins(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	for round := range 300 {
-		first := New(ln, 3, nil) // fewer than there are clients
+		first := New(ln, 3, nil) // fewer connections than there are clients
 		first.HandoverEnabled = true
 		served := make(chan error, 2)
 		go func() { served <- first.Serve(t.Context()) }()
--- a/internal/front/resp2/server.go
+++ b/internal/front/resp2/server.go
@@ -1,4 +1,4 @@
-// Package resp2 is the front for clients that speak RESP2 over TCP: PING and ENQUEUE.
+// Package resp2 is the front for clients that speak RESP2 over TCP. It serves the commands PING and ENQUEUE.
 package resp2
 
 import (
@@ -23,216 +23,217 @@
 )
 
 const (
-	maxBody    = journal.MaxBody
-	maxArgs    = 16
-	maxCommand = maxBody + 16<<10 // read whole, so that a body somewhat too long gets an answer
-	firstRead  = 4 << 10          // set aside before any of a value has come
-	maxIDLen   = 128
-	// Nobody holds a connection without a word, or stops in the middle of a request, for good.
-	requestTime = 2500 * time.Millisecond
-	// FinalReadGrace: a request that crosses the closing of its connection is still read.
-	FinalReadGrace = 10 * time.Millisecond
-	acceptPause    = 20 * time.Millisecond // after accepting failed
-
-	// What a client still sends is read for so long after an error: to close on
-	// it at once would reset the connection, and might lose the error.
+	maxBody       = journal.MaxBody
+	maxArgs       = 16
+	maxCommand    = maxBody + 16<<10 // larger than a body, so that one that is somewhat too long is read and gets an error response
+	initialBuffer = 4 << 10          // allocated before any byte of a value has arrived
+	maxIDLen      = 128
+	// requestTimeout bounds the time for a first request, and for the rest of one that has begun, so that no client holds a connection for ever.
+	requestTimeout = 2500 * time.Millisecond
+	// FinalReadGrace is how long a connection that is to be closed is still read, for a request that the client sends at the same moment.
+	FinalReadGrace   = 10 * time.Millisecond
+	acceptRetryDelay = 20 * time.Millisecond // after a failed accept
+
+	// After an error response the client's data is read for this long: closing
+	// the connection at once would reset it, which might lose the response.
 	lingerTime  = 300 * time.Millisecond
 	lingerBytes = 256 << 10
 )
 
-// Acceptor takes a message on or turns it away.
+// Acceptor accepts or rejects messages.
 type Acceptor interface {
 	Accept(*message.Message) engine.Answer
 }
 
 // Server serves RESP2. The commands are read here and not by
 // github.com/tidwall/redcon, whose reader (v1.6.4) panics in a goroutine of its
-// own on a bulk length near the largest integer and loops on a huge list length:
+// own on a bulk length near the largest integer and loops on a huge array length:
 // any client could end the process.
 type Server struct {
-	ln   net.Listener
-	most int // connections
-	take Acceptor
+	ln       net.Listener
+	maxConns int
+	acceptor Acceptor
 
-	// HandoverEnabled has what was read of requests kept, so that Detach can hand it over. It is set before Serve.
+	// HandoverEnabled has the bytes of a request kept while it is read, so that Detach can return them. It is set before Serve.
 	HandoverEnabled bool
 
-	drained  atomic.Bool   // PING says no
-	stopping atomic.Bool   // no connection is taken on but what is queued
-	ended    chan struct{} // a connection has
-
-	mu        sync.Mutex
-	conns     map[net.Conn]*clientState
-	crowded   time.Time // until then whoever comes is taken to have waited for room; see makeRoom
-	closing   bool
-	drain     drain
-	handing   handing
-	gap       gap
-	wg        sync.WaitGroup
-	accepting sync.WaitGroup // Serve
+	draining  atomic.Bool   // PING is refused
+	stopping  atomic.Bool   // only connections that the kernel has queued are still accepted
+	connEnded chan struct{} // receives a value when a connection has ended
+
+	mu              sync.Mutex
+	conns           map[net.Conn]*connState
+	overloadedUntil time.Time // until then a new connection counts as having waited; see evict
+	closing         bool
+	drain           drainState
+	detach          detachState
+	readGap         readGap
+	wg              sync.WaitGroup
+	accepting       sync.WaitGroup // calls of Serve
 }
 
-// clientState is what a connection is at.
-type clientState struct {
+// connState is the state of a connection.
+type connState struct {
 	idle    bool      // between requests
-	reading bool      // in the middle of one
-	since   time.Time // when that began, the one or the other
+	reading bool      // in the middle of reading one
+	since   time.Time // when the connection became idle, or the request began
 	used    bool      // a request was answered on it
-	shed    bool      // closed to make room
-	last    time.Time // when, if it was in the middle of a request: what comes until then is read
+	evicted bool      // it is being closed in favour of a new connection
+	evictAt time.Time // with evicted: what arrives until then is still read
 
-	unread  []byte    // read by another server
-	limited bool      // it has a deadline to read
-	until   time.Time // when the request that has begun must be read; its goroutine's alone
+	unread          []byte    // bytes that another server has read
+	hasReadDeadline bool      // a read deadline is set
+	requestDeadline time.Time // by which the request that has begun must be read; zero between requests. Only the connection's goroutine uses it
 }
 
-// patient is a connection whose deadlines are set only when there is something to wait
-// for: most requests come in one piece, and their answers go out in one.
-type patient struct {
+// clientConn is a connection whose read deadline is set only when a read has to wait,
+// since most requests arrive in one piece, and whose write deadline is not moved for each response.
+type clientConn struct {
 	net.Conn
-	server  *Server
-	state   *clientState
-	writeTo time.Time // its deadline to write
-	replay  []byte    // what another server read of it, to be read again
-	seen    []byte    // what has been read since the request began, where connections may be handed over
+	server        *Server
+	state         *connState
+	writeDeadline time.Time // the write deadline that is set
+	replay        []byte    // what another server has read, to be read again here
+	requestBytes  []byte    // with HandoverEnabled: what has been read since the request began
 }
 
-// Read reads what comes next. Within a request it waits until the time for that is up.
-func (p *patient) Read(b []byte) (int, error) {
-	if len(p.replay) > 0 {
-		n := copy(b, p.replay)
-		p.seen, p.replay = append(p.seen, p.replay[:n]...), p.replay[n:]
+// Read reads from replay first. Within a request it waits at most until the deadline of the request.
+func (c *clientConn) Read(b []byte) (int, error) {
+	if len(c.replay) > 0 {
+		n := copy(b, c.replay)
+		c.requestBytes, c.replay = append(c.requestBytes, c.replay[:n]...), c.replay[n:]
 		return n, nil
 	}
-	if s := p.state; !s.until.IsZero() {
-		p.server.mu.Lock()
-		on := p.server.handing.on
-		if !on {
-			s.limited = true
-			until := s.until
-			if s.shed && s.last.Before(until) {
-				until = s.last
+	if state := c.state; !state.requestDeadline.IsZero() {
+		c.server.mu.Lock()
+		detaching := c.server.detach.active
+		if !detaching {
+			state.hasReadDeadline = true
+			deadline := state.requestDeadline
+			if state.evicted && state.evictAt.Before(deadline) {
+				deadline = state.evictAt
 			}
-			p.Conn.SetReadDeadline(until)
+			c.Conn.SetReadDeadline(deadline)
 		}
-		p.server.mu.Unlock()
-		if on {
+		c.server.mu.Unlock()
+		if detaching {
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
-	n, err := p.Conn.Read(b)
-	if p.server.HandoverEnabled {
-		p.seen = append(p.seen, b[:n]...)
+	n, err := c.Conn.Read(b)
+	if c.server.HandoverEnabled {
+		c.requestBytes = append(c.requestBytes, b[:n]...)
 	}
 	return n, err
 }
 
-// unread is what the next server is to read first.
-func (p *patient) unread() []byte { return append(p.seen, p.replay...) }
+// unread returns the bytes that the next server has to read first.
+func (c *clientConn) unread() []byte { return append(c.requestBytes, c.replay...) }
 
-// mark forgets what was read before the last bytes, so many of them: they are the beginning of a request.
-func (p *patient) mark(unread int) {
-	p.seen = append(p.seen[:0], p.seen[len(p.seen)-min(unread, len(p.seen)):]...)
-	if cap(p.seen) > 4*firstRead { // what a long request took is given back
-		p.seen = slices.Clone(p.seen)
+// retainLast drops what was read before the last unread bytes, which are the beginning of the next request.
+func (c *clientConn) retainLast(unread int) {
+	c.requestBytes = append(c.requestBytes[:0], c.requestBytes[len(c.requestBytes)-min(unread, len(c.requestBytes)):]...)
+	if cap(c.requestBytes) > 4*initialBuffer { // releases the memory of a long request
+		c.requestBytes = slices.Clone(c.requestBytes)
 	}
 }
 
-// Write writes an answer, in requestTime at least and twice that at most.
-func (p *patient) Write(b []byte) (int, error) {
-	if now := time.Now(); p.writeTo.Sub(now) < requestTime {
-		p.writeTo = now.Add(2 * requestTime)
-		p.Conn.SetWriteDeadline(p.writeTo)
+// Write writes a response. It times out after requestTimeout at the earliest, and after twice that at the latest.
+func (c *clientConn) Write(b []byte) (int, error) {
+	if now := time.Now(); c.writeDeadline.Sub(now) < requestTimeout {
+		c.writeDeadline = now.Add(2 * requestTimeout)
+		c.Conn.SetWriteDeadline(c.writeDeadline)
 	}
-	return p.Conn.Write(b)
+	return c.Conn.Write(b)
 }
 
-// New makes a Server with at most so many connections.
-func New(ln net.Listener, most int, take Acceptor) *Server {
-	if l, ok := ln.(interface{ SetDeadline(time.Time) error }); ok { // another server may have ended it
+// New returns a Server for the clients that connect to ln. It passes messages to acceptor, and has at most maxConns connections at a time.
+func New(ln net.Listener, maxConns int, acceptor Acceptor) *Server {
+	if l, ok := ln.(interface{ SetDeadline(time.Time) error }); ok { // another server may have left a deadline in the past
 		l.SetDeadline(time.Time{})
 	}
-	return &Server{ln: ln, most: most, take: take, conns: map[net.Conn]*clientState{}, ended: make(chan struct{}, 1)}
+	return &Server{ln: ln, maxConns: maxConns, acceptor: acceptor, conns: map[net.Conn]*connState{}, connEnded: make(chan struct{}, 1)}
 }
 
-// Serve accepts connections until Close is called. When there are as many as
-// may be, idle ones make room: no client is left waiting for those that say nothing.
-func (c *Server) Serve(ctx context.Context) error {
-	c.mu.Lock()
-	if c.handing.on {
-		c.mu.Unlock()
+// Serve accepts connections until Close is called. When the maximum is reached, idle ones are
+// evicted, so that no client is left waiting for the sake of silent ones.
+func (s *Server) Serve(ctx context.Context) error {
+	s.mu.Lock()
+	if s.detach.active {
+		s.mu.Unlock()
 		return nil
 	}
-	c.accepting.Add(1) // before Detach waits for that, or not at all
-	c.mu.Unlock()
-	defer c.accepting.Done()
+	s.accepting.Add(1) // under the lock, so that Detach waits for this call, or this call returns at once
+	s.mu.Unlock()
+	defer s.accepting.Done()
 	for {
-		last := c.stopping.Load()
-		if last {
-			c.acceptFor(FinalReadGrace)
+		stopping := s.stopping.Load()
+		if stopping {
+			s.limitAccept(FinalReadGrace)
 		}
-		conn, err := c.ln.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) && !last && c.stopping.Load() {
-			continue // what is queued was not looked at
+		conn, err := s.ln.Accept()
+		if errors.Is(err, os.ErrDeadlineExceeded) && !stopping && s.stopping.Load() {
+			continue // StopAccepting has interrupted this call, and queued connections are still to be accepted
 		}
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil
 		}
-		if err != nil { // out of descriptors, say: that passes
-			slog.Warn("accepting a client", "err", err)
-			pause(ctx, acceptPause)
+		if err != nil { // for instance out of file descriptors, which is temporary
+			slog.Warn("accepting a client connection failed", "err", err)
+			sleep(ctx, acceptRetryDelay)
 			continue
 		}
-		for came := time.Now(); !c.admit(conn, came); {
-			if c.handOver(conn, nil, false) {
+		for acceptedAt := time.Now(); !s.admit(conn, acceptedAt); {
+			if s.keepForHandover(conn, nil, false) {
 				return nil
 			}
-			if c.waitForRoom(ctx); ctx.Err() != nil {
+			if s.waitForCapacity(ctx); ctx.Err() != nil {
 				conn.Close()
 				return nil
 			}
 		}
 		go func() {
-			defer c.wg.Done()
-			c.handle(conn)
+			defer s.wg.Done()
+			s.handle(conn)
 		}()
 	}
 }
 
-// StopAccepting stops listening; the connections there are go on. What the kernel has queued is taken on first: to close on it would reset it.
-func (c *Server) StopAccepting() {
-	c.stopping.Store(true)
-	if !c.acceptFor(0) {
-		c.ln.Close()
+// StopAccepting stops listening; existing connections continue. Connections that the kernel has queued are accepted first, since closing the listener
+// would reset them.
+func (s *Server) StopAccepting() {
+	s.stopping.Store(true)
+	if !s.limitAccept(0) {
+		s.ln.Close()
 		return
 	}
 	go func() {
-		c.accepting.Wait()
-		c.ln.Close()
+		s.accepting.Wait()
+		s.ln.Close()
 	}()
 }
 
-// acceptFor has the listener wait for so long at most. It tells whether it can.
-func (c *Server) acceptFor(limit time.Duration) bool {
-	l, ok := c.ln.(interface{ SetDeadline(time.Time) error })
+// limitAccept bounds the time for which Accept waits. It reports whether the listener supports that.
+func (s *Server) limitAccept(limit time.Duration) bool {
+	l, ok := s.ln.(interface{ SetDeadline(time.Time) error })
 	return ok && l.SetDeadline(time.Now().Add(limit)) == nil
 }
 
 // Close stops listening and closes each connection once no request is read or
-// answered on it: a request that is not answered would count as lost.
-func (c *Server) Close() {
-	c.mu.Lock()
-	c.closing = true
-	c.closeIdle()
-	c.mu.Unlock()
-	c.ln.Close()
+// answered on it, since a request without a response would count as lost.
+func (s *Server) Close() {
+	s.mu.Lock()
+	s.closing = true
+	s.closeIdle()
+	s.mu.Unlock()
+	s.ln.Close()
 }
 
-// Wait waits until the connections have ended, for so long at most.
-func (c *Server) Wait(limit time.Duration) {
+// Wait waits until all connections have ended, but no longer than limit.
+func (s *Server) Wait(limit time.Duration) {
 	ended := make(chan struct{})
 	go func() {
-		c.wg.Wait()
+		s.wg.Wait()
 		close(ended)
 	}()
 	select {
@@ -241,98 +242,99 @@
 	}
 }
 
-// readWhole notes that a request has been: its connection is not closed before the answer.
-func (c *Server) readWhole(s *clientState) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s.reading = false
+// requestRead records that a request has been read completely: its connection is not closed before the response.
+func (s *Server) requestRead(state *connState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state.reading = false
 }
 
-// next notes that a connection waits for its next request. It tells whether the
-// connection is to go on.
-func (c *Server) next(conn net.Conn, s *clientState) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s.idle, s.reading, s.used, s.since, s.until = true, false, true, time.Now(), time.Time{}
-	if s.limited || s.shed {
-		s.limited, s.shed = false, false
-		if !c.handing.on { // else it is to be given away
+// awaitRequest records that a connection waits for its next request. It reports whether the
+// connection stays open.
+func (s *Server) awaitRequest(conn net.Conn, state *connState) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state.idle, state.reading, state.used, state.since, state.requestDeadline = true, false, true, time.Now(), time.Time{}
+	if state.hasReadDeadline || state.evicted {
+		state.hasReadDeadline, state.evicted = false, false
+		if !s.detach.active { // otherwise the past deadline that Detach has set must stay
 			conn.SetReadDeadline(time.Time{})
 		}
 	}
-	return !c.closing && !c.drain.closing
+	return !s.closing && !s.drain.closing
 }
 
-// begun notes that a request has begun: it is read to its end.
-func (c *Server) begun(s *clientState, until time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s.idle, s.reading, s.since, s.until = false, true, time.Now(), until
-	s.limited = s.limited || s.shed
-	s.shed = false
+// requestBegun records that a request has begun. It is read to its end even if the connection was being evicted.
+func (s *Server) requestBegun(state *connState, until time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state.idle, state.reading, state.since, state.requestDeadline = false, true, time.Now(), until
+	state.hasReadDeadline = state.hasReadDeadline || state.evicted
+	state.evicted = false
 }
 
-func (c *Server) handle(raw net.Conn) {
-	c.mu.Lock()
-	s := c.conns[raw]
-	c.mu.Unlock()
-	kept, first := false, true // by whoever goes on with it; no request was read here
+// handle serves a connection until it ends or is kept for a handover.
+func (s *Server) handle(raw net.Conn) {
+	s.mu.Lock()
+	state := s.conns[raw]
+	s.mu.Unlock()
+	kept, first := false, true // kept: the connection is handed over; first: no request has been read here
 	defer func() {
 		if !kept {
 			raw.Close()
 		}
-		c.mu.Lock()
-		delete(c.conns, raw)
-		c.mu.Unlock()
+		s.mu.Lock()
+		delete(s.conns, raw)
+		s.mu.Unlock()
 		select {
-		case c.ended <- struct{}{}:
+		case s.connEnded <- struct{}{}:
 		default:
 		}
 	}()
-	conn := &patient{Conn: raw, server: c, state: s, replay: s.unread}
+	conn := &clientConn{Conn: raw, server: s, state: state, replay: state.unread}
 	r := bufio.NewReaderSize(conn, 4096)
-	until := time.Now().Add(requestTime) // for the first request, from the connect on
-	c.mu.Lock()
-	if s.limited = true; c.handing.on {
+	deadline := time.Now().Add(requestTimeout) // for the first request, counted from the connect
+	s.mu.Lock()
+	if state.hasReadDeadline = true; s.detach.active {
 		raw.SetReadDeadline(time.Unix(1, 0))
-	} else if s.used && !c.closing && !c.drain.closing { // by another server
-		s.limited, until = false, time.Time{}
-	} else if c.drain.closing {
-		raw.SetReadDeadline(time.Now().Add(drainNew))
-	} else if c.closing {
+	} else if state.used && !s.closing && !s.drain.closing { // a request was answered by another server
+		state.hasReadDeadline, deadline = false, time.Time{}
+	} else if s.drain.closing {
+		raw.SetReadDeadline(time.Now().Add(drainRequestTimeout))
+	} else if s.closing {
 		raw.SetReadDeadline(time.Now().Add(FinalReadGrace))
-	} else if !s.shed {
-		raw.SetReadDeadline(until)
+	} else if !state.evicted {
+		raw.SetReadDeadline(deadline)
 	}
-	c.mu.Unlock()
+	s.mu.Unlock()
 	for {
-		conn.mark(r.Buffered())
+		conn.retainLast(r.Buffered())
 		if _, err := r.Peek(1); err != nil {
-			kept = errors.Is(err, os.ErrDeadlineExceeded) && c.handOver(raw, conn.unread(), s.used)
+			kept = errors.Is(err, os.ErrDeadlineExceeded) && s.keepForHandover(raw, conn.unread(), state.used)
 			return
 		}
-		if until.IsZero() {
-			until = time.Now().Add(requestTime)
+		if deadline.IsZero() {
+			deadline = time.Now().Add(requestTimeout)
 		}
-		c.begun(s, until)
+		s.requestBegun(state, deadline)
 		args, err := readCommand(r)
-		var bad protocolError
-		if errors.As(err, &bad) { // where the next request begins is not known any more
+		var malformed protocolError
+		if errors.As(err, &malformed) { // the beginning of the next request is unknown now
 			raw.SetWriteDeadline(time.Now().Add(lingerTime))
-			fmt.Fprintf(raw, "-ERR %s\r\n", bad)
+			fmt.Fprintf(raw, "-ERR %s\r\n", malformed)
 			linger(raw)
 			return
 		}
 		if err != nil {
-			kept = errors.Is(err, os.ErrDeadlineExceeded) && c.handOver(raw, conn.unread(), s.used)
+			kept = errors.Is(err, os.ErrDeadlineExceeded) && s.keepForHandover(raw, conn.unread(), state.used)
 			return
 		}
-		c.readWhole(s)
-		read := time.Now()
+		s.requestRead(state)
+		readAt := time.Now()
 		if first {
-			read, first = c.gap.sent(read), false
+			readAt, first = s.readGap.sentAt(readAt), false
 		}
-		answer, written := c.answer(args, read)
+		answer, written := s.answer(args, readAt)
 		_, err = io.WriteString(conn, answer)
 		if written != nil {
 			written(err == nil)
@@ -340,106 +342,107 @@
 		if err != nil {
 			return
 		}
-		conn.mark(r.Buffered())
-		if kept = c.handOver(raw, conn.unread(), true); kept || r.Buffered() == 0 && !c.next(raw, s) {
+		conn.retainLast(r.Buffered())
+		if kept = s.keepForHandover(raw, conn.unread(), true); kept || r.Buffered() == 0 && !s.awaitRequest(raw, state) {
 			return
 		}
-		until = time.Time{}
+		deadline = time.Time{}
 	}
 }
 
-// linger ends our side of a connection and reads what still comes, within bounds.
+// linger closes the write side of a connection and reads what the client still sends, within bounds.
 func linger(conn net.Conn) {
-	if half, ok := conn.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite()
+	if closer, ok := conn.(interface{ CloseWrite() error }); ok {
+		closer.CloseWrite()
 	}
 	conn.SetReadDeadline(time.Now().Add(lingerTime))
 	io.CopyN(io.Discard, conn, lingerBytes)
 }
 
-func (c *Server) answer(args [][]byte, read time.Time) (string, func(bool)) {
+// answer processes a request and returns the response. If the second result is not nil, it is to be called with whether the response was written.
+func (s *Server) answer(args [][]byte, readAt time.Time) (string, func(bool)) {
 	switch strings.ToUpper(string(args[0])) {
 	case "PING":
-		if len(args) == 2 && !c.drained.Load() {
+		if len(args) == 2 && !s.draining.Load() {
 			return fmt.Sprintf("$%d\r\n%s\r\n", len(args[1]), args[1]), nil
 		}
-		if c.drained.Load() {
+		if s.draining.Load() {
 			return "-DRAINING sent away by the operators\r\n", nil
 		}
 		return "+PONG\r\n", nil
 	case "ENQUEUE":
-		req, err := parseEnqueue(args, read)
+		m, err := parseEnqueue(args, readAt)
 		if err != nil {
 			return "-ERR " + err.Error() + "\r\n", nil
 		}
-		return c.enqueue(req)
+		return s.enqueue(m)
 	}
 	return "-ERR unknown command\r\n", nil
 }
 
-// enqueue hands a message in and words the answer.
-func (c *Server) enqueue(m *message.Message) (string, func(bool)) {
-	a := c.take.Accept(m)
-	switch a.Kind {
+// enqueue submits a message and returns the response.
+func (s *Server) enqueue(m *message.Message) (string, func(bool)) {
+	answer := s.acceptor.Accept(m)
+	switch answer.Kind {
 	case engine.Accepted:
-		return "+OK\r\n", a.ConfirmWritten
+		return "+OK\r\n", answer.ConfirmWritten
 	case engine.Refused:
-		if a.RetryAfter <= 0 {
+		if answer.RetryAfter <= 0 {
 			return "-BUSY\r\n", nil
 		}
-		return fmt.Sprintf("-BUSY %d\r\n", a.RetryAfter.Milliseconds()), nil
+		return fmt.Sprintf("-BUSY %d\r\n", answer.RetryAfter.Milliseconds()), nil
 	}
-	return "-ERR " + a.Reason + "\r\n", nil
+	return "-ERR " + answer.Reason + "\r\n", nil
 }
 
-func parseEnqueue(args [][]byte, read time.Time) (*message.Message, error) {
+func parseEnqueue(args [][]byte, readAt time.Time) (*message.Message, error) {
 	if len(args) != 5 {
 		return nil, errors.New("ENQUEUE takes a key, an id, a list and a body")
 	}
-	req := &message.Message{ID: string(args[2]), Destination: -1, Fields: string(args[3]), Body: message.Bytes(args[4]), ReadAt: read}
-	if !plainWord(req.ID) {
+	m := &message.Message{ID: string(args[2]), Destination: -1, Fields: string(args[3]), Body: message.Bytes(args[4]), ReadAt: readAt}
+	if !isPlainToken(m.ID) {
 		return nil, errors.New("bad id")
 	}
-	if req.Body.Len() > maxBody {
+	if m.Body.Len() > maxBody {
 		return nil, errors.New("body over 64 KiB")
 	}
-	for _, pair := range strings.Split(req.Fields, ",") {
+	for _, pair := range strings.Split(m.Fields, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
 			return nil, errors.New("bad list of names and values")
 		}
 		switch name {
 		case "c":
-			if !plainWord(value) {
+			if !isPlainToken(value) {
 				return nil, errors.New("bad class")
 			}
-			req.Class = value
+			m.Class = value
 		case "d":
 			ms, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(ms >= 0 && ms <= 1e9) {
 				return nil, errors.New("bad time")
 			}
-			req.TimeLeft = time.Duration(ms * float64(time.Millisecond))
+			m.TimeLeft = time.Duration(ms * float64(time.Millisecond))
 		case "dest":
 			n, err := strconv.ParseInt(value, 10, 32)
 			if err != nil || n < 0 {
 				return nil, errors.New("bad destination")
 			}
-			req.Destination = int(n)
+			m.Destination = int(n)
 		case "r":
-			req.Repeat = value == "1"
+			m.Repeat = value == "1"
 		case "again":
-			req.Resubmitted = value == "1"
+			m.Resubmitted = value == "1"
 		}
 	}
-	if req.Class == "" || req.Destination < 0 {
+	if m.Class == "" || m.Destination < 0 {
 		return nil, errors.New("no class or no destination")
 	}
-	return req, nil
+	return m, nil
 }
 
-// plainWord tells whether a text may stand in a header, a record and a notice as it is.
-func plainWord(s string) bool {
+// isPlainToken reports whether a text can be used unescaped in a header, a record and a notice.
+func isPlainToken(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -448,12 +451,12 @@
 	return s != "" && len(s) <= maxIDLen
 }
 
-// protocolError says what is wrong with a request.
+// protocolError is the reason why a request is malformed.
 type protocolError string
 
 func (e protocolError) Error() string { return string(e) }
 
-// readCommand reads one array of bulk strings, of bounded size as a whole.
+// readCommand reads one array of bulk strings, whose total size is bounded.
 func readCommand(r *bufio.Reader) ([][]byte, error) {
 	n, err := readLength(r, '*', maxArgs)
 	if err != nil {
@@ -482,10 +485,10 @@
 	return args, nil
 }
 
-// readValue reads so many bytes. Memory is set aside as they come, not because
-// they were announced.
+// readValue reads size bytes. Memory is allocated as they arrive, not as
+// they are announced.
 func readValue(r io.Reader, size int) ([]byte, error) {
-	value := make([]byte, 0, min(size, firstRead))
+	value := make([]byte, 0, min(size, initialBuffer))
 	for {
 		n, err := io.ReadFull(r, value[len(value):cap(value)])
 		value = value[:len(value)+n]
@@ -499,7 +502,8 @@
 	}
 }
 
-func readLength(r *bufio.Reader, kind byte, most int) (int, error) {
+// readLength reads a line with the given type byte and a length of at most limit.
+func readLength(r *bufio.Reader, kind byte, limit int) (int, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		return 0, protocolError("line too long")
@@ -511,13 +515,13 @@
 		return 0, protocolError(fmt.Sprintf("expected '%c' and a length", kind))
 	}
 	n, err := strconv.Atoi(string(line[1 : len(line)-2]))
-	if err != nil || n < 0 || n > most {
+	if err != nil || n < 0 || n > limit {
 		return 0, protocolError("bad length")
 	}
 	return n, nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/front/resp2/server_test.go
+++ b/internal/front/resp2/server_test.go
@@ -15,29 +15,29 @@
 	"scaleroute/internal/message"
 )
 
-// taker is a Taker made of a function.
-type taker func(*message.Message) engine.Answer
+// acceptorFunc is a function that implements Acceptor.
+type acceptorFunc func(*message.Message) engine.Answer
 
-func (f taker) Accept(m *message.Message) engine.Answer { return f(m) }
+func (f acceptorFunc) Accept(m *message.Message) engine.Answer { return f(m) }
 
-// startClients serves an intake on a loopback port.
-func startClients(t *testing.T, most int, take Acceptor) (*Server, string) {
+// startServer starts a Server on a loopback port and closes it at the end of the test.
+func startServer(t *testing.T, maxConns int, acceptor Acceptor) (*Server, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(ln, most, take)
+	server := New(ln, maxConns, acceptor)
 	served := make(chan error, 1)
-	go func() { served <- c.Serve(t.Context()) }()
+	go func() { served <- server.Serve(t.Context()) }()
 	t.Cleanup(func() {
-		c.Close()
+		server.Close()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
-		c.wg.Wait()
+		server.wg.Wait()
 	})
-	return c, ln.Addr().String()
+	return server, ln.Addr().String()
 }
 
 func dial(t *testing.T, address string) (net.Conn, *bufio.Reader) {
@@ -51,6 +51,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
+// resp encodes a command.
 func resp(args ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
@@ -60,6 +61,7 @@
 	return b.String()
 }
 
+// line reads one line of a reply.
 func line(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
 	s, err := r.ReadString('\n')
@@ -69,10 +71,10 @@
 	return strings.TrimSpace(s)
 }
 
-// TestClientRequests sends what clients may and may not send. Whatever comes,
-// the next connection is served: a bad request must not end the process.
+// TestClientRequests sends valid and malformed requests. Whatever arrives, the next
+// connection is served: a malformed request must not end the process.
 func TestClientRequests(t *testing.T) {
-	_, address := startClients(t, 100, taker(func(m *message.Message) engine.Answer {
+	_, address := startServer(t, 100, acceptorFunc(func(m *message.Message) engine.Answer {
 		return engine.Answer{Kind: engine.Rejected, Reason: fmt.Sprint(m.ID, " ", m.Class, " ", m.TimeLeft, " ", m.Destination, " ",
 			m.Resubmitted, " ", m.Body.Len())}
 	}))
@@ -84,8 +86,8 @@
 		{"largest body", resp("ENQUEUE", "k", "id1", "c=note,d=1,dest=3", strings.Repeat("x", maxBody)), "-ERR id1 note 1ms 3 false 65536"},
 		{"body too long", resp("ENQUEUE", "k", "id1", "c=note,d=1,dest=3", strings.Repeat("x", maxBody+1)), "-ERR body"},
 		{"unknown command", resp("GET", "x"), "-ERR unknown"},
-		{"too few", resp("ENQUEUE", "k", "id1"), "-ERR ENQUEUE takes"},
-		{"no pair", resp("ENQUEUE", "k", "id1", "c", ""), "-ERR bad list"},
+		{"too few arguments", resp("ENQUEUE", "k", "id1"), "-ERR ENQUEUE takes"},
+		{"no name and value", resp("ENQUEUE", "k", "id1", "c", ""), "-ERR bad list"},
 		{"no class", resp("ENQUEUE", "k", "id1", "d=5,dest=1", ""), "-ERR no class"},
 		{"bad time", resp("ENQUEUE", "k", "id1", "c=n,d=NaN,dest=1", ""), "-ERR bad time"},
 		{"bad destination", resp("ENQUEUE", "k", "id1", "c=n,d=5,dest=-1", ""), "-ERR bad destination"},
@@ -97,7 +99,7 @@
 		{"huge bulk", "*1\r\n$9223372036854775807\r\n", "-ERR bad length"},
 		{"bulk without end", "*1\r\n$4\r\nPINGxx", "-ERR bulk string"},
 		{"bulks too long together", "*2\r\n$70000\r\n" + strings.Repeat("x", 70000) + "\r\n$70000\r\n", "-ERR bad length"},
-		{"60 MB, and they come", "*5\r\n$60000000\r\n" + strings.Repeat("x", 200000), "-ERR bad length"}, // no reset may outrun the error
+		{"bulk of 60 MB, partly sent", "*5\r\n$60000000\r\n" + strings.Repeat("x", 200000), "-ERR bad length"}, // the error must arrive before a reset
 		{"endless line", "*" + strings.Repeat("1", 5000), "-ERR line too long"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,27 +115,27 @@
 	conn, r := dial(t, address)
 	fmt.Fprint(conn, resp("PING")+resp("PING")) // two in one write
 	if a, b := line(t, r), line(t, r); a != "+PONG" || b != "+PONG" {
-		t.Errorf("after all that: %q, %q", a, b)
+		t.Errorf("after the malformed requests: %q, %q", a, b)
 	}
 }
 
-// TestClientsCloseBetweenRequests: a request that is being answered when the
-// server closes gets its answer; an idle connection ends.
+// TestClientsCloseBetweenRequests checks that a request that is being processed when the
+// server closes gets its response, and that an idle connection is closed.
 func TestClientsCloseBetweenRequests(t *testing.T) {
-	taken, finish := make(chan bool), make(chan bool)
-	c, address := startClients(t, 100, taker(func(*message.Message) engine.Answer {
-		taken <- true
+	accepted, finish := make(chan bool), make(chan bool)
+	server, address := startServer(t, 100, acceptorFunc(func(*message.Message) engine.Answer {
+		accepted <- true
 		<-finish
 		return engine.Answer{}
 	}))
 	_, idle := dial(t, address)
 	conn, busy := dial(t, address)
 	fmt.Fprint(conn, resp("ENQUEUE", "k", "id1", "c=note,d=1500,dest=3", "x"))
-	<-taken
-	c.Close()
+	<-accepted
+	server.Close()
 	close(finish)
 	if got := line(t, busy); got != "+OK" {
-		t.Errorf("the request in hand got %q", got)
+		t.Errorf("the pending request got %q", got)
 	}
 	for name, r := range map[string]*bufio.Reader{"idle": idle, "busy": busy} {
 		if _, err := r.ReadByte(); err == nil {
@@ -142,8 +144,8 @@
 	}
 }
 
-// ends waits until the other side closes, and returns what came before.
-func ends(t *testing.T, r *bufio.Reader) string {
+// readUntilClosed reads until the server closes the connection, and returns what was read.
+func readUntilClosed(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
 	text, err := io.ReadAll(r)
 	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) {
@@ -152,43 +154,43 @@
 	return string(text)
 }
 
-// TestSilentClients: whoever says nothing, or half of something, is closed on in
-// its time; who has asked once may stay.
-func TestSilentClients(t *testing.T) {
-	_, address := startClients(t, 100, nil)
-	user, asked := dial(t, address)
+// TestSilentClientsAreClosed checks that a connection without a request, or with a part of one, is closed after
+// requestTimeout, and that one on which a request was answered stays open.
+func TestSilentClientsAreClosed(t *testing.T) {
+	_, address := startServer(t, 100, nil)
+	user, replies := dial(t, address)
 	fmt.Fprint(user, resp("PING"))
-	line(t, asked)
+	line(t, replies)
 	began := time.Now()
 	readers := map[string]*bufio.Reader{}
-	for _, half := range []string{"", "*", "*5\r\n$7\r\nENQ", "*1\r\n$60000\r\nxx"} {
+	for _, part := range []string{"", "*", "*5\r\n$7\r\nENQ", "*1\r\n$60000\r\nxx"} {
 		conn, r := dial(t, address)
-		fmt.Fprint(conn, half)
-		readers[half] = r
+		fmt.Fprint(conn, part)
+		readers[part] = r
 	}
-	for half, r := range readers {
-		if got := ends(t, r); got != "" || time.Since(began) < requestTime/2 {
-			t.Errorf("after %q: %q in %v", half, got, time.Since(began))
+	for part, r := range readers {
+		if got := readUntilClosed(t, r); got != "" || time.Since(began) < requestTimeout/2 {
+			t.Errorf("after %q: %q in %v", part, got, time.Since(began))
 		}
 	}
 	fmt.Fprint(user, resp("PING"))
-	if got := line(t, asked); got != "+PONG" {
+	if got := line(t, replies); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// TestRoomForClients: when all connections are taken, those without a request
-// make room for the next, the longest idle first, and one with a request stays.
-func TestRoomForClients(t *testing.T) {
+// TestEvictionOfSilentClients checks that, when all connections are taken, those without a request
+// are evicted for the next clients, the longest idle first, and that one with a pending request stays.
+func TestEvictionOfSilentClients(t *testing.T) {
 	finish := make(chan bool)
-	_, address := startClients(t, 3, taker(func(*message.Message) engine.Answer {
+	_, address := startServer(t, 3, acceptorFunc(func(*message.Message) engine.Answer {
 		<-finish
 		return engine.Answer{}
 	}))
 	busy, answer := dial(t, address)
 	fmt.Fprint(busy, resp("ENQUEUE", "k", "id1", "c=note,d=1500,dest=3", "x"))
 	var readers []*bufio.Reader
-	for range 20 { // more than there is room for, none of which says a word
+	for range 20 { // more than the server admits, all of them silent
 		_, r := dial(t, address)
 		readers = append(readers, r)
 	}
@@ -198,64 +200,64 @@
 		t.Errorf("got %q", got)
 	}
 	for _, r := range readers[:18] {
-		ends(t, r)
+		readUntilClosed(t, r)
 	}
 	close(finish)
 	if got := line(t, answer); got != "+OK" {
-		t.Errorf("the request in hand got %q", got)
+		t.Errorf("the pending request got %q", got)
 	}
 }
 
-// TestIdleMakesRoom: of connections that have been used the one idle longest goes, and not before its time.
-func TestIdleMakesRoom(t *testing.T) {
-	c := New(nil, 2, nil)
+// TestEvictionOfLongestIdle checks that of the used connections the one idle longest is evicted, and not before minIdleTime.
+func TestEvictionOfLongestIdle(t *testing.T) {
+	server := New(nil, 2, nil)
 	now := time.Now()
-	a, b := &closed{}, &closed{}
-	c.conns[a] = &clientState{idle: true, used: true, since: now.Add(-keepIdle)}
-	c.conns[b] = &clientState{idle: true, used: true, since: now.Add(-keepIdle - 1)}
-	c.makeRoom(now.Add(-2), 0)
-	if a.shed || b.shed {
-		t.Error("closed before its time")
+	a, b := &evictionConn{}, &evictionConn{}
+	server.conns[a] = &connState{idle: true, used: true, since: now.Add(-minIdleTime)}
+	server.conns[b] = &connState{idle: true, used: true, since: now.Add(-minIdleTime - 1)}
+	server.evict(now.Add(-2), 0)
+	if a.evicted || b.evicted {
+		t.Error("evicted before minIdleTime")
 	}
-	c.makeRoom(now, 0)
-	if a.shed || !b.shed {
-		t.Errorf("shed: %v, %v", a.shed, b.shed)
+	server.evict(now, 0)
+	if a.evicted || !b.evicted {
+		t.Errorf("evicted: %v, %v", a.evicted, b.evicted)
 	}
-	c.makeRoom(now, 0)
-	if !a.shed {
-		t.Error("the next one stays")
+	server.evict(now, 0)
+	if !a.evicted {
+		t.Error("the next one is not evicted")
 	}
 }
 
-// TestNewKeepsItsTime: however long somebody waits for room, a connection that has just come is not closed before it can have sent its request, and one whose
-// request is being answered not at all.
-func TestNewKeepsItsTime(t *testing.T) {
-	c := New(nil, 3, nil)
+// TestNewConnectionIsNotEvictedEarly checks that, however long a client waits for a connection, a new one is not evicted before its request can have
+// arrived, and that one whose request is being processed is not evicted at all.
+func TestNewConnectionIsNotEvictedEarly(t *testing.T) {
+	server := New(nil, 3, nil)
 	now := time.Now()
-	young, busy, used := &closed{}, &closed{}, &closed{}
-	c.conns[young] = &clientState{idle: true, since: now.Add(1 - keepNew)}
-	c.conns[busy] = &clientState{used: true, since: now.Add(-time.Minute)}
+	young, busy, used := &evictionConn{}, &evictionConn{}, &evictionConn{}
+	server.conns[young] = &connState{idle: true, since: now.Add(1 - minNewTime)}
+	server.conns[busy] = &connState{used: true, since: now.Add(-time.Minute)}
 	for range 3 {
-		c.makeRoom(now, time.Minute)
+		server.evict(now, time.Minute)
 	}
-	if young.shed || busy.shed {
-		t.Errorf("closed: new %v, in hand %v", young.shed, busy.shed)
+	if young.evicted || busy.evicted {
+		t.Errorf("evicted: new %v, busy %v", young.evicted, busy.evicted)
 	}
-	c.conns[used] = &clientState{idle: true, used: true, since: now}
-	if c.makeRoom(now, roomIdle); !used.shed || young.shed {
-		t.Errorf("closed: used %v, new %v", used.shed, young.shed)
+	server.conns[used] = &connState{idle: true, used: true, since: now}
+	if server.evict(now, evictIdleAfter); !used.evicted || young.evicted {
+		t.Errorf("evicted: used %v, new %v", used.evicted, young.evicted)
 	}
 }
 
-// closed is a connection that notes when it is told to end.
-type closed struct {
+// evictionConn is a connection that records whether it was evicted.
+type evictionConn struct {
 	net.Conn
-	shed bool
+	evicted bool
 }
 
-func (c *closed) SetReadDeadline(time.Time) error { c.shed = true; return nil }
+func (c *evictionConn) SetReadDeadline(time.Time) error { c.evicted = true; return nil }
 
-// TestAnswers: each kind of answer in its words, and an acknowledgement only where one is awaited.
+// TestAnswers checks the reply for each kind of answer, and that a written reply is confirmed where the answer requires it.
 func TestAnswers(t *testing.T) {
 	written := make(chan bool, 1)
 	answers := map[string]engine.Answer{
@@ -264,9 +266,9 @@
 		"-BUSY 1500":  {Kind: engine.Refused, RetryAfter: 1500 * time.Millisecond},
 		"-ERR failed": {Kind: engine.Rejected, Reason: "failed"},
 	}
-	_, address := startClients(t, 10, taker(func(m *message.Message) engine.Answer { return answers[m.Class] }))
+	_, address := startServer(t, 10, acceptorFunc(func(m *message.Message) engine.Answer { return answers[m.Class] }))
 	conn, r := dial(t, address)
-	for want := range answers { // over a connection, and by the words alone
+	for want := range answers { // over a connection, and below without one
 		if strings.Contains(want, " ") {
 			continue // a class is one word
 		}
@@ -276,11 +278,11 @@
 		}
 	}
 	if !<-written {
-		t.Error("+OK was written, and told as not")
+		t.Error("+OK was written, and reported as not written")
 	}
-	s := &Server{take: taker(func(m *message.Message) engine.Answer { return answers[m.Class] })}
+	server := &Server{acceptor: acceptorFunc(func(m *message.Message) engine.Answer { return answers[m.Class] })}
 	for want := range answers {
-		if got, _ := s.enqueue(&message.Message{Class: want}); got != want+"\r\n" {
+		if got, _ := server.enqueue(&message.Message{Class: want}); got != want+"\r\n" {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
