--- a/cmd/scaleroute-lab/fleetrun.go
+++ b/cmd/scaleroute-lab/fleetrun.go
@@ -296,7 +296,7 @@
 			if r.Nodes[k].Stopped() || p == nil || p.Door() == "" {
 				continue
 			}
-			text, err := door.To(p.Door()).Call(ctx, "GET", "/fleet")
+			text, err := door.NewClient(p.Door()).Call(ctx, "GET", "/fleet")
 			var v fleetView
 			if err != nil || json.Unmarshal([]byte(text), &v) != nil {
 				continue
--- a/cmd/scaleroute/fleet.go
+++ b/cmd/scaleroute/fleet.go
@@ -83,7 +83,7 @@
 	}
 	v := version.Vector{Format: version.Format, Build: p.build, Settings: version.Contents{Digest: p.f.c.Digest, LoadCount: 1},
 		Operators: version.Contents{Digest: set.Digest(), LoadCount: p.f.operators.reads}, Handovers: p.over, Started: p.began}
-	if names, err := operations.NewLeftOut(p.f.c.State).Load(); len(names) > 0 || err != nil {
+	if names, err := operations.NewDisabledFile(p.f.c.State).Load(); len(names) > 0 || err != nil {
 		v.Disabled = version.Contents{Digest: version.DigestOfNames(names), LoadCount: 1}
 	}
 	v.List = new(version.ListTracker).Update(known.Index, true, known.VersionEntries())
@@ -169,11 +169,11 @@
 }
 
 // calls are those that the operators' door answers for the fleet.
-func (p *auditing) calls() []door.Call {
+func (p *auditing) calls() []door.Route {
 	if p == nil {
 		return nil
 	}
-	return append(p.member.calls(), door.Call{Pattern: "GET /versions", Answer: p.versions}, door.Call{Pattern: "GET /ledger", Answer: p.record}, door.Call{Pattern: "GET /load", Answer: p.spread})
+	return append(p.member.calls(), door.Route{Pattern: "GET /versions", Handler: p.versions}, door.Route{Pattern: "GET /ledger", Handler: p.record}, door.Route{Pattern: "GET /load", Handler: p.spread})
 }
 
 func (p *auditing) versions(w http.ResponseWriter, r *http.Request) {
@@ -182,16 +182,16 @@
 		http.Error(w, "it does not serve: starting, or another process has taken over", http.StatusServiceUnavailable)
 		return
 	}
-	door.Tell(w, Versions{p.f.c.Name, ledger.Clock(), *l.VersionStatus()})
+	door.WriteJSON(w, Versions{p.f.c.Name, ledger.Clock(), *l.VersionStatus()})
 }
 
 func (p *auditing) record(w http.ResponseWriter, r *http.Request) {
 	record, err := ledger.Read(journal.DirFS(p.f.c.State), p.f.c.Name)
 	if err != nil {
-		door.Say(w, err)
+		door.WriteResult(w, err)
 		return
 	}
-	door.Tell(w, record)
+	door.WriteJSON(w, record)
 }
 
 // loadWithin is how long the loop may take to say how its calls are spread.
@@ -216,5 +216,5 @@
 			}
 		}
 	}
-	door.Tell(w, s)
+	door.WriteJSON(w, s)
 }
--- a/cmd/scaleroute/fleet_test.go
+++ b/cmd/scaleroute/fleet_test.go
@@ -117,7 +117,7 @@
 // ask makes one call at a forwarder's door.
 func ask[T any](t *testing.T, n *fleet.Node, path string) (v T) {
 	t.Helper()
-	text, err := door.To(n.Process().Door()).Call(context.Background(), http.MethodGet, path)
+	text, err := door.NewClient(n.Process().Door()).Call(context.Background(), http.MethodGet, path)
 	if err == nil {
 		err = json.Unmarshal([]byte(text), &v)
 	}
--- a/cmd/scaleroute/member.go
+++ b/cmd/scaleroute/member.go
@@ -271,7 +271,7 @@
 	case d.FenceOffReason != "":
 		m.out.Store(&d.FenceOffReason)
 		l.SetFencedOff(d.FenceOffReason, "the fleet")
-		if err := m.p.f.control.ShutOut(fmt.Errorf("shut out of the fleet: %s", d.FenceOffReason)); err != nil {
+		if err := m.p.f.control.SetFencedOff(fmt.Errorf("shut out of the fleet: %s", d.FenceOffReason)); err != nil {
 			slog.Warn("clients are not sent away", "err", err)
 		}
 		// Once it is so: whoever reads this may count on it.
@@ -279,7 +279,7 @@
 	case d.Readmitted:
 		m.out.Store(nil)
 		l.SetFencedOff("", "the fleet")
-		if err := m.p.f.control.ShutOut(nil); err != nil {
+		if err := m.p.f.control.SetFencedOff(nil); err != nil {
 			slog.Warn("clients are not taken again", "err", err)
 		}
 		slog.Info("let in again")
@@ -311,10 +311,10 @@
 }
 
 // calls are those that the door answers for the fleet.
-func (m *member) calls() []door.Call {
-	return []door.Call{
-		{Pattern: "GET /fleet", Answer: func(w http.ResponseWriter, r *http.Request) { door.Tell(w, m.view()) }},
-		{Pattern: "PUT /fleet/want", Body: mostWant, Answer: m.put},
+func (m *member) calls() []door.Route {
+	return []door.Route{
+		{Pattern: "GET /fleet", Handler: func(w http.ResponseWriter, r *http.Request) { door.WriteJSON(w, m.view()) }},
+		{Pattern: "PUT /fleet/want", MaxBody: mostWant, Handler: m.put},
 	}
 }
 
@@ -340,5 +340,5 @@
 			return
 		}
 	}
-	door.Say(w, nil)
+	door.WriteResult(w, nil)
 }
--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -158,17 +158,17 @@
 }
 
 // calls are those that the operators' door answers for it.
-func (p *partialList) calls() []door.Call {
+func (p *partialList) calls() []door.Route {
 	if p == nil {
 		return nil
 	}
-	return []door.Call{{Pattern: partialCalls, Answer: func(w http.ResponseWriter, r *http.Request) {
+	return []door.Route{{Pattern: partialCalls, Handler: func(w http.ResponseWriter, r *http.Request) {
 		follower := p.follower.Load()
 		if follower == nil {
 			http.Error(w, "it does not serve yet", http.StatusServiceUnavailable)
 			return
 		}
-		door.Tell(w, follower.Status())
+		door.WriteJSON(w, follower.Status())
 	}}}
 }
 
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -85,7 +85,7 @@
 		descriptors += mailIdle
 	}
 	if c.Ops != "" {
-		descriptors += door.Descriptors
+		descriptors += door.MaxDescriptors
 	}
 	if set := operators.now.Fleet; set != nil && set.Gossip != nil {
 		descriptors += speakerDescriptors
@@ -233,7 +233,7 @@
 		return nil, nil, nil, err
 	}
 	if f.operators.file != "" || f.c.Ops != "" {
-		f.operators.sources = &sources{to: l, leftOut: operations.NewLeftOut(f.c.State)}
+		f.operators.sources = &sources{to: l, leftOut: operations.NewDisabledFile(f.c.State)}
 		lists = f.operators.sources.start(f.operators.now.Endpoints(), lists...)
 		f.operators.sources.noteFile(f.operators.now)
 		f.operators.sources.list = f.operators.sources.targets.Update(list.Index, true, list.VersionEntries())
@@ -331,7 +331,7 @@
 	}
 	f.fleet.serve(watching, &lists, l)
 	asks := f.listenForNext(ctx, &all)
-	f.control.Serve(operations.Part{Clients: clients, Members: f.operators.sources, Figures: l.Stats, JournalFailing: l.JournalFailing})
+	f.control.SetServing(operations.Components{Clients: clients, Endpoints: f.operators.sources, Stats: l.Stats, JournalFailing: l.JournalFailing})
 	slog.Info("serving", "name", f.c.Name, "address", ln.Addr(), "discovery", f.c.Discovery)
 	takeover.StepReached("new: serving")
 
@@ -353,12 +353,12 @@
 				continue
 			}
 			slog.Info("handing over")
-			f.control.HandOver(errHandedOver)
+			f.control.BeginHandover(errHandedOver)
 			takeover.StepReached("old: asked")
 			// In the order in which things come: lists, then requests, then calls.
 			unwatch()
 			lists.Wait()
-			left = &bundle{list: f.platform.Latest(), part: f.partial.leave(), drained: f.control.SentAway(), stopped: time.Now()}
+			left = &bundle{list: f.platform.Latest(), part: f.partial.leave(), drained: f.control.DrainedByOperator(), stopped: time.Now()}
 			left.clients = clients.Detach(detachLimit)
 			accepting.Wait()
 			takeover.StepReached("old: clients detached")
@@ -378,7 +378,7 @@
 
 // end is the planned stop.
 func (f *forwarder) end(l *engine.Engine, clients *resp2.Server, failed <-chan error) error {
-	f.control.Stop(errStopping)
+	f.control.SetStopped(errStopping)
 	slog.Info("stopping")
 	l.NotifyStopping(lastCall)
 	began := time.Now()
--- a/cmd/scaleroute/settings.go
+++ b/cmd/scaleroute/settings.go
@@ -173,7 +173,7 @@
 	mu      sync.Mutex // what is told second is heard second
 	set     membership.Set
 	to      *engine.Engine
-	leftOut operations.LeftOut
+	leftOut operations.DisabledFile
 	targets version.ListTracker // as discovery has told them
 	list    version.List
 	times   int               // that a target was left out or put back
@@ -223,7 +223,7 @@
 
 // start tells what is known before the engine runs, and returns what it is to begin with.
 func (s *sources) start(file engine.List, lists ...engine.List) []engine.List {
-	s.set.RestoreDisabled(s.leftOut.Start())
+	s.set.RestoreDisabled(s.leftOut.LoadAtStart())
 	s.set.Update(membership.File, file)
 	for i := range lists {
 		lists[i] = s.set.Update(membership.Agent, lists[i])
@@ -264,11 +264,11 @@
 // bindWithin is how long an operator's call waits until the engine has heard of it: what is said yes to binds.
 const bindWithin = 500 * time.Millisecond
 
-// LeaveOut leaves an endpoint out until PutBack. The folder that lasts has it before it counts.
-func (s *sources) LeaveOut(name string) error {
+// DisableEndpoint leaves an endpoint out until EnableEndpoint. The folder that lasts has it before it counts.
+func (s *sources) DisableEndpoint(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, err := s.set.Disable(name, operations.MostTargets, s.leftOut.Store)
+	l, err := s.set.Disable(name, operations.MaxDisabled, s.leftOut.Store)
 	return s.bind("left out by hand", name, l, err)
 }
 
@@ -279,8 +279,8 @@
 	return s.set.Disabled()
 }
 
-// PutBack puts one back.
-func (s *sources) PutBack(name string) error {
+// EnableEndpoint puts one back.
+func (s *sources) EnableEndpoint(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l, err := s.set.Enable(name, s.leftOut.Store)
--- a/cmd/scaleroute/takeover.go
+++ b/cmd/scaleroute/takeover.go
@@ -190,7 +190,7 @@
 	}
 	takeover.StepReached("old: owned")
 	if at != "" {
-		f.control.Forward(door.To(at))
+		f.control.ForwardTo(door.NewClient(at))
 	}
 	left.close()
 	slog.Info("handed over", "clients", len(left.clients), "calls", len(left.engine.Calls))
--- a/cmd/scaleroutectl/door.go
+++ b/cmd/scaleroutectl/door.go
@@ -51,7 +51,7 @@
 	if _, _, err := net.SplitHostPort(d.At); err != nil {
 		return nil, fmt.Errorf("--at %s: an address and a port, as 10.0.0.4:19000 (%w)", d.At, err)
 	}
-	return door.To(d.At), nil
+	return door.NewClient(d.At), nil
 }
 
 func (d atDoor) call(method, path string) (string, error) {
@@ -60,7 +60,7 @@
 		return "", err
 	}
 	text, err := c.Call(context.Background(), method, path)
-	if err != nil && !errors.Is(err, door.ErrNo) {
+	if err != nil && !errors.Is(err, door.ErrRejected) {
 		err = fmt.Errorf("no answer from the operators' door: is 'ops' or NODE_OPS set there? (%w)", err)
 	}
 	return text, err
@@ -68,7 +68,7 @@
 
 func (c *readyCommand) Run(out io.Writer) error {
 	_, err := c.call("GET", "/healthcheck")
-	if errors.Is(err, door.ErrNo) {
+	if errors.Is(err, door.ErrRejected) {
 		fmt.Fprintln(out, err)
 		return errFound
 	}
@@ -116,10 +116,10 @@
 }
 
 func (c *maintCommand) Run(out io.Writer) error {
-	return c.each(c.Targets, (*door.Client).LeaveOut, "left out", out)
+	return c.each(c.Targets, (*door.Client).DisableEndpoint, "left out", out)
 }
 func (c *backCommand) Run(out io.Writer) error {
-	return c.each(c.Targets, (*door.Client).PutBack, "put back", out)
+	return c.each(c.Targets, (*door.Client).EnableEndpoint, "put back", out)
 }
 
 func (c *drainCommand) Run(out io.Writer) error {
--- a/cmd/scaleroutectl/door_test.go
+++ b/cmd/scaleroutectl/door_test.go
@@ -19,16 +19,16 @@
 	drain bool
 }
 
-func (a *asked) LeaveOut(name string) error {
+func (a *asked) DisableEndpoint(name string) error {
 	if a.said = append(a.said, "out "+name); name == "nobody" {
 		return membership.ErrNeverListed
 	}
 	return nil
 }
-func (a *asked) PutBack(name string) error { a.said = append(a.said, "back "+name); return nil }
-func (a *asked) Drain() error              { a.drain = true; return nil }
-func (a *asked) Resume() error             { a.drain = false; return nil }
-func (a *asked) Draining() bool            { return a.drain }
+func (a *asked) EnableEndpoint(name string) error { a.said = append(a.said, "back "+name); return nil }
+func (a *asked) Drain() error                     { a.drain = true; return nil }
+func (a *asked) Resume() error                    { a.drain = false; return nil }
+func (a *asked) Draining() bool                   { return a.drain }
 
 // TestDoorCommands: each call at a real door, and what is wrong with a call.
 func TestDoorCommands(t *testing.T) {
@@ -43,7 +43,7 @@
 	at := "--at=" + ln.Addr().String()
 	a := &asked{}
 	serve := func() {
-		control.Serve(operations.Part{Clients: a, Members: a, Figures: func() *engine.Stats {
+		control.SetServing(operations.Components{Clients: a, Endpoints: a, Stats: func() *engine.Stats {
 			return &engine.Stats{Classes: map[string]engine.ClassStats{"note": {Delivered: 5, RefusedAtIntake: 1, RefusedAfterAccept: 2}}, Relayed: 9, Open: 3, Listed: 4, OutOfRotation: 1}
 		}})
 	}
@@ -81,7 +81,7 @@
 	if got := strings.Join(a.said, ", "); got != "out s/1, out s2, out nobody, out s3, back s2" || a.drain {
 		t.Errorf("told %s, draining %v", got, a.drain)
 	}
-	if err := control.SendAway(context.Background()); err != nil || !a.drain {
+	if err := control.DrainClients(context.Background()); err != nil || !a.drain {
 		t.Error(err)
 	}
 }
--- a/internal/audit/gather.go
+++ b/internal/audit/gather.go
@@ -39,7 +39,7 @@
 func loadAt(ctx context.Context, at string, limit time.Duration) load.Member {
 	m := load.Member{Source: at}
 	sent := time.Now()
-	text, err := door.Within(at, limit).Call(ctx, http.MethodGet, "/load")
+	text, err := door.NewClientWithTimeout(at, limit).Call(ctx, http.MethodGet, "/load")
 	heard := time.Now()
 	var s load.Snapshot
 	if err == nil {
@@ -75,7 +75,7 @@
 
 func atDoor(ctx context.Context, at string, limit time.Duration) (g Gathered) {
 	g = Gathered{Source: at, Name: at}
-	c := door.Within(at, limit)
+	c := door.NewClientWithTimeout(at, limit)
 	sent := time.Now()
 	text, err := c.Call(ctx, http.MethodGet, "/versions")
 	heard := time.Now()
--- a/internal/capacity/measure/members.go
+++ b/internal/capacity/measure/members.go
@@ -129,7 +129,7 @@
 	defer cancel()
 	for _, node := range rig.Nodes {
 		for seen := 0; seen < members; {
-			text, err := door.To(node.Process().Door()).Call(ctx, "GET", "/fleet")
+			text, err := door.NewClient(node.Process().Door()).Call(ctx, "GET", "/fleet")
 			if err != nil {
 				return err
 			}
--- a/internal/capacity/measure/part.go
+++ b/internal/capacity/measure/part.go
@@ -136,7 +136,7 @@
 	ctx, cancel := context.WithTimeout(ctx, settleLimit)
 	defer cancel()
 	for {
-		text, err := door.To(f.process.Door()).Call(ctx, http.MethodGet, "/stats")
+		text, err := door.NewClient(f.process.Door()).Call(ctx, http.MethodGet, "/stats")
 		if err != nil {
 			return err
 		}
--- a/internal/door/client.go
+++ b/internal/door/client.go
@@ -17,8 +17,8 @@
 // answerTime is how long a call waits for its answer: less than the second that whoever called here waits.
 const answerTime = 900 * time.Millisecond
 
-// ErrNo is a forwarder's no.
-var ErrNo = errors.New("the forwarder says no")
+// ErrRejected is a forwarder's no.
+var ErrRejected = errors.New("the forwarder says no")
 
 // Client calls another process's door.
 type Client struct {
@@ -26,14 +26,14 @@
 	http http.Client
 }
 
-// To makes a Client for a door at an address.
-func To(address string) *Client {
+// NewClient makes a Client for a door at an address.
+func NewClient(address string) *Client {
 	return &Client{address, http.Client{Timeout: answerTime, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// Within is To for a caller that waits for so long.
-func Within(address string, limit time.Duration) *Client {
-	c := To(address)
+// NewClientWithTimeout is To for a caller that waits for so long.
+func NewClientWithTimeout(address string, limit time.Duration) *Client {
+	c := NewClient(address)
 	c.http.Timeout = limit
 	return c
 }
@@ -64,9 +64,9 @@
 	case err != nil:
 		return "", err
 	case resp.StatusCode == http.StatusNotFound && text == membership.ErrNeverListed.Error():
-		return "", fmt.Errorf("%w: %w", ErrNo, membership.ErrNeverListed)
+		return "", fmt.Errorf("%w: %w", ErrRejected, membership.ErrNeverListed)
 	case resp.StatusCode/100 != 2:
-		return "", fmt.Errorf("%w: %s (%d)", ErrNo, text, resp.StatusCode)
+		return "", fmt.Errorf("%w: %s (%d)", ErrRejected, text, resp.StatusCode)
 	}
 	return text, nil
 }
@@ -76,18 +76,18 @@
 	return err
 }
 
-// LeaveOut leaves a target out.
-func (c *Client) LeaveOut(target string) error {
+// DisableEndpoint leaves a target out.
+func (c *Client) DisableEndpoint(target string) error {
 	return c.put(context.Background(), "/targets/"+url.PathEscape(target)+"/maint")
 }
 
-// PutBack puts it back.
-func (c *Client) PutBack(target string) error {
+// EnableEndpoint puts it back.
+func (c *Client) EnableEndpoint(target string) error {
 	return c.put(context.Background(), "/targets/"+url.PathEscape(target)+"/ready")
 }
 
-// SendAway sends clients away.
-func (c *Client) SendAway(ctx context.Context) error { return c.put(ctx, "/healthcheck/fail") }
+// DrainClients sends clients away.
+func (c *Client) DrainClients(ctx context.Context) error { return c.put(ctx, "/healthcheck/fail") }
 
-// TakeAgain takes them again.
-func (c *Client) TakeAgain(ctx context.Context) error { return c.put(ctx, "/healthcheck/ok") }
+// ResumeClients takes them again.
+func (c *Client) ResumeClients(ctx context.Context) error { return c.put(ctx, "/healthcheck/ok") }
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -26,21 +26,21 @@
 	longestID = 256
 )
 
-// Descriptors is how many a door may hold: its listener, the connections, and one that makes room.
-const Descriptors = mostConns + 2
+// MaxDescriptors is how many a door may hold: its listener, the connections, and one that makes room.
+const MaxDescriptors = mostConns + 2
 
 // Forwarder is what operators ask and tell. None of its methods may wait for long: a caller waits a second.
 type Forwarder interface {
-	Ready() error                       // nil, or why this process is not ready to serve
-	Stats() any                         // the figures, as JSON has them
-	LeaveOut(target string) error       // until PutBack
-	PutBack(target string) error        // membership.ErrNeverListed where there never was one
-	SendAway(ctx context.Context) error // clients, until TakeAgain
-	TakeAgain(ctx context.Context) error
+	Ready() error                           // nil, or why this process is not ready to serve
+	Stats() any                             // the figures, as JSON has them
+	DisableEndpoint(target string) error    // until EnableEndpoint
+	EnableEndpoint(target string) error     // membership.ErrNeverListed where there never was one
+	DrainClients(ctx context.Context) error // clients, until ResumeClients
+	ResumeClients(ctx context.Context) error
 }
 
-// Door serves operators' calls.
-type Door struct {
+// Server serves operators' calls.
+type Server struct {
 	server *http.Server
 	to     Forwarder
 
@@ -56,27 +56,27 @@
 
 type connKey struct{}
 
-// Call is one more that a door answers.
-type Call struct {
+// Route is one more that a door answers.
+type Route struct {
 	Pattern string // a method and a path
-	Body    int64  // bytes that may come with it; 0: none is wanted
-	Answer  http.HandlerFunc
+	MaxBody int64  // bytes that may come with it; 0: none is wanted
+	Handler http.HandlerFunc
 }
 
 // New makes a Door, which answers further calls beside its own.
-func New(to Forwarder, further ...Call) *Door {
-	d := &Door{to: to, conns: map[net.Conn]*caller{}}
+func New(to Forwarder, further ...Route) *Server {
+	d := &Server{to: to, conns: map[net.Conn]*caller{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", func(w http.ResponseWriter, r *http.Request) { say(w, to.Ready()) })
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, r *http.Request) { tell(w, to.Stats()) })
-	mux.HandleFunc("PUT /targets/{id}/maint", d.target(to.LeaveOut))
-	mux.HandleFunc("PUT /targets/{id}/ready", d.target(to.PutBack))
-	mux.HandleFunc("PUT /healthcheck/fail", func(w http.ResponseWriter, r *http.Request) { say(w, to.SendAway(r.Context())) })
-	mux.HandleFunc("PUT /healthcheck/ok", func(w http.ResponseWriter, r *http.Request) { say(w, to.TakeAgain(r.Context())) })
+	mux.HandleFunc("PUT /targets/{id}/maint", d.target(to.DisableEndpoint))
+	mux.HandleFunc("PUT /targets/{id}/ready", d.target(to.EnableEndpoint))
+	mux.HandleFunc("PUT /healthcheck/fail", func(w http.ResponseWriter, r *http.Request) { say(w, to.DrainClients(r.Context())) })
+	mux.HandleFunc("PUT /healthcheck/ok", func(w http.ResponseWriter, r *http.Request) { say(w, to.ResumeClients(r.Context())) })
 	bodies := map[string]int64{}
 	for _, c := range further {
-		mux.HandleFunc(c.Pattern, c.Answer)
-		bodies[c.Pattern] = c.Body
+		mux.HandleFunc(c.Pattern, c.Handler)
+		bodies[c.Pattern] = c.MaxBody
 	}
 	d.server = &http.Server{
 		Handler:           d.bounded(mux, bodies),
@@ -94,18 +94,18 @@
 }
 
 // Serve answers calls until Close.
-func (d *Door) Serve(ln net.Listener) {
+func (d *Server) Serve(ln net.Listener) {
 	if err := d.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		slog.Error("the operators' door is shut", "err", err)
 	}
 }
 
 // Close ends the listener and all calls.
-func (d *Door) Close() { d.server.Close() }
+func (d *Server) Close() { d.server.Close() }
 
 // bounded reads what a call brings along, which nobody wants, within bounds, before it is answered: else a caller that still writes
 // would lose its answer to a reset.
-func (d *Door) bounded(next http.Handler, bodies map[string]int64) http.Handler {
+func (d *Server) bounded(next http.Handler, bodies map[string]int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.heard(r.Context().Value(connKey{}).(net.Conn))
 		if at := r.URL.EscapedPath(); at != path.Clean(at) { // the mux would answer with a redirect, which is neither yes nor no
@@ -138,7 +138,7 @@
 }
 
 // target is a call about one.
-func (d *Door) target(do func(string) error) http.HandlerFunc {
+func (d *Server) target(do func(string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
 		if len(id) > longestID {
@@ -149,11 +149,11 @@
 	}
 }
 
-// Say answers yes, or no with the reason.
-func Say(w http.ResponseWriter, err error) { say(w, err) }
+// WriteResult answers yes, or no with the reason.
+func WriteResult(w http.ResponseWriter, err error) { say(w, err) }
 
-// Tell answers with figures as JSON.
-func Tell(w http.ResponseWriter, figures any) { tell(w, figures) }
+// WriteJSON answers with figures as JSON.
+func WriteJSON(w http.ResponseWriter, figures any) { tell(w, figures) }
 
 // say answers yes, or no with the reason.
 func say(w http.ResponseWriter, err error) {
@@ -179,7 +179,7 @@
 }
 
 // track keeps the connections few: beyond the bound, the oldest of those that have said nothing makes room, or else the oldest.
-func (d *Door) track(conn net.Conn, state http.ConnState) {
+func (d *Server) track(conn net.Conn, state http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch state {
@@ -194,7 +194,7 @@
 }
 
 // heard notes that a call was read on a connection.
-func (d *Door) heard(conn net.Conn) {
+func (d *Server) heard(conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c := d.conns[conn]; c != nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-func (d *Door) shed() {
+func (d *Server) shed() {
 	var worst net.Conn
 	for conn, c := range d.conns {
 		w := d.conns[worst]
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -25,12 +25,12 @@
 	return err
 }
 
-func (f forwarder) Ready() error                    { return f.say("ready?", errNotReady) }
-func (f forwarder) Stats() any                      { return map[string]int{"relayed": 7} }
-func (f forwarder) SendAway(context.Context) error  { return f.say("away", nil) }
-func (f forwarder) TakeAgain(context.Context) error { return f.say("again", nil) }
-func (f forwarder) PutBack(id string) error         { return f.say("back "+id, nil) }
-func (f forwarder) LeaveOut(id string) error {
+func (f forwarder) Ready() error                        { return f.say("ready?", errNotReady) }
+func (f forwarder) Stats() any                          { return map[string]int{"relayed": 7} }
+func (f forwarder) DrainClients(context.Context) error  { return f.say("away", nil) }
+func (f forwarder) ResumeClients(context.Context) error { return f.say("again", nil) }
+func (f forwarder) EnableEndpoint(id string) error      { return f.say("back "+id, nil) }
+func (f forwarder) DisableEndpoint(id string) error {
 	if id == "nobody" {
 		return f.say("out "+id, membership.ErrNeverListed)
 	}
--- a/internal/fleet/play.go
+++ b/internal/fleet/play.go
@@ -280,7 +280,7 @@
 		if pr == nil || pr.Door() == "" || n.Stopped() {
 			continue
 		}
-		client := door.To(pr.Door())
+		client := door.NewClient(pr.Door())
 		acts, err := versionsOf(ctx, client)
 		if err != nil {
 			return fmt.Errorf("%s: %w", n.Name, err)
--- a/internal/operations/control.go
+++ b/internal/operations/control.go
@@ -10,24 +10,24 @@
 	"scaleroute/internal/engine"
 )
 
-// Clients is the clients' front.
-type Clients interface {
+// ClientFront is the clients' front.
+type ClientFront interface {
 	Drain() error
 	Resume() error
 	Draining() bool
 }
 
-// Members is the list of endpoints, with what operators say of it.
-type Members interface {
-	LeaveOut(name string) error
-	PutBack(name string) error
+// Endpoints is the list of endpoints, with what operators say of it.
+type Endpoints interface {
+	DisableEndpoint(name string) error
+	EnableEndpoint(name string) error
 }
 
-// Part is what a process has while it serves.
-type Part struct {
-	Clients Clients
-	Members Members
-	Figures func() *engine.Stats
+// Components is what a process has while it serves.
+type Components struct {
+	Clients   ClientFront
+	Endpoints Endpoints
+	Stats     func() *engine.Stats
 	// JournalFailing returns since when the journal keeps no records; zero if it does. nil: it always does.
 	JournalFailing func() time.Time
 }
@@ -36,10 +36,10 @@
 type Control struct {
 	mu     sync.Mutex
 	why    error // it does not serve
-	part   Part
-	failed bool  // told so at this process's door
-	shut   error // it is shut out of its fleet, and why
-	next   Next  // the process that has taken over; nil if none has
+	part   Components
+	failed bool      // told so at this process's door
+	shut   error     // it is shut out of its fleet, and why
+	next   Successor // the process that has taken over; nil if none has
 
 	calls sync.RWMutex // held for reading by calls about targets, from when it was asked whose they are until they are carried out
 }
@@ -53,8 +53,8 @@
 // NewControl makes a Control of a process that starts.
 func NewControl() *Control { return &Control{why: errStarting} }
 
-// Serve tells that the process serves from now on.
-func (c *Control) Serve(p Part) {
+// SetServing tells that the process serves from now on.
+func (c *Control) SetServing(p Components) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.part, c.why = p, nil
@@ -63,24 +63,24 @@
 	}
 }
 
-// SentAway tells whether clients are sent away for more than that this process is shut out: the next one, which begins in, is to go on with that.
-func (c *Control) SentAway() bool {
+// DrainedByOperator tells whether clients are sent away for more than that this process is shut out: the next one, which begins in, is to go on with that.
+func (c *Control) DrainedByOperator() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.part.Clients != nil && c.part.Clients.Draining() && (c.shut == nil || c.failed)
 }
 
-// Stop tells that it does not any more, and why.
-func (c *Control) Stop(why error) {
+// SetStopped tells that it does not any more, and why.
+func (c *Control) SetStopped(why error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.why = why
 }
 
-// HandOver is Stop for a process that hands over. When it returns no call about a target is being carried out here: the next process
+// BeginHandover is Stop for a process that hands over. When it returns no call about a target is being carried out here: the next process
 // reads what operators have left out once, and what it missed would be a yes that does not hold.
-func (c *Control) HandOver(why error) {
-	c.Stop(why)
+func (c *Control) BeginHandover(why error) {
+	c.SetStopped(why)
 	c.calls.Lock()
 	defer c.calls.Unlock()
 }
@@ -102,68 +102,68 @@
 	return nil
 }
 
-// Next is the process that has taken over: what operators still say here is passed on to it.
-type Next interface {
-	Members
-	SendAway(context.Context) error
-	TakeAgain(context.Context) error
+// Successor is the process that has taken over: what operators still say here is passed on to it.
+type Successor interface {
+	Endpoints
+	DrainClients(context.Context) error
+	ResumeClients(context.Context) error
 }
 
-// Forward passes operators' calls on from now on. Whether this process is ready, and its figures, stay its own.
-func (c *Control) Forward(to Next) {
+// ForwardTo passes operators' calls on from now on. Whether this process is ready, and its figures, stay its own.
+func (c *Control) ForwardTo(to Successor) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.next = to
 }
 
-func (c *Control) members() (Members, error) {
+func (c *Control) members() (Endpoints, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.next != nil {
 		return c.next, nil
 	}
-	return c.part.Members, c.why
+	return c.part.Endpoints, c.why
 }
 
-// LeaveOut leaves a target out until PutBack.
-func (c *Control) LeaveOut(target string) error {
+// DisableEndpoint leaves a target out until EnableEndpoint.
+func (c *Control) DisableEndpoint(target string) error {
 	c.calls.RLock()
 	defer c.calls.RUnlock()
 	m, err := c.members()
 	if err != nil {
 		return err
 	}
-	return m.LeaveOut(target)
+	return m.DisableEndpoint(target)
 }
 
-// PutBack puts it back.
-func (c *Control) PutBack(target string) error {
+// EnableEndpoint puts it back.
+func (c *Control) EnableEndpoint(target string) error {
 	c.calls.RLock()
 	defer c.calls.RUnlock()
 	m, err := c.members()
 	if err != nil {
 		return err
 	}
-	return m.PutBack(target)
+	return m.EnableEndpoint(target)
 }
 
-// SendAway sends clients away until TakeAgain.
-func (c *Control) SendAway(ctx context.Context) error {
+// DrainClients sends clients away until ResumeClients.
+func (c *Control) DrainClients(ctx context.Context) error {
 	if next := c.after(); next != nil {
-		return next.SendAway(ctx)
+		return next.DrainClients(ctx)
 	}
 	return c.drain(true)
 }
 
-// TakeAgain takes them again.
-func (c *Control) TakeAgain(ctx context.Context) error {
+// ResumeClients takes them again.
+func (c *Control) ResumeClients(ctx context.Context) error {
 	if next := c.after(); next != nil {
-		return next.TakeAgain(ctx)
+		return next.ResumeClients(ctx)
 	}
 	return c.drain(false)
 }
 
-func (c *Control) after() Next {
+func (c *Control) after() Successor {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.next
@@ -191,8 +191,8 @@
 	return do()
 }
 
-// ShutOut sends clients away while this process is shut out of its fleet, whatever operators say at its door meanwhile; nil ends that.
-func (c *Control) ShutOut(why error) error {
+// SetFencedOff sends clients away while this process is shut out of its fleet, whatever operators say at its door meanwhile; nil ends that.
+func (c *Control) SetFencedOff(why error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.shut = why
@@ -206,8 +206,8 @@
 func (c *Control) figures() *engine.Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.part.Figures == nil { // it has not served yet
+	if c.part.Stats == nil { // it has not served yet
 		return &engine.Stats{}
 	}
-	return c.part.Figures()
+	return c.part.Stats()
 }
--- a/internal/operations/control_test.go
+++ b/internal/operations/control_test.go
@@ -12,29 +12,29 @@
 	done       int
 }
 
-func (m *slowMembers) LeaveOut(string) error {
+func (m *slowMembers) DisableEndpoint(string) error {
 	m.begun <- true
 	<-m.may
 	m.done++
 	return nil
 }
 
-func (m *slowMembers) PutBack(name string) error { return m.LeaveOut(name) }
+func (m *slowMembers) EnableEndpoint(name string) error { return m.DisableEndpoint(name) }
 
 // TestHandOverWaitsForCalls: a process that hands over carries out what it is asked about targets before the next one reads that, or says no.
 func TestHandOverWaitsForCalls(t *testing.T) {
 	errGone := errors.New("gone")
-	for name, call := range map[string]func(*Control, string) error{"leave out": (*Control).LeaveOut, "put back": (*Control).PutBack} {
+	for name, call := range map[string]func(*Control, string) error{"leave out": (*Control).DisableEndpoint, "put back": (*Control).EnableEndpoint} {
 		t.Run(name, func(t *testing.T) {
 			m := &slowMembers{begun: make(chan bool), may: make(chan bool)}
 			c := NewControl()
-			c.Serve(Part{Members: m})
+			c.SetServing(Components{Endpoints: m})
 			said := make(chan error)
 			go func() { said <- call(c, "a") }()
 			<-m.begun
 			over := make(chan bool)
 			go func() {
-				c.HandOver(errGone)
+				c.BeginHandover(errGone)
 				close(over)
 			}()
 			select {
--- a/internal/operations/leftout.go
+++ b/internal/operations/leftout.go
@@ -21,20 +21,22 @@
 	leftOutHead = "scaleroute left-out 1"
 	// mostLeftOut bounds the file. It and its successor fit into what the journal leaves of the folder (16 KiB).
 	mostLeftOut = 6 << 10
-	// MostTargets may be left out at once.
-	MostTargets = 500
+	// MaxDisabled may be left out at once.
+	MaxDisabled = 500
 )
 
-// LeftOut is the file with the names of the targets that are left out by hand, in the folder that lasts: a line that says what it is,
+// DisabledFile is the file with the names of the targets that are left out by hand, in the folder that lasts: a line that says what it is,
 // with a checksum of the rest, and a quoted name a line. It is replaced whole.
-type LeftOut struct{ path string }
+type DisabledFile struct{ path string }
 
-// NewLeftOut is the one in a folder.
-func NewLeftOut(folder string) LeftOut { return LeftOut{filepath.Join(folder, leftOutName)} }
+// NewDisabledFile is the one in a folder.
+func NewDisabledFile(folder string) DisabledFile {
+	return DisabledFile{filepath.Join(folder, leftOutName)}
+}
 
 // Load reads the names. Of a damaged file it takes what can be read, since to leave out one too many harms less than one too few, and
 // the error names the place; the names are good all the same.
-func (l LeftOut) Load() (names []string, err error) {
+func (l DisabledFile) Load() (names []string, err error) {
 	text, err := os.ReadFile(l.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -67,7 +69,7 @@
 }
 
 // Store replaces the names. What it has written outlasts the process.
-func (l LeftOut) Store(names []string) error {
+func (l DisabledFile) Store(names []string) error {
 	var rest bytes.Buffer
 	for _, name := range names {
 		fmt.Fprintln(&rest, strconv.Quote(name))
@@ -87,8 +89,8 @@
 	return nil
 }
 
-// Start is Load for a start, which goes on whatever is found.
-func (l LeftOut) Start() []string {
+// LoadAtStart is Load for a start, which goes on whatever is found.
+func (l DisabledFile) LoadAtStart() []string {
 	names, err := l.Load()
 	if err != nil {
 		slog.Error("some targets may not be left out any more", "err", err)
--- a/internal/operations/leftout_test.go
+++ b/internal/operations/leftout_test.go
@@ -13,7 +13,7 @@
 // TestLeftOutDamaged: names are read as they were stored, and a file that was damaged anywhere is not taken for a whole one.
 func TestLeftOutDamaged(t *testing.T) {
 	folder := t.TempDir()
-	l := NewLeftOut(folder)
+	l := NewDisabledFile(folder)
 	if names, err := l.Load(); err != nil || names != nil {
 		t.Fatalf("no file: %v, %v", names, err)
 	}
@@ -50,7 +50,7 @@
 
 // TestLeftOutBound: the file and its successor stay within what the journal leaves of the folder, and what is refused changes nothing.
 func TestLeftOutBound(t *testing.T) {
-	l := NewLeftOut(t.TempDir())
+	l := NewDisabledFile(t.TempDir())
 	var names []string
 	for i := range 1000 {
 		names = append(names, strings.Repeat("x", 40)+string(rune('a'+i%26))+strings.Repeat("y", i/26))
@@ -73,7 +73,7 @@
 
 // TestLeftOutCutOff: what a kill left between the two writes counts for nothing, and a write that fails leaves what was.
 func TestLeftOutCutOff(t *testing.T) {
-	l := NewLeftOut(t.TempDir())
+	l := NewDisabledFile(t.TempDir())
 	if err := l.Store([]string{"a"}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operations/shutout_test.go
+++ b/internal/operations/shutout_test.go
@@ -20,29 +20,29 @@
 func TestShutOutAndDrained(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, f := NewControl(), &front{}
-		c.Serve(Part{Clients: f})
+		c.SetServing(Components{Clients: f})
 		hand, shut := false, false
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				hand = true
-				c.SendAway(context.Background())
+				c.DrainClients(context.Background())
 			case 1:
 				hand = false
-				c.TakeAgain(context.Background())
+				c.ResumeClients(context.Background())
 			case 2:
 				shut = true
-				c.ShutOut(errors.New("behind"))
+				c.SetFencedOff(errors.New("behind"))
 			case 3:
 				shut = false
-				c.ShutOut(nil)
+				c.SetFencedOff(nil)
 			default: // a new front, drained as the bundle says
-				c.Stop(errors.New("handed over"))
-				f = &front{away: c.SentAway()}
-				c.Serve(Part{Clients: f})
+				c.SetStopped(errors.New("handed over"))
+				f = &front{away: c.DrainedByOperator()}
+				c.SetServing(Components{Clients: f})
 			}
-			if f.away != (hand || shut) || c.SentAway() != hand || (c.Ready() == nil) != !(hand || shut) {
-				t.Fatalf("by hand %v, shut out %v: away %v, to the next %v, ready: %v", hand, shut, f.away, c.SentAway(), c.Ready())
+			if f.away != (hand || shut) || c.DrainedByOperator() != hand || (c.Ready() == nil) != !(hand || shut) {
+				t.Fatalf("by hand %v, shut out %v: away %v, to the next %v, ready: %v", hand, shut, f.away, c.DrainedByOperator(), c.Ready())
 			}
 		}
 	})
--- a/internal/operations/stats.go
+++ b/internal/operations/stats.go
@@ -15,10 +15,10 @@
 }
 
 // Stats are the figures as published last.
-func (c *Control) Stats() any { return StatsOf(c.figures()) }
+func (c *Control) Stats() any { return NewStats(c.figures()) }
 
-// StatsOf words figures.
-func StatsOf(f *engine.Stats) Stats {
+// NewStats words figures.
+func NewStats(f *engine.Stats) Stats {
 	s := Stats{Fulfilled: map[string]uint64{}, Throttled: map[string]uint64{}, Faulted: map[string]uint64{},
 		Relayed: f.Relayed, OpenRequests: f.Open, Registry: f.Listed, OutOfRotation: f.OutOfRotation}
 	for class, t := range f.Classes {
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -260,7 +260,7 @@
 // status is how a real forwarder stands with the control servers.
 func (f *scaledFleet) status(n *fleet.Node) (s client.Status) {
 	f.t.Helper()
-	text, err := door.Within(n.Process().Door(), patience).Call(f.ctx, "GET", "/control")
+	text, err := door.NewClientWithTimeout(n.Process().Door(), patience).Call(f.ctx, "GET", "/control")
 	if err == nil {
 		err = json.Unmarshal([]byte(text), &s)
 	}
