--- a/cmd/scaleroute-sim/main.go
+++ b/cmd/scaleroute-sim/main.go
@@ -46,7 +46,7 @@
 	var order []string
 	events := map[string][]decide.Event{}
 	for _, in := range b.Inputs {
-		if in.Op != wire.Start && hosted[in.Instance] == nil {
+		if in.Op != wire.OpStart && hosted[in.Instance] == nil {
 			return fmt.Errorf("field ForwarderId: unknown instance %q", in.Instance)
 		}
 		if _, ok := events[in.Instance]; !ok {
@@ -54,16 +54,16 @@
 			events[in.Instance] = nil
 		}
 		switch in.Op {
-		case wire.Start:
+		case wire.OpStart:
 			f, err := decide.New(in.Settings)
 			if err != nil {
 				return fmt.Errorf("instance %s: %w", in.Instance, err)
 			}
 			hosted[in.Instance], events[in.Instance] = f, nil
-		case wire.Stop:
+		case wire.OpStop:
 			delete(hosted, in.Instance)
 			events[in.Instance] = nil
-		case wire.Tell:
+		case wire.OpEvent:
 			events[in.Instance] = append(events[in.Instance], in.Event)
 		}
 	}
@@ -73,10 +73,10 @@
 			continue
 		}
 		for _, a := range f.Step(b.Now, events[instance]) {
-			if err := w.Action(instance, a); err != nil {
+			if err := w.WriteAction(instance, a); err != nil {
 				return fmt.Errorf("instance %s: %w", instance, err)
 			}
 		}
 	}
-	return w.End(b.Turn)
+	return w.EndBatch(b.Turn)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -141,7 +141,7 @@
 		pairs["Costs.Handshake"] = connectPrice
 	}
 	pairs["InitSeed"] = strconv.FormatUint(seed, 10)
-	if c.Settings, err = wire.Settings(pairs); err != nil {
+	if c.Settings, err = wire.ParseSettings(pairs); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if c.Limits.Sockets <= 0 {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,9 +8,9 @@
 	"scaleroute/internal/decide"
 )
 
-// Settings reads settings from path=value pairs as a PROVISION line holds them,
+// ParseSettings reads settings from path=value pairs as a PROVISION line holds them,
 // InitSeed among them. The error names the first field at fault.
-func Settings(pairs map[string]string) (decide.Settings, error) {
+func ParseSettings(pairs map[string]string) (decide.Settings, error) {
 	f := &fields{pairs: pairs}
 	s := settings(f)
 	return s, f.err
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -19,9 +19,9 @@
 
 // What an Input does to its instance.
 const (
-	Start Op = iota // Settings hold what it starts with
-	Stop            // the instance is killed
-	Tell            // Event is told to it
+	OpStart Op = iota // Settings hold what it starts with
+	OpStop            // the instance is killed
+	OpEvent           // Event is told to it
 )
 
 // Op is what an Input does to its instance.
@@ -112,13 +112,13 @@
 	if f.verb == "DIRECTORY" {
 		return r.list(f)
 	}
-	in := Input{Instance: f.text("ForwarderId", true), Op: Tell}
+	in := Input{Instance: f.text("ForwarderId", true), Op: OpEvent}
 	switch f.verb {
 	case "PROVISION":
-		in.Op = Start
+		in.Op = OpStart
 		in.Settings = settings(f)
 	case "DETACH":
-		in.Op = Stop
+		in.Op = OpStop
 	case "PEERS_KNOWN":
 		in.Event = r.known(f)
 	case "ACCEPT":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -100,11 +100,11 @@
 		decide.Cancel{Message: "c", Attempt: 2}, decide.CloseIdle{Target: "t"},
 		decide.Subscribe{}, decide.Wake{After: 25 * time.Millisecond},
 	} {
-		if err := w.Action("forwarder_3", a); err != nil {
+		if err := w.WriteAction("forwarder_3", a); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := w.End("12"); err != nil {
+	if err := w.EndBatch("12"); err != nil {
 		t.Fatal(err)
 	}
 	want := `SEND ForwarderId=forwarder_3 Tid=a Target=t MaxWait=80.5
@@ -132,7 +132,7 @@
 				return
 			}
 			for _, i := range b.Inputs {
-				if i.Instance == "" || i.Op == Tell && i.Event == nil {
+				if i.Instance == "" || i.Op == OpEvent && i.Event == nil {
 					t.Fatalf("empty input %+v", i)
 				}
 			}
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -16,8 +16,8 @@
 // NewWriter returns a Writer on w.
 func NewWriter(w io.Writer) *Writer { return &Writer{bufio.NewWriterSize(w, 1<<16)} }
 
-// Action writes one action of an instance.
-func (w *Writer) Action(instance string, action decide.Action) error {
+// WriteAction writes one action of an instance.
+func (w *Writer) WriteAction(instance string, action decide.Action) error {
 	var verb string
 	var parts [3][2]string
 	switch a := action.(type) {
@@ -55,8 +55,8 @@
 	return w.out.WriteByte('\n')
 }
 
-// End closes the reply to a batch and flushes it.
-func (w *Writer) End(turn string) error {
+// EndBatch closes the reply to a batch and flushes it.
+func (w *Writer) EndBatch(turn string) error {
 	fmt.Fprintf(w.out, "END turn=%s\n", turn)
 	if err := w.out.Flush(); err != nil {
 		return fmt.Errorf("writing the reply to batch %s: %w", turn, err)
