--- a/cmd/scaleroute-lab/fleetrun.go
+++ b/cmd/scaleroute-lab/fleetrun.go
@@ -376,8 +376,8 @@
 			seen, _ := n.Arrived(e.Name, time.Time{}, time.Time{})
 			a := audit.Merge([]audit.Gathered{g}, version.Desired{}, &audit.Question{Target: e.Name}).Asked
 			p.Audited++
-			if a.Total.Least > uint64(seen) || a.Total.Most < uint64(seen) {
-				p.Differ = append(p.Differ, fmt.Sprintf("%s has seen %d calls of %s, and the audit says %d to %d", e.Name, seen, g.Name, a.Total.Least, a.Total.Most))
+			if a.Total.Min > uint64(seen) || a.Total.Max < uint64(seen) {
+				p.Differ = append(p.Differ, fmt.Sprintf("%s has seen %d calls of %s, and the audit says %d to %d", e.Name, seen, g.Name, a.Total.Min, a.Total.Max))
 			}
 		}
 	}
--- a/cmd/scaleroute/fleet.go
+++ b/cmd/scaleroute/fleet.go
@@ -135,12 +135,12 @@
 func (p *auditing) wake(ctx context.Context, l *engine.Engine, s sleep) {
 	limit, cancel := context.WithTimeout(ctx, time.Duration(p.f.operators.now.Fleet.Unheard))
 	defer cancel()
-	cause := ledger.Confirmed
+	cause := ledger.CauseConfirmed
 	if err := p.f.look(limit); err != nil {
 		if ctx.Err() != nil {
 			return
 		}
-		cause = ledger.Unheard
+		cause = ledger.CauseUnconfirmed
 		slog.Warn("discovery has not answered since this process slept: calls begin by what was known", "slept", s.slept)
 	}
 	l.ReopenFence(s.epoch, cause)
@@ -152,9 +152,9 @@
 		return
 	}
 	p.to.Store(nil)
-	cause := ledger.End
+	cause := ledger.CauseStop
 	if handed {
-		cause = ledger.HandOver
+		cause = ledger.CauseHandedOver
 	}
 	p.ledger.Close(cause, time.Now())
 	p.ledger = nil
--- a/cmd/scaleroute/fleet_test.go
+++ b/cmd/scaleroute/fleet_test.go
@@ -276,13 +276,13 @@
 			var lastSeen, lastSaid time.Time
 			seen := 0
 			for _, one := range group {
-				record := ask[ledger.Record](t, one, "/ledger")
+				record := ask[ledger.Snapshot](t, one, "/ledger")
 				from := gone[one]
 				count, last := one.Arrived(e.Name, from, time.Time{})
 				seen += count
-				got := record.Called(e.Name, func(c *ledger.Change) bool { return !c.At.Before(from) })
+				got := record.CallsTo(e.Name, func(c *ledger.Change) bool { return !c.At.Before(from) })
 				begun, arrived = begun.Plus(got.Begun), arrived.Plus(got.Arrived)
-				older = older.Plus(record.Called(e.Name, func(c *ledger.Change) bool { return !c.At.Before(from) && c.Vector.List.Index < index }).Begun)
+				older = older.Plus(record.CallsTo(e.Name, func(c *ledger.Change) bool { return !c.At.Before(from) && c.Vector.List.Index < index }).Begun)
 				if last.After(lastSeen) {
 					lastSeen = last
 				}
@@ -293,12 +293,12 @@
 			if late := lastSeen.Sub(lastSaid); seen > 0 && (late < -2*time.Second || late > 2*time.Second) { // it may be connecting, or wait for a core
 				t.Errorf("%s: %s was called last at %v, and the ledger says %v", group[0].Name, e.Name, lastSeen, lastSaid)
 			}
-			if arrived.Least > uint64(seen) || arrived.Most < uint64(seen) {
+			if arrived.Min > uint64(seen) || arrived.Max < uint64(seen) {
 				t.Errorf("%s: %s saw %d calls, and the ledger says %+v", group[0].Name, e.Name, seen, arrived)
 			}
 			// In doubt are the calls that were written and got no answer, as the module heard: those that timed out or were cut off, those called off
 			// by the byte that they had come to, and those that a kill cut off.
-			doubt, mostCut := int(arrived.Most-arrived.Least), 0
+			doubt, mostCut := int(arrived.Max-arrived.Min), 0
 			if killed {
 				mostCut = 12
 			}
@@ -314,7 +314,7 @@
 			switch { // under lists from before the drain: all calls to the one that drained, and none to its heir
 			case e == victim && older != begun:
 				t.Errorf("%s: %+v calls to the target that drains, %+v of them under an older list", group[0].Name, begun, older)
-			case e == heir && older.Most > 0:
+			case e == heir && older.Max > 0:
 				t.Errorf("%s: the new target was called under an old list: %+v", group[0].Name, older)
 			}
 		}
@@ -327,10 +327,10 @@
 	report := audit.Merge(audit.Doors(t.Context(), doors, 5*time.Second, nil), version.Desired{}, &audit.Question{Target: victim.Name, Older: index})
 	for _, by := range report.Asked.By {
 		i := slices.IndexFunc(n, func(one *fleet.Node) bool { return one.Name == by.Name })
-		if seen, _ := n[i].Arrived(victim.Name, time.Time{}, time.Time{}); i < 3 && by.Arrived != (ledger.Count{Least: uint64(seen), Most: uint64(seen)}) {
+		if seen, _ := n[i].Arrived(victim.Name, time.Time{}, time.Time{}); i < 3 && by.Arrived != (ledger.Count{Min: uint64(seen), Max: uint64(seen)}) {
 			t.Errorf("the audit has %s call %s %+v times, and it saw %d", by.Name, victim.Name, by.Arrived, seen)
 		}
-		if by.Acting.List.Index >= index && by.Begun.Most > 0 {
+		if by.Acting.List.Index >= index && by.Begun.Max > 0 {
 			t.Errorf("%s: %+v", by.Name, by)
 		}
 	}
@@ -344,11 +344,11 @@
 	}
 	// The one that slept: fenced, no call until it was confirmed, and by then the list is in force.
 	fenced, open := false, false
-	for _, e := range ask[ledger.Record](t, n[0], "/ledger").Entries {
-		if fenced = fenced || e.Cause == ledger.Slept; e.Cause == ledger.Slept && len(e.Calls) > 0 {
+	for _, e := range ask[ledger.Snapshot](t, n[0], "/ledger").Entries {
+		if fenced = fenced || e.Cause == ledger.CauseFenced; e.Cause == ledger.CauseFenced && len(e.Calls) > 0 {
 			t.Errorf("n1 has called while it was fenced: %+v", e.Calls)
 		}
-		if e.Cause == ledger.Confirmed {
+		if e.Cause == ledger.CauseConfirmed {
 			if open = true; !fenced || e.Vector.List.Index < index {
 				t.Errorf("n1 calls again under list %d, and %d was told meanwhile", e.Vector.List.Index, index)
 			}
@@ -357,10 +357,10 @@
 	if !open {
 		t.Error("n1 was not fenced, or not confirmed")
 	}
-	if got := ask[ledger.Record](t, n[5], "/ledger"); len(got.Damage) == 0 && got.Dropped.Unread == 0 {
+	if got := ask[ledger.Snapshot](t, n[5], "/ledger"); len(got.Damage) == 0 && got.Overwritten.UnreadSegments == 0 {
 		t.Error("n6 does not say that its folder was damaged")
 	}
-	if got := ask[ledger.Record](t, n[6], "/ledger"); len(got.Others) == 0 {
+	if got := ask[ledger.Snapshot](t, n[6], "/ledger"); len(got.Foreign) == 0 {
 		t.Error("n7 does not say that its folder was another's")
 	}
 	// n4 was killed: it goes on counting where it was.
@@ -371,7 +371,7 @@
 
 func lastStart(list []ledger.Entry) int {
 	for i := len(list) - 1; i > 0; i-- {
-		if list[i].Cause == ledger.Start {
+		if list[i].Cause == ledger.CauseStart {
 			return i
 		}
 	}
--- a/cmd/scaleroute/member_faults_test.go
+++ b/cmd/scaleroute/member_faults_test.go
@@ -98,8 +98,8 @@
 		for _, e := range r.World.Endpoints {
 			seen, _ := one.Arrived(e.Name, time.Time{}, time.Time{})
 			a := audit.Merge(all[i:i+1], version.Desired{}, &audit.Question{Target: e.Name}).Asked
-			if a.Total.Least > uint64(seen) || a.Total.Most < uint64(seen) {
-				t.Errorf("%s has seen %d calls of %s, and the audit says %d to %d", e.Name, seen, one.Name, a.Total.Least, a.Total.Most)
+			if a.Total.Min > uint64(seen) || a.Total.Max < uint64(seen) {
+				t.Errorf("%s has seen %d calls of %s, and the audit says %d to %d", e.Name, seen, one.Name, a.Total.Min, a.Total.Max)
 			}
 		}
 	}
@@ -263,7 +263,7 @@
 func TestFleetMixed(t *testing.T) {
 	t.Parallel()
 	l := newLogs()
-	set := operator.Fleet{Ledger: ledger.LeastBytes, Fence: operator.Duration(time.Second), Unheard: operator.Duration(2 * time.Second), Share: 0.25}
+	set := operator.Fleet{Ledger: ledger.MinBytes, Fence: operator.Duration(time.Second), Unheard: operator.Duration(2 * time.Second), Share: 0.25}
 	r := newMembers(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 3 * time.Second}, set, l, func(r *fleet.Rig) {
 		for i, env := range []string{"FORMAT=1", "FORMAT=1", "FORMAT=7", "CLOCK=10m", "CLOCK=-10m"} {
 			r.Nodes[i].Env = []string{"SCALEROUTE_TEST_" + env}
@@ -339,13 +339,13 @@
 					return
 				}
 				out := uint64(4) // begun, and not at the target yet, when either was read
-				if a.Asked.Total.Least > uint64(after)+out || a.Asked.Total.Most+out < uint64(before) && len(a.Caveats) == 0 {
+				if a.Asked.Total.Min > uint64(after)+out || a.Asked.Total.Max+out < uint64(before) && len(a.Caveats) == 0 {
 					t.Errorf("%s has seen %d to %d calls of n8, and the audit says %+v, %v", e.Name, before, after, a.Asked.Total, a.Caveats)
 				}
 			}
 		}
 	})
-	for record := (ledger.Record{}); record.Dropped.Calls == 0 || record.Dropped.Changes < 100; {
+	for record := (ledger.Snapshot{}); record.Overwritten.Calls == 0 || record.Overwritten.Changes < 100; {
 		for range 20 {
 			changes++
 			at := n[7].Discovery.Index()
@@ -356,8 +356,8 @@
 			n[7].Discovery.Set(state, r.World.Endpoints[5])
 			eventually(t, "n8 has the list", func() bool { return ask[Versions](t, n[7], "/versions").Vector.List.Index > at })
 		}
-		if record = ask[ledger.Record](t, n[7], "/ledger"); changes > 4000 {
-			t.Fatalf("the ledger does not run over: %+v", record.Dropped)
+		if record = ask[ledger.Snapshot](t, n[7], "/ledger"); changes > 4000 {
+			t.Fatalf("the ledger does not run over: %+v", record.Overwritten)
 		}
 	}
 	close(audited)
@@ -385,16 +385,16 @@
 		}
 	}
 	// What n8 has, has lost and had no room for is all that it called.
-	record := ask[ledger.Record](t, n[7], "/ledger")
+	record := ask[ledger.Snapshot](t, n[7], "/ledger")
 	var least, most, seen uint64
 	for _, e := range r.World.Endpoints {
 		c, _ := n[7].Arrived(e.Name, time.Time{}, time.Time{})
 		seen += uint64(c)
-		got := record.Called(e.Name, func(*ledger.Change) bool { return true })
-		least, most = least+got.Arrived.Least, most+got.Begun.Most
+		got := record.CallsTo(e.Name, func(*ledger.Change) bool { return true })
+		least, most = least+got.Arrived.Min, most+got.Begun.Max
 	}
-	if least > seen || most+record.Dropped.Calls+record.Missed.Calls.Most < seen || record.Dropped.Calls == 0 {
-		t.Errorf("n8 has made %d calls; its ledger has %d to %d, and says that %d are gone", seen, least, most, record.Dropped.Calls)
+	if least > seen || most+record.Overwritten.Calls+record.Unrecorded.Calls.Max < seen || record.Overwritten.Calls == 0 {
+		t.Errorf("n8 has made %d calls; its ledger has %d to %d, and says that %d are gone", seen, least, most, record.Overwritten.Calls)
 	}
 	for _, one := range n {
 		if out := l.count(one.Name, "msg=\"shut out"); out > 0 {
@@ -468,11 +468,11 @@
 	exact(t, r, n...)
 	for i, one := range n {
 		out, isOut, process := 0, false, time.Time{}
-		for _, e := range ask[ledger.Record](t, one, "/ledger").Entries {
-			if e.Cause == ledger.Shut {
+		for _, e := range ask[ledger.Snapshot](t, one, "/ledger").Entries {
+			if e.Cause == ledger.CauseFencedOff {
 				out++
 				isOut, process = true, e.Vector.Started
-			} else if e.Cause == ledger.Back || !e.Vector.Started.Equal(process) { // the next process begins in
+			} else if e.Cause == ledger.CauseReadmitted || !e.Vector.Started.Equal(process) { // the next process begins in
 				isOut = false
 			}
 			if isOut && len(e.Calls) > 0 {
--- a/cmd/scaleroute/member_test.go
+++ b/cmd/scaleroute/member_test.go
@@ -221,13 +221,13 @@
 		}
 	}
 	causes := map[string]int{}
-	for _, e := range ask[ledger.Record](t, n[0], "/ledger").Entries {
+	for _, e := range ask[ledger.Snapshot](t, n[0], "/ledger").Entries {
 		causes[e.Cause]++
-		if e.Cause == ledger.Shut && len(e.Calls) > 0 {
+		if e.Cause == ledger.CauseFencedOff && len(e.Calls) > 0 {
 			t.Errorf("n1 has called while it was shut out: %+v", e.Calls)
 		}
 	}
-	for _, c := range []string{ledger.Start, ledger.ByPeers, ledger.Shut, ledger.Back, ledger.ListTold, ledger.Operators} {
+	for _, c := range []string{ledger.CauseStart, ledger.CausePeerDrain, ledger.CauseFencedOff, ledger.CauseReadmitted, ledger.CauseEndpointList, ledger.CauseOperatorsFile} {
 		if causes[c] == 0 {
 			t.Errorf("n1's ledger has no entry %q: %v", c, causes)
 		}
--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -232,7 +232,7 @@
 	l := s.set.Forget(membership.Agent, names)
 	if now := s.targets.Update(index, false, gone); now != s.list {
 		s.list = now
-		l.Version = &version.Change{Cause: ledger.ListTold, Apply: func(v *version.Vector) { v.List = now }}
+		l.Version = &version.Change{Cause: ledger.CauseEndpointList, Apply: func(v *version.Vector) { v.List = now }}
 	}
 	s.to.Evict(l, destinations)
 }
--- a/cmd/scaleroute/settings.go
+++ b/cmd/scaleroute/settings.go
@@ -158,7 +158,7 @@
 	old := s.now
 	s.reads++
 	read := version.Contents{Digest: set.Digest(), LoadCount: s.reads}
-	s.sources.change(version.Change{Cause: ledger.Operators, Apply: func(v *version.Vector) { v.Operators = read }}, func() {
+	s.sources.change(version.Change{Cause: ledger.CauseOperatorsFile, Apply: func(v *version.Vector) { v.Operators = read }}, func() {
 		s.limits.Store(set.NewLimits())
 		s.routes.Store(routes)
 	}, !reflect.DeepEqual(s.now.Pools, set.Pools), set)
@@ -217,7 +217,7 @@
 		return
 	}
 	slog.Info("drained by what others know", "targets", names)
-	l.Version = &version.Change{Cause: ledger.ByPeers}
+	l.Version = &version.Change{Cause: ledger.CausePeerDrain}
 	s.to.UpdateEndpoints(l)
 }
 
@@ -239,7 +239,7 @@
 	s.noteDrains(told)
 	if now := s.targets.Update(told.Index, told.Snapshot, told.VersionEntries()); now != s.list {
 		s.list = now
-		l.Version = &version.Change{Cause: ledger.ListTold, Apply: func(v *version.Vector) { v.List = now }}
+		l.Version = &version.Change{Cause: ledger.CauseEndpointList, Apply: func(v *version.Vector) { v.List = now }}
 	}
 	if l.Scope == decide.Snapshot || len(l.Endpoints) > 0 || l.Version != nil {
 		s.to.UpdateEndpoints(l)
@@ -294,7 +294,7 @@
 	}
 	s.times++
 	out := version.Contents{Digest: version.DigestOfNames(s.set.Disabled()), LoadCount: s.times}
-	l.Version = &version.Change{Cause: ledger.ByHand, By: name, Apply: func(v *version.Vector) { v.Disabled = out }}
+	l.Version = &version.Change{Cause: ledger.CauseManualOverride, By: name, Apply: func(v *version.Vector) { v.Disabled = out }}
 	slog.Info(what, "target", name)
 	if !s.to.UpdateEndpointsAndWait(l, bindWithin) {
 		slog.Warn("the loop has not heard of an operator's call yet", "after", bindWithin)
--- a/cmd/scaleroutectl/fleet.go
+++ b/cmd/scaleroutectl/fleet.go
@@ -416,9 +416,9 @@
 		if a.Older > 0 {
 			under = fmt.Sprintf("lists before %d", a.Older)
 		}
-		fmt.Fprintf(out, "%s under %s: %s calls have arrived, by %d members\n", a.Target, under, count(a.Total.Least, a.Total.Most), len(a.By))
+		fmt.Fprintf(out, "%s under %s: %s calls have arrived, by %d members\n", a.Target, under, count(a.Total.Min, a.Total.Max), len(a.By))
 		for _, by := range a.By {
-			fmt.Fprintf(out, "  %s: %s, the last at %s (clock of this machine), under list %d, operators %.8s, build %s, since %q\n", by.Name, count(by.Arrived.Least, by.Arrived.Most),
+			fmt.Fprintf(out, "  %s: %s, the last at %s (clock of this machine), under list %d, operators %.8s, build %s, since %q\n", by.Name, count(by.Arrived.Min, by.Arrived.Max),
 				by.LastHere.UTC().Format("2006-01-02 15:04:05.000"), by.Acting.List.Index, by.Acting.Operators.Digest, by.Acting.Build, by.Cause)
 		}
 	}
--- a/cmd/scaleroutectl/fleet_test.go
+++ b/cmd/scaleroutectl/fleet_test.go
@@ -20,7 +20,7 @@
 )
 
 // fleetDoor stands in for the door of a member of a fleet; it keeps the wants that are put.
-func fleetDoor(t *testing.T, members []straggler.View, want *straggler.Desired, record *ledger.Record) (at string, wants func() []straggler.Desired) {
+func fleetDoor(t *testing.T, members []straggler.View, want *straggler.Desired, record *ledger.Snapshot) (at string, wants func() []straggler.Desired) {
 	t.Helper()
 	var put []straggler.Desired
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -108,9 +108,9 @@
 		t.Fatal(err)
 	}
 	v := version.Vector{List: version.List{Index: 7, Digest: 3}}
-	l.Change(ledger.Start, "", time.Now(), v)
+	l.RecordChange(ledger.CauseStart, "", time.Now(), v)
 	for range 3 {
-		l.Begin("t1", time.Now()).Over(true, false)
+		l.BeginCall("t1", time.Now()).Complete(true, false)
 	}
 	record, err := ledger.Read(journal.DirFS(dir), "n2")
 	if err != nil {
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -15,15 +15,15 @@
 
 // Gathered is what one member has said, or why it has not.
 type Gathered struct {
-	Source  string          `json:"source"` // its door, or its folder
-	Name    string          `json:"name"`
-	Vector  *version.Vector `json:"vector,omitempty"` // that it acts under now; nil: its process was not asked
-	Fenced  bool            `json:"fenced,omitempty"`
-	ShutOut string          `json:"shut_out,omitempty"`
-	Offset  time.Duration   `json:"offset_ns"` // its clock less the auditor's
-	Error   time.Duration   `json:"error_ns"`  // of that, at most
-	Record  *ledger.Record  `json:"-"`
-	Err     string          `json:"err,omitempty"` // why nothing is known of it
+	Source  string           `json:"source"` // its door, or its folder
+	Name    string           `json:"name"`
+	Vector  *version.Vector  `json:"vector,omitempty"` // that it acts under now; nil: its process was not asked
+	Fenced  bool             `json:"fenced,omitempty"`
+	ShutOut string           `json:"shut_out,omitempty"`
+	Offset  time.Duration    `json:"offset_ns"` // its clock less the auditor's
+	Error   time.Duration    `json:"error_ns"`  // of that, at most
+	Record  *ledger.Snapshot `json:"-"`
+	Err     string           `json:"err,omitempty"` // why nothing is known of it
 }
 
 // Report is what the audit has found.
@@ -85,7 +85,7 @@
 // By is one member's part.
 type By struct {
 	Name string `json:"name"`
-	ledger.Answer
+	ledger.CallSummary
 	LastHere time.Time      `json:"last_here"` // by the auditor's clock
 	Acting   version.Vector `json:"acting"`    // the last of the vectors under which it was called
 	Cause    string         `json:"cause"`
@@ -124,7 +124,7 @@
 		if g.Record != nil {
 			m.Changes = len(g.Record.Entries)
 			for _, e := range g.Record.Entries {
-				if e.Cause == ledger.Slept {
+				if e.Cause == ledger.CauseFenced {
 					m.Slept++
 				}
 			}
@@ -260,16 +260,16 @@
 		fits := func(c *ledger.Change) bool {
 			return (q.Older == 0 || c.Vector.List.Index < q.Older) && (q.Not == 0 || c.Vector.Operators.Digest != q.Not)
 		}
-		got := g.Record.Called(q.Target, fits)
-		if got.Begun.Most == 0 && len(got.Caveats) == 0 {
+		got := g.Record.CallsTo(q.Target, fits)
+		if got.Begun.Max == 0 && len(got.Caveats) == 0 {
 			continue
 		}
-		by := By{Name: g.Name, Answer: got}
+		by := By{Name: g.Name, CallSummary: got}
 		if !got.Last.IsZero() {
 			by.LastHere = got.Last.Add(-g.Offset)
 		}
 		for i := range g.Record.Entries {
-			if e := &g.Record.Entries[i]; len(got.Under) > 0 && e.Seq == got.Under[len(got.Under)-1] {
+			if e := &g.Record.Entries[i]; len(got.Changes) > 0 && e.Seq == got.Changes[len(got.Changes)-1] {
 				by.Acting, by.Cause = e.Vector, e.Cause
 			}
 		}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -45,7 +45,7 @@
 		}
 		v := version.Vector{Format: 1, Started: begin.Add(offset), List: version.List{Index: 1, Digest: 11}}
 		now := begin
-		l.Change(ledger.Start, "", now.Add(offset), v)
+		l.RecordChange(ledger.CauseStart, "", now.Add(offset), v)
 		for index := int64(1); index <= int64(lists); index++ {
 			if index > 1 {
 				if rng.IntN(8) == 0 && index < int64(lists) {
@@ -53,7 +53,7 @@
 				}
 				now = begin.Add(time.Duration(index)*time.Minute + time.Duration(rng.IntN(5000))*time.Millisecond)
 				v.List = version.List{Index: index, Digest: version.Digest(index * 11)}
-				l.Change(ledger.ListTold, "", now.Add(offset), v)
+				l.RecordChange(ledger.CauseEndpointList, "", now.Add(offset), v)
 			}
 			for earlier := int64(1); earlier <= index; earlier++ {
 				if f.acted[earlier] == nil {
@@ -65,7 +65,7 @@
 			}
 			for range rng.IntN(20) {
 				target := fmt.Sprint("t", rng.IntN(3))
-				l.Begin(target, now.Add(offset)).Over(true, false)
+				l.BeginCall(target, now.Add(offset)).Complete(true, false)
 				for _, of := range []map[string]map[string]uint64{f.calls, f.before} {
 					if of[target] == nil {
 						of[target] = map[string]uint64{}
@@ -107,12 +107,12 @@
 		}
 		var sum uint64
 		for _, by := range r.Asked.By {
-			if want := f.before["t1"][by.Name]; by.Arrived != (ledger.Count{Least: want, Most: want}) {
+			if want := f.before["t1"][by.Name]; by.Arrived != (ledger.Count{Min: want, Max: want}) {
 				t.Errorf("seed %d: %s called t1 %d times under old lists, and the audit says %+v", seed, by.Name, want, by.Arrived)
 			}
 			sum += f.before["t1"][by.Name]
 		}
-		if r.Asked.Total.Least != sum || sum == 0 {
+		if r.Asked.Total.Min != sum || sum == 0 {
 			t.Errorf("seed %d: %+v, and it was %d", seed, r.Asked.Total, sum)
 		}
 	}
--- a/internal/audit/export.go
+++ b/internal/audit/export.go
@@ -57,18 +57,18 @@
 				base.Started = v.Started.UnixNano()
 			}
 			out := map[string]int{}
-			for _, o := range e.Out {
+			for _, o := range e.InFlight {
 				out[o.Target] = o.Calls
 			}
 			for _, c := range e.Calls {
 				row := base
 				row.Target, row.First, row.Last = c.Target, c.First.UnixNano(), c.Last.UnixNano()
-				row.Begun, row.BegunMost, row.Unsent, row.Answered = int64(c.Begun.Least), int64(c.Begun.Most), int64(c.Unsent.Least), int64(c.Answered.Least)
+				row.Begun, row.BegunMost, row.Unsent, row.Answered = int64(c.Begun.Min), int64(c.Begun.Max), int64(c.Unsent.Min), int64(c.Answered.Min)
 				row.OutAtChange = int64(out[c.Target])
 				delete(out, c.Target)
 				rows = append(rows, row)
 			}
-			for _, o := range e.Out { // that were not called again
+			for _, o := range e.InFlight { // that were not called again
 				if n, left := out[o.Target]; left {
 					row := base
 					row.Target, row.OutAtChange = o.Target, int64(n)
--- a/internal/audit/gather.go
+++ b/internal/audit/gather.go
@@ -93,7 +93,7 @@
 		g.Offset = v.Clock.Sub(sent.Round(0).Add(g.Error))
 	}
 	if text, err = c.Call(ctx, http.MethodGet, "/ledger"); err == nil {
-		g.Record = &ledger.Record{}
+		g.Record = &ledger.Snapshot{}
 		err = json.Unmarshal([]byte(text), g.Record)
 	}
 	if err != nil {
--- a/internal/engine/accounting.go
+++ b/internal/engine/accounting.go
@@ -99,12 +99,12 @@
 		return
 	}
 	now := ledger.Clock()
-	a.Ledger.Change(c.Cause, c.By, now, a.vector)
-	a.published.Store(&VersionStatus{Seq: a.Ledger.Last().Seq, Cause: c.Cause, By: c.By, At: now, Vector: a.vector, FenceClosed: a.fenceClosed(), FencedOff: a.fencedOff})
+	a.Ledger.RecordChange(c.Cause, c.By, now, a.vector)
+	a.published.Store(&VersionStatus{Seq: a.Ledger.LastChange().Seq, Cause: c.Cause, By: c.By, At: now, Vector: a.vector, FenceClosed: a.fenceClosed(), FencedOff: a.fencedOff})
 }
 
 // beginCall counts a call that is about to be made.
-func (a *accounting) beginCall(target string) *ledger.Slot {
+func (a *accounting) beginCall(target string) *ledger.CallCounter {
 	if a.Accounting == nil {
 		return nil
 	}
@@ -114,15 +114,15 @@
 	if a.Ledger == nil {
 		return nil
 	}
-	return a.Ledger.Begin(target, ledger.Clock())
+	return a.Ledger.BeginCall(target, ledger.Clock())
 }
 
 // resumeCall counts a call that another process began.
-func (a *accounting) resumeCall(c HandoverCall) *ledger.Slot {
+func (a *accounting) resumeCall(c HandoverCall) *ledger.CallCounter {
 	if a.Accounting == nil || c.LedgerSeq == 0 {
 		return nil
 	}
-	return a.Ledger.Resume(c.LedgerSeq, c.Endpoint)
+	return a.Ledger.ResumeCall(c.LedgerSeq, c.Endpoint)
 }
 
 // fenceClosed reports whether the process was suspended and the fence has not been reopened since.
@@ -163,7 +163,7 @@
 	}
 	a.epoch = epoch
 	slog.Warn("the process was suspended: no call begins until discovery has been queried again", "slept", duration)
-	a.recordChange(version.Change{Cause: ledger.Slept})
+	a.recordChange(version.Change{Cause: ledger.CauseFenced})
 	if a.OnSuspended != nil {
 		a.OnSuspended(epoch, duration)
 	}
@@ -264,9 +264,9 @@
 
 // SetFencedOff prevents calls from beginning, and has queued messages answered at once; an empty reason ends that.
 func (l *Engine) SetFencedOff(reason, by string) {
-	cause := ledger.Back
+	cause := ledger.CauseReadmitted
 	if reason != "" {
-		cause = ledger.Shut
+		cause = ledger.CauseFencedOff
 	}
 	l.post(versionChange{version.Change{Cause: cause, By: by}, func() {
 		l.accounting.fencedOff = reason
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -32,7 +32,7 @@
 func (l *Engine) completeCall(v callCompleted) {
 	o := v.outcome
 	v.wait.callCompleted(&o)
-	v.slot.Over(v.written && answered(o.Result), !v.written)
+	v.slot.Complete(v.written && answered(o.Result), !v.written)
 	e := l.entries[o.Message]
 	if e == nil {
 		return // completed meanwhile; the Forwarder still counts its call
--- a/internal/engine/entry.go
+++ b/internal/engine/entry.go
@@ -31,7 +31,7 @@
 	attempt  int
 	cancel   context.CancelCauseFunc
 	portable bool // it can be handed over to another process
-	slot     *ledger.Slot
+	slot     *ledger.CallCounter
 }
 
 // removeCall removes a call from those in flight and releases its context.
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -68,7 +68,7 @@
 		message, endpoint string
 		attempt           int
 		pending           *InFlightCall
-		slot              *ledger.Slot
+		slot              *ledger.CallCounter
 	}
 )
 
@@ -128,8 +128,8 @@
 		return
 	}
 	e.removeCall(v.attempt)
-	v.slot.Carried()
-	l.detaching.calls = append(l.detaching.calls, HandoverCall{v.message, v.attempt, v.endpoint, v.slot.Under(), v.pending})
+	v.slot.HandOver()
+	l.detaching.calls = append(l.detaching.calls, HandoverCall{v.message, v.attempt, v.endpoint, v.slot.ChangeSeq(), v.pending})
 }
 
 // callsCompleted reports whether no call is in flight.
@@ -201,7 +201,7 @@
 	for _, c := range known { // calls of messages that are completed
 		c.Conn.Close()
 	}
-	l.accounting.start(ledger.TookOver)
+	l.accounting.start(ledger.CauseTakenOver)
 	slog.Info("resumed the state of the previous process", "messages", len(l.entries), "calls", len(h.Calls), "gap", gap)
 	return nil
 }
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -35,7 +35,7 @@
 	}
 	callCompleted struct {
 		outcome decide.Outcome
-		slot    *ledger.Slot
+		slot    *ledger.CallCounter
 		written bool       // the message was completely written
 		wait    *routeWait // retry-after state of its route; nil if the endpoint was never listed
 	}
@@ -191,7 +191,7 @@
 	if n := len(l.entries); n > 0 {
 		slog.Info("messages recovered from the journal", "messages", n)
 	}
-	l.accounting.start(ledger.Start)
+	l.accounting.start(ledger.CauseStart)
 }
 
 // recoverMessages creates the entries for the messages in the journal and returns those that the Forwarder must still deliver.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -24,9 +24,9 @@
 
 const (
 	segments = 4 // the oldest makes room
-	// LeastBytes and MostBytes bound what a ledger may take.
-	LeastBytes = segments * 16 << 10
-	MostBytes  = 256 << 20
+	// MinBytes and MostBytes bound what a ledger may take.
+	MinBytes = segments * 16 << 10
+	MaxBytes = 256 << 20
 
 	retryEvery = time.Second // after there was no room
 	mostOut    = 200         // targets with calls out that an entry names
@@ -38,36 +38,36 @@
 
 // Change is one step from one vector to the next.
 type Change struct {
-	Seq    uint64         `json:"seq"` // from 1 on, over all processes of this folder
-	At     time.Time      `json:"at"`  // by this machine's clock
-	Cause  string         `json:"cause"`
-	By     string         `json:"by,omitempty"`
-	Vector version.Vector `json:"vector"`
-	Out    []Out          `json:"out,omitempty"`  // calls that were out then
-	More   int            `json:"more,omitempty"` // calls out at targets that Out has no room for
+	Seq             uint64         `json:"seq"` // from 1 on, over all processes of this folder
+	At              time.Time      `json:"at"`  // by this machine's clock
+	Cause           string         `json:"cause"`
+	By              string         `json:"by,omitempty"`
+	Vector          version.Vector `json:"vector"`
+	InFlight        []InFlight     `json:"out,omitempty"`  // calls that were out then
+	InFlightOmitted int            `json:"more,omitempty"` // calls out at targets that Out has no room for
 }
 
-// Out is how many calls were out at a target.
-type Out struct {
+// InFlight is how many calls were out at a target.
+type InFlight struct {
 	Target string `json:"target"`
 	Calls  int    `json:"calls"`
 }
 
 // Causes of changes. Others may come.
 const (
-	Start     = "start"
-	TookOver  = "took over"
-	End       = "end"         // in order: what follows none was killed
-	HandOver  = "hand-over"   // to another process
-	ListTold  = "list"        // discovery has told it
-	Operators = "operators"   // their file was read
-	ByHand    = "by hand"     // a target was left out or put back
-	ByPeers   = "by peers"    // what drains by others' newer lists
-	Slept     = "slept"       // fenced: no call begins
-	Confirmed = "confirmed"   // discovery was asked again: calls begin
-	Unheard   = "unconfirmed" // nobody answered in time: calls begin by what is known
-	Shut      = "shut out"
-	Back      = "let in"
+	CauseStart          = "start"
+	CauseTakenOver      = "took over"
+	CauseStop           = "end"         // in order: what follows none was killed
+	CauseHandedOver     = "hand-over"   // to another process
+	CauseEndpointList   = "list"        // discovery has told it
+	CauseOperatorsFile  = "operators"   // their file was read
+	CauseManualOverride = "by hand"     // a target was left out or put back
+	CausePeerDrain      = "by peers"    // what drains by others' newer lists
+	CauseFenced         = "slept"       // fenced: no call begins
+	CauseConfirmed      = "confirmed"   // discovery was asked again: calls begin
+	CauseUnconfirmed    = "unconfirmed" // nobody answered in time: calls begin by what is known
+	CauseFencedOff      = "shut out"
+	CauseReadmitted     = "let in"
 )
 
 // Ledger is one that is written. A nil Ledger keeps nothing and costs nothing. It is not for several goroutines.
@@ -77,8 +77,8 @@
 	name    version.Digest
 	list    []*segment // oldest first; the last is written to
 	current Change
-	slots   map[string]*Slot // under the current change
-	known   map[slotKey]*Slot
+	slots   map[string]*CallCounter // under the current change
+	known   map[slotKey]*CallCounter
 	out     map[string]int
 	failed  time.Time // there was no room then
 	missed  missed    // while there is no segment to note it in
@@ -92,8 +92,8 @@
 
 type missed struct{ calls, changes uint64 }
 
-// Slot is where the calls to one target under one change are counted.
-type Slot struct {
+// CallCounter is where the calls to one target under one change are counted.
+type CallCounter struct {
 	l      *Ledger
 	target string
 	seq    uint64
@@ -103,10 +103,10 @@
 // Open opens the ledger of a forwarder in a folder, of so many bytes at most. One that another forwarder wrote, which its name tells, is set
 // aside: a folder that was swapped says nothing of this one. Disk trouble is no error: what can't be kept is counted.
 func Open(files FS, bytes int64, name string) (*Ledger, error) {
-	if bytes < LeastBytes || bytes > MostBytes {
-		return nil, fmt.Errorf("a ledger of %d bytes: from %d to %d", bytes, LeastBytes, MostBytes)
+	if bytes < MinBytes || bytes > MaxBytes {
+		return nil, fmt.Errorf("a ledger of %d bytes: from %d to %d", bytes, MinBytes, MaxBytes)
 	}
-	l := &Ledger{fs: files, each: bytes / segments / 4096 * 4096, name: version.DigestOf([]byte(name)), known: map[slotKey]*Slot{}, out: map[string]int{}}
+	l := &Ledger{fs: files, each: bytes / segments / 4096 * 4096, name: version.DigestOf([]byte(name)), known: map[slotKey]*CallCounter{}, out: map[string]int{}}
 	names, err := files.List()
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
@@ -143,7 +143,7 @@
 				l.current = c
 			}
 		case kindSlot:
-			slot := &Slot{l: l, target: string(r.target), seq: r.seq, at: r.counters}
+			slot := &CallCounter{l: l, target: string(r.target), seq: r.seq, at: r.counters}
 			l.known[slotKey{r.seq, slot.target}] = slot
 			s.slots = append(s.slots, slot)
 		}
@@ -154,34 +154,34 @@
 	return s
 }
 
-// Last is the change that was written last, also by a process before this one; its Seq is 0 if there is none.
-func (l *Ledger) Last() Change {
+// LastChange is the change that was written last, also by a process before this one; its Seq is 0 if there is none.
+func (l *Ledger) LastChange() Change {
 	if l == nil {
 		return Change{}
 	}
 	return l.current
 }
 
-// Change notes that the calls begun from now on are made under another vector.
-func (l *Ledger) Change(cause, by string, now time.Time, v version.Vector) {
+// RecordChange notes that the calls begun from now on are made under another vector.
+func (l *Ledger) RecordChange(cause, by string, now time.Time, v version.Vector) {
 	if l == nil {
 		return
 	}
 	c := Change{Seq: l.current.Seq + 1, At: now, Cause: cause, By: by, Vector: v}
 	for target, n := range l.out {
-		if len(c.Out) < mostOut {
-			c.Out = append(c.Out, Out{target, n})
+		if len(c.InFlight) < mostOut {
+			c.InFlight = append(c.InFlight, InFlight{target, n})
 		} else {
-			c.More += n
+			c.InFlightOmitted += n
 		}
 	}
-	slices.SortFunc(c.Out, func(a, b Out) int {
+	slices.SortFunc(c.InFlight, func(a, b InFlight) int {
 		if a.Target < b.Target {
 			return -1
 		}
 		return 1
 	})
-	l.current, l.slots = c, map[string]*Slot{}
+	l.current, l.slots = c, map[string]*CallCounter{}
 	if !l.append(kindChange, l.entry(), nil, now) {
 		l.miss(0, 1)
 		return
@@ -197,8 +197,8 @@
 	return text
 }
 
-// Begin counts a call that is about to be made.
-func (l *Ledger) Begin(target string, now time.Time) *Slot {
+// BeginCall counts a call that is about to be made.
+func (l *Ledger) BeginCall(target string, now time.Time) *CallCounter {
 	if l == nil {
 		return nil
 	}
@@ -220,10 +220,10 @@
 }
 
 // slot makes room for a target's counts under the current change.
-func (l *Ledger) slot(target string, now time.Time) *Slot {
-	s := &Slot{l: l, target: target, seq: l.current.Seq}
+func (l *Ledger) slot(target string, now time.Time) *CallCounter {
+	s := &CallCounter{l: l, target: target, seq: l.current.Seq}
 	if l.slots == nil {
-		l.slots = map[string]*Slot{}
+		l.slots = map[string]*CallCounter{}
 	}
 	l.slots[target] = s
 	if l.append(kindSlot, slotHead(s.seq, now, target), s, now) {
@@ -232,8 +232,8 @@
 	return s
 }
 
-// Resume finds the counts of a call that another process began, under a change that it named.
-func (l *Ledger) Resume(seq uint64, target string) *Slot {
+// ResumeCall finds the counts of a call that another process began, under a change that it named.
+func (l *Ledger) ResumeCall(seq uint64, target string) *CallCounter {
 	if l == nil {
 		return nil
 	}
@@ -241,19 +241,19 @@
 	if s := l.known[slotKey{seq, target}]; s != nil {
 		return s
 	}
-	return &Slot{l: l, target: target, seq: seq}
+	return &CallCounter{l: l, target: target, seq: seq}
 }
 
-// Under is the change that a call was begun under; 0 where nothing is kept.
-func (s *Slot) Under() uint64 {
+// ChangeSeq is the change that a call was begun under; 0 where nothing is kept.
+func (s *CallCounter) ChangeSeq() uint64 {
 	if s == nil {
 		return 0
 	}
 	return s.seq
 }
 
-// Over counts how a call ended: answered by the target, or never written whole, or neither.
-func (s *Slot) Over(answeredBy, neverSent bool) {
+// Complete counts how a call ended: answered by the target, or never written whole, or neither.
+func (s *CallCounter) Complete(answeredBy, neverSent bool) {
 	if s == nil {
 		return
 	}
@@ -271,14 +271,14 @@
 }
 
 // leave takes a call off those that are out.
-func (s *Slot) leave() {
+func (s *CallCounter) leave() {
 	if s.l.out[s.target]--; s.l.out[s.target] <= 0 {
 		delete(s.l.out, s.target)
 	}
 }
 
-// Carried tells that a call goes on in another process.
-func (s *Slot) Carried() {
+// HandOver tells that a call goes on in another process.
+func (s *CallCounter) HandOver() {
 	if s != nil {
 		s.leave()
 	}
@@ -297,7 +297,7 @@
 }
 
 // append writes a record, in a new segment if the last one has no room. It tells whether it could.
-func (l *Ledger) append(kind byte, payload []byte, slot *Slot, now time.Time) bool {
+func (l *Ledger) append(kind byte, payload []byte, slot *CallCounter, now time.Time) bool {
 	if len(l.list) > 0 && l.list[len(l.list)-1].append(kind, payload, slot) {
 		return true
 	}
@@ -416,14 +416,14 @@
 	if l == nil {
 		return
 	}
-	l.Change(cause, "", now, l.current.Vector)
+	l.RecordChange(cause, "", now, l.current.Vector)
 	for _, s := range l.list {
 		for _, slot := range s.slots {
 			slot.at = nil
 		}
 		s.close()
 	}
-	l.list, l.known, l.slots, l.failed = nil, map[slotKey]*Slot{}, nil, now.Add(100*365*24*time.Hour)
+	l.list, l.known, l.slots, l.failed = nil, map[slotKey]*CallCounter{}, nil, now.Add(100*365*24*time.Hour)
 }
 
 // close lets go of its memory; the file stays.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -45,7 +45,7 @@
 	return l
 }
 
-func load(t testing.TB, files FS) *Record {
+func load(t testing.TB, files FS) *Snapshot {
 	r, err := Read(files, "n1")
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 		}
 		disk := &full{FS: journal.DirFS(dir)}
 		now := begin
-		l := open(t, disk, LeastBytes)
+		l := open(t, disk, MinBytes)
 		type key struct {
 			seq    uint64
 			target string
@@ -101,12 +101,12 @@
 		type one struct{ begun, over, unsent, answered uint64 }
 		model := map[key]*one{}
 		calls, changes := uint64(0), uint64(0)
-		var out []*Slot
+		var out []*CallCounter
 		change := func(cause string) {
-			l.Change(cause, "", now, vector(int(changes)))
+			l.RecordChange(cause, "", now, vector(int(changes)))
 			changes++
 		}
-		change(Start)
+		change(CauseStart)
 		small := rapid.Bool().Draw(rt, "few targets")
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(-5, 800).Draw(rt, "ms")) * time.Millisecond)
@@ -117,9 +117,9 @@
 					n = 3
 				}
 				target := fmt.Sprintf("target-%d-%s", rapid.IntRange(0, n).Draw(rt, "target"), strings.Repeat("x", 60))
-				s := l.Begin(target, now)
-				if s.Under() != l.Last().Seq {
-					rt.Fatalf("a call under %d while %d is in force", s.Under(), l.Last().Seq)
+				s := l.BeginCall(target, now)
+				if s.ChangeSeq() != l.LastChange().Seq {
+					rt.Fatalf("a call under %d while %d is in force", s.ChangeSeq(), l.LastChange().Seq)
 				}
 				if s.at != nil {
 					m := model[key{s.seq, target}]
@@ -144,33 +144,33 @@
 						m.unsent++
 					}
 				}
-				s.Over(yes, never)
+				s.Complete(yes, never)
 			case k < 17:
-				change(ListTold)
+				change(CauseEndpointList)
 			case k == 17:
 				disk.on = !disk.on
 			case k == 18: // killed: what is out stays out
 				out = nil
-				l = open(t, disk, LeastBytes)
-				change(Start)
+				l = open(t, disk, MinBytes)
+				change(CauseStart)
 			default: // it hands over, with the calls
 				var keys []key
 				for _, s := range out {
-					s.Carried()
+					s.HandOver()
 					keys = append(keys, key{s.seq, s.target})
 				}
-				l.Close(HandOver, now)
+				l.Close(CauseHandedOver, now)
 				changes++
-				l = open(t, disk, LeastBytes)
+				l = open(t, disk, MinBytes)
 				out = nil
 				for _, k := range keys {
-					out = append(out, l.Resume(k.seq, k.target))
+					out = append(out, l.ResumeCall(k.seq, k.target))
 					carried++
 				}
-				change(TookOver)
+				change(CauseTakenOver)
 			}
 			files, size := segmentsIn(dir)
-			if files > segments || size > LeastBytes {
+			if files > segments || size > MinBytes {
 				rt.Fatalf("%d files of %d bytes", files, size)
 			}
 		}
@@ -185,13 +185,13 @@
 				seqs[e.Seq] = true
 			}
 			for _, c := range e.Calls {
-				said += c.Begun.Most
+				said += c.Begun.Max
 				m := model[key{e.Seq, c.Target}]
-				got := one{c.Begun.Most, c.Over.Most, c.Unsent.Most, c.Answered.Most}
-				if m == nil || c.Begun.Least != c.Begun.Most {
+				got := one{c.Begun.Max, c.Completed.Max, c.Unsent.Max, c.Answered.Max}
+				if m == nil || c.Begun.Min != c.Begun.Max {
 					rt.Fatalf("%s under %d: %+v, and it was %+v", c.Target, e.Seq, c, m)
 				}
-				if r.Dropped.Calls == 0 && r.Missed.Calls.Most == 0 && got != *m {
+				if r.Overwritten.Calls == 0 && r.Unrecorded.Calls.Max == 0 && got != *m {
 					rt.Fatalf("%s under %d: %+v, and it was %+v", c.Target, e.Seq, got, *m)
 				}
 				if got.begun > m.begun || got.over > m.over {
@@ -200,13 +200,13 @@
 			}
 		}
 		// A process that is killed while there is no room for a first segment can't leave word of what it missed.
-		if have := said + r.Dropped.Calls + r.Missed.Calls.Most; have != calls && len(r.Entries) > 0 {
-			rt.Fatalf("%d calls were made, and it tells of %d, %d overwritten, %d missed", calls, said, r.Dropped.Calls, r.Missed.Calls.Most)
+		if have := said + r.Overwritten.Calls + r.Unrecorded.Calls.Max; have != calls && len(r.Entries) > 0 {
+			rt.Fatalf("%d calls were made, and it tells of %d, %d overwritten, %d missed", calls, said, r.Overwritten.Calls, r.Unrecorded.Calls.Max)
 		}
-		if r.Dropped.Calls > 0 {
+		if r.Overwritten.Calls > 0 {
 			overwritten++
 		}
-		if r.Missed.Calls.Most > 0 {
+		if r.Unrecorded.Calls.Max > 0 {
 			without++
 		}
 		if whole := len(r.Caveats()) == 0; whole && uint64(len(seqs)) != changes {
@@ -231,26 +231,26 @@
 // TestOut: a change names the calls that are out when it comes.
 func TestOut(t *testing.T) {
 	files := journal.DirFS(t.TempDir())
-	l := open(t, files, LeastBytes)
-	l.Change(Start, "", begin, vector(1))
-	a, b := l.Begin("a", begin), l.Begin("b", begin)
-	l.Begin("a", begin)
-	b.Over(true, false)
-	l.Change(ListTold, "", begin.Add(time.Second), vector(2))
-	a.Over(true, false)
-	l.Change(Slept, "", begin.Add(2*time.Second), vector(2))
+	l := open(t, files, MinBytes)
+	l.RecordChange(CauseStart, "", begin, vector(1))
+	a, b := l.BeginCall("a", begin), l.BeginCall("b", begin)
+	l.BeginCall("a", begin)
+	b.Complete(true, false)
+	l.RecordChange(CauseEndpointList, "", begin.Add(time.Second), vector(2))
+	a.Complete(true, false)
+	l.RecordChange(CauseFenced, "", begin.Add(2*time.Second), vector(2))
 	r := load(t, files)
-	if got := r.Entries[1].Out; !reflect.DeepEqual(got, []Out{{"a", 2}}) {
+	if got := r.Entries[1].InFlight; !reflect.DeepEqual(got, []InFlight{{"a", 2}}) {
 		t.Errorf("out at the list: %+v", got)
 	}
-	if got := r.Entries[2].Out; !reflect.DeepEqual(got, []Out{{"a", 1}}) {
+	if got := r.Entries[2].InFlight; !reflect.DeepEqual(got, []InFlight{{"a", 1}}) {
 		t.Errorf("out later: %+v", got)
 	}
-	got := r.Called("a", func(c *Change) bool { return c.Vector.List.Index < 2 })
+	got := r.CallsTo("a", func(c *Change) bool { return c.Vector.List.Index < 2 })
 	if want := (Count{2, 2}); got.Begun != want || got.Arrived != (Count{1, 2}) || len(got.Caveats) > 0 || !got.Last.Equal(begin) {
 		t.Errorf("a was called %+v", got)
 	}
-	if got := r.Called("a", func(c *Change) bool { return c.Vector.List.Index >= 2 }); got.Begun.Most != 0 {
+	if got := r.CallsTo("a", func(c *Change) bool { return c.Vector.List.Index >= 2 }); got.Begun.Max != 0 {
 		t.Errorf("a was called under the new list: %+v", got)
 	}
 }
@@ -260,12 +260,12 @@
 func TestDamage(t *testing.T) {
 	dir := t.TempDir()
 	files := journal.DirFS(dir)
-	l := open(t, files, LeastBytes)
+	l := open(t, files, MinBytes)
 	for i := range 4 {
-		l.Change(ListTold, "", begin, vector(i))
+		l.RecordChange(CauseEndpointList, "", begin, vector(i))
 		for j := range 3 {
 			for range i + 1 {
-				l.Begin(fmt.Sprint("t", j), begin).Over(true, false)
+				l.BeginCall(fmt.Sprint("t", j), begin).Complete(true, false)
 			}
 		}
 	}
@@ -278,21 +278,21 @@
 	whole := load(t, files)
 	check := func(what string, at int64) {
 		r := load(t, files)
-		if reflect.DeepEqual(r.Entries, whole.Entries) && reflect.DeepEqual(r.Dropped, whole.Dropped) && r.Missed == whole.Missed {
+		if reflect.DeepEqual(r.Entries, whole.Entries) && reflect.DeepEqual(r.Overwritten, whole.Overwritten) && r.Unrecorded == whole.Unrecorded {
 			return
 		}
-		if len(r.Damage) == 0 && r.Dropped.Unread == 0 && !(what == "cut" && at >= headed) { // one without a byte is told as gone unread
+		if len(r.Damage) == 0 && r.Overwritten.UnreadSegments == 0 && !(what == "cut" && at >= headed) { // one without a byte is told as gone unread
 			t.Fatalf("%s at %d: nothing is said of it, and it reads %+v", what, at, r)
 		}
-		again, err := Open(files, LeastBytes, "n1") // and a process starts on it
+		again, err := Open(files, MinBytes, "n1") // and a process starts on it
 		if err != nil {
 			t.Fatalf("%s at %d: %v", what, at, err)
 		}
-		again.Change(Start, "", begin, vector(9))
-		again.Begin("t0", begin)
-		again.Close(End, begin)
+		again.RecordChange(CauseStart, "", begin, vector(9))
+		again.BeginCall("t0", begin)
+		again.Close(CauseStop, begin)
 		after := load(t, files)
-		if got := after.Called("t0", func(c *Change) bool { return c.Cause == Start && c.Vector.List.Index == 9 }); got.Begun.Most != 1 {
+		if got := after.CallsTo("t0", func(c *Change) bool { return c.Cause == CauseStart && c.Vector.List.Index == 9 }); got.Begun.Max != 1 {
 			t.Fatalf("%s at %d: the next process's call is not there: %+v", what, at, got)
 		}
 		names, _ := files.List()
@@ -318,7 +318,7 @@
 			for i, e := range r.Entries {
 				for j, c := range e.Calls {
 					w := whole.Entries[i].Calls[j]
-					if c.Target != w.Target || c.Begun.Most+1 < w.Begun.Most || c.Begun.Least > w.Begun.Least+1 || c.Begun.Most-c.Begun.Least > 1 {
+					if c.Target != w.Target || c.Begun.Max+1 < w.Begun.Max || c.Begun.Min > w.Begun.Min+1 || c.Begun.Max-c.Begun.Min > 1 {
 						t.Fatalf("bit at %d: %+v, and it was %+v", at, c, w)
 					}
 				}
@@ -334,24 +334,24 @@
 // TestAnothers: a folder that another forwarder wrote to says nothing of this one, and is not written over at once.
 func TestAnothers(t *testing.T) {
 	files := journal.DirFS(t.TempDir())
-	l, err := Open(files, LeastBytes, "n2")
+	l, err := Open(files, MinBytes, "n2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Change(Start, "", begin, vector(1))
-	l.Begin("a", begin)
-	l.Close(End, begin)
-	l = open(t, files, LeastBytes)
-	if l.Last().Seq != 0 {
-		t.Errorf("it goes on with another's: %+v", l.Last())
+	l.RecordChange(CauseStart, "", begin, vector(1))
+	l.BeginCall("a", begin)
+	l.Close(CauseStop, begin)
+	l = open(t, files, MinBytes)
+	if l.LastChange().Seq != 0 {
+		t.Errorf("it goes on with another's: %+v", l.LastChange())
 	}
-	l.Change(Start, "", begin, vector(2))
+	l.RecordChange(CauseStart, "", begin, vector(2))
 	r := load(t, files)
-	if got := r.Called("a", any); got.Begun.Most != 0 || len(r.Others) != 1 || len(r.Entries) != 1 {
+	if got := r.CallsTo("a", any); got.Begun.Max != 0 || len(r.Foreign) != 1 || len(r.Entries) != 1 {
 		t.Errorf("%+v, %+v", got, r)
 	}
 	other, err := Read(files, "n2")
-	if err != nil || other.Called("a", any).Begun.Most != 1 {
+	if err != nil || other.CallsTo("a", any).Begun.Max != 1 {
 		t.Errorf("the other's: %+v (%v)", other, err)
 	}
 }
@@ -359,35 +359,35 @@
 // TestOff: a ledger that is not there.
 func TestOff(t *testing.T) {
 	var l *Ledger
-	l.Change(Start, "", begin, vector(1))
-	s := l.Begin("a", begin)
-	s.Over(true, false)
-	s.Carried()
-	l.Resume(1, "a").Over(true, false)
-	l.Close(End, begin)
-	if l.Last().Seq != 0 || s.Under() != 0 {
+	l.RecordChange(CauseStart, "", begin, vector(1))
+	s := l.BeginCall("a", begin)
+	s.Complete(true, false)
+	s.HandOver()
+	l.ResumeCall(1, "a").Complete(true, false)
+	l.Close(CauseStop, begin)
+	if l.LastChange().Seq != 0 || s.ChangeSeq() != 0 {
 		t.Error("it keeps something")
 	}
-	if n := testing.AllocsPerRun(100, func() { l.Begin("a", begin).Over(true, false) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { l.BeginCall("a", begin).Complete(true, false) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
-	for _, n := range []int64{0, LeastBytes - 1, MostBytes + 1} {
+	for _, n := range []int64{0, MinBytes - 1, MaxBytes + 1} {
 		if _, err := Open(journal.DirFS(t.TempDir()), n, "n1"); err == nil {
 			t.Errorf("a ledger of %d bytes", n)
 		}
 	}
-	if _, err := Open(journal.DirFS(filepath.Join(t.TempDir(), "none")), LeastBytes, "n1"); !errors.Is(err, os.ErrNotExist) {
+	if _, err := Open(journal.DirFS(filepath.Join(t.TempDir(), "none")), MinBytes, "n1"); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no folder: %v", err)
 	}
 }
 
 // writeUntilKilled tells each call on its standard output before and after it is counted.
 func writeUntilKilled(dir string) {
-	l, err := Open(journal.DirFS(dir), LeastBytes, "n1")
+	l, err := Open(journal.DirFS(dir), MinBytes, "n1")
 	if err != nil {
 		panic(err)
 	}
-	l.Change(Start, "", time.Now(), vector(1))
+	l.RecordChange(CauseStart, "", time.Now(), vector(1))
 	os.Stdout.WriteString("go\n")
 	f, err := os.OpenFile(filepath.Join(dir, "told"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -398,12 +398,12 @@
 	for i := 0; ; i++ {
 		target := fmt.Sprint("t", r.IntN(3))
 		fmt.Fprintln(f, "+", target)
-		s := l.Begin(target, time.Now())
+		s := l.BeginCall(target, time.Now())
 		fmt.Fprintln(f, "-", target)
 		if r.IntN(50) == 0 {
-			l.Change(ListTold, "", time.Now(), vector(i))
+			l.RecordChange(CauseEndpointList, "", time.Now(), vector(i))
 		}
-		s.Over(true, false)
+		s.Complete(true, false)
 	}
 }
 
@@ -449,35 +449,35 @@
 	}
 	sum := Count{}
 	for _, target := range slices.Sorted(maps.Keys(told)) {
-		got := rec.Called(target, any)
+		got := rec.CallsTo(target, any)
 		sum.add(Count{told[target][0], told[target][1]})
-		if rec.Dropped.Calls == 0 && rec.Dropped.Unread == 0 && (got.Begun.Most < told[target][0] || got.Begun.Least > told[target][1]) {
+		if rec.Overwritten.Calls == 0 && rec.Overwritten.UnreadSegments == 0 && (got.Begun.Max < told[target][0] || got.Begun.Min > told[target][1]) {
 			t.Errorf("%s: it says %+v, and %d to %d were begun", target, got.Begun, told[target][0], told[target][1])
 		}
 	}
-	all := rec.Dropped.Calls
+	all := rec.Overwritten.Calls
 	for _, e := range rec.Entries {
 		for _, c := range e.Calls {
-			all += c.Begun.Most
+			all += c.Begun.Max
 		}
 	}
-	if all < sum.Least && rec.Dropped.Unread == 0 || all > sum.Most { // less only where it says that files are gone unread
+	if all < sum.Min && rec.Overwritten.UnreadSegments == 0 || all > sum.Max { // less only where it says that files are gone unread
 		t.Errorf("%d calls in all, and %+v were begun", all, sum)
 	}
-	if sum.Most < 100 {
-		t.Errorf("only %d calls: this test tests too little", sum.Most)
+	if sum.Max < 100 {
+		t.Errorf("only %d calls: this test tests too little", sum.Max)
 	}
 }
 
 func BenchmarkCall(b *testing.B) {
 	l := open(b, journal.DirFS(b.TempDir()), 1<<20)
-	l.Change(Start, "", begin, vector(1))
+	l.RecordChange(CauseStart, "", begin, vector(1))
 	targets := make([]string, 30)
 	for i := range targets {
 		targets[i] = fmt.Sprintf("s-%08x", i*7919)
 	}
 	now := time.Now()
 	for i := 0; b.Loop(); i++ {
-		l.Begin(targets[i%len(targets)], now).Over(true, false)
+		l.BeginCall(targets[i%len(targets)], now).Complete(true, false)
 	}
 }
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -10,64 +10,64 @@
 	"scaleroute/internal/version"
 )
 
-// Record is a ledger as it is read, also one that is being written.
-type Record struct {
-	Entries []Entry  `json:"entries"`          // in order; numbers that lack were not kept
-	Dropped Dropped  `json:"dropped"`          // overwritten since
-	Missed  Missed   `json:"missed"`           // there was no room for it
-	Damage  []string `json:"damage,omitempty"` // what can't be read
-	Others  []string `json:"others,omitempty"` // files that another forwarder wrote
+// Snapshot is a ledger as it is read, also one that is being written.
+type Snapshot struct {
+	Entries     []Entry     `json:"entries"`          // in order; numbers that lack were not kept
+	Overwritten Overwritten `json:"dropped"`          // overwritten since
+	Unrecorded  Unrecorded  `json:"missed"`           // there was no room for it
+	Damage      []string    `json:"damage,omitempty"` // what can't be read
+	Foreign     []string    `json:"others,omitempty"` // files that another forwarder wrote
 }
 
 // Entry is a change, and the calls that were begun under it.
 type Entry struct {
 	Change
-	Calls []Calls `json:"calls,omitempty"`
+	Calls []CallCounts `json:"calls,omitempty"`
 }
 
-// Calls are those to one target under one change.
-type Calls struct {
-	Target   string    `json:"target"`
-	First    time.Time `json:"first"`
-	Last     time.Time `json:"last"`
-	Begun    Count     `json:"begun"` // that were about to be made
-	Over     Count     `json:"over"`
-	Unsent   Count     `json:"unsent"`   // never written whole: they did not run
-	Answered Count     `json:"answered"` // by the target
+// CallCounts are those to one target under one change.
+type CallCounts struct {
+	Target    string    `json:"target"`
+	First     time.Time `json:"first"`
+	Last      time.Time `json:"last"`
+	Begun     Count     `json:"begun"` // that were about to be made
+	Completed Count     `json:"over"`
+	Unsent    Count     `json:"unsent"`   // never written whole: they did not run
+	Answered  Count     `json:"answered"` // by the target
 }
 
 // Count is how many: exactly, or within a kill's step.
 type Count struct {
-	Least uint64 `json:"least"`
-	Most  uint64 `json:"most"`
+	Min uint64 `json:"least"`
+	Max uint64 `json:"most"`
 }
 
 // Plus is both together.
-func (c Count) Plus(o Count) Count { return Count{c.Least + o.Least, c.Most + o.Most} }
+func (c Count) Plus(o Count) Count { return Count{c.Min + o.Min, c.Max + o.Max} }
 
-func (c *Count) add(o Count) { c.Least, c.Most = c.Least+o.Least, c.Most+o.Most }
+func (c *Count) add(o Count) { c.Min, c.Max = c.Min+o.Min, c.Max+o.Max }
 
-// Dropped is what has been overwritten.
-type Dropped struct {
-	Changes uint64    `json:"changes"`
-	Calls   uint64    `json:"calls"`
-	Until   time.Time `json:"until,omitzero"`   // the newest of the calls
-	Unread  int       `json:"unread,omitempty"` // segments that were damaged or another's, and made room
+// Overwritten is what has been overwritten.
+type Overwritten struct {
+	Changes        uint64    `json:"changes"`
+	Calls          uint64    `json:"calls"`
+	Latest         time.Time `json:"until,omitzero"`   // the newest of the calls
+	UnreadSegments int       `json:"unread,omitempty"` // segments that were damaged or another's, and made room
 }
 
-// Missed is what there was no room for.
-type Missed struct {
+// Unrecorded is what there was no room for.
+type Unrecorded struct {
 	Calls   Count `json:"calls"`
 	Changes Count `json:"changes"`
 }
 
 // Read reads the ledger of a forwarder in a folder; without its name, whoever's is newest.
-func Read(files FS, name string) (*Record, error) {
+func Read(files FS, name string) (*Snapshot, error) {
 	names, err := files.List()
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	r := &Record{}
+	r := &Snapshot{}
 	own := version.DigestOf([]byte(name))
 	entries := map[uint64]*Entry{}
 	slices.Sort(names)
@@ -96,25 +96,25 @@
 			name, own = "?", h.name
 		}
 		if h.name != own {
-			r.Others = append(r.Others, n)
+			r.Foreign = append(r.Foreign, n)
 			continue
 		}
 		if newest {
 			newest = false
-			r.Dropped = Dropped{Changes: h.dropped.changes, Calls: h.dropped.calls, Unread: int(h.dropped.unread)}
+			r.Overwritten = Overwritten{Changes: h.dropped.changes, Calls: h.dropped.calls, UnreadSegments: int(h.dropped.unread)}
 			if h.dropped.until > 0 {
-				r.Dropped.Until = time.Unix(0, h.dropped.until)
+				r.Overwritten.Latest = time.Unix(0, h.dropped.until)
 			}
 			calls, changes := read(text[offMissedCalls:]), read(text[offMissedChanges:])
-			r.Missed = Missed{Count{h.missed.calls + calls.least, h.missed.calls + calls.most}, Count{h.missed.changes + changes.least, h.missed.changes + changes.most}}
+			r.Unrecorded = Unrecorded{Count{h.missed.calls + calls.least, h.missed.calls + calls.most}, Count{h.missed.changes + changes.least, h.missed.changes + changes.most}}
 		}
 		if _, damage := scan(text, func(one record) { r.take(one, entries, n) }); damage != "" {
 			r.Damage = append(r.Damage, n+": "+damage)
 		}
 	}
-	r.Dropped.Unread += half
+	r.Overwritten.UnreadSegments += half
 	for _, e := range entries {
-		slices.SortFunc(e.Calls, func(a, b Calls) int { return cmp.Compare(a.Target, b.Target) })
+		slices.SortFunc(e.Calls, func(a, b CallCounts) int { return cmp.Compare(a.Target, b.Target) })
 		r.Entries = append(r.Entries, *e)
 	}
 	slices.SortFunc(r.Entries, func(a, b Entry) int { return cmp.Compare(a.Seq, b.Seq) })
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if size > MostBytes {
+	if size > MaxBytes {
 		return nil, fmt.Errorf("%d bytes", size)
 	}
 	text := make([]byte, size)
@@ -141,7 +141,7 @@
 	return text, nil
 }
 
-func (r *Record) take(one record, entries map[uint64]*Entry, file string) {
+func (r *Snapshot) take(one record, entries map[uint64]*Entry, file string) {
 	switch one.kind {
 	case kindChange:
 		e := Entry{}
@@ -160,8 +160,8 @@
 			e = &Entry{Change: Change{Seq: one.seq}}
 			entries[one.seq] = e
 		}
-		c := Calls{Target: string(one.target), First: time.Unix(0, one.first), Last: readTime(one.counters[last*16:])}
-		for i, to := range map[int]*Count{begun: &c.Begun, over: &c.Over, unsent: &c.Unsent, answered: &c.Answered} {
+		c := CallCounts{Target: string(one.target), First: time.Unix(0, one.first), Last: readTime(one.counters[last*16:])}
+		for i, to := range map[int]*Count{begun: &c.Begun, over: &c.Completed, unsent: &c.Unsent, answered: &c.Answered} {
 			b := read(one.counters[i*16:])
 			if *to = (Count{b.least, b.most}); b.damaged {
 				r.Damage = append(r.Damage, fmt.Sprintf("%s: a count of %s under change %d", file, c.Target, one.seq))
@@ -173,7 +173,7 @@
 		for i := range e.Calls {
 			if have := &e.Calls[i]; have.Target == c.Target { // in an older segment, or a newer one
 				have.Begun.add(c.Begun)
-				have.Over.add(c.Over)
+				have.Completed.add(c.Completed)
 				have.Unsent.add(c.Unsent)
 				have.Answered.add(c.Answered)
 				if c.First.Before(have.First) {
@@ -189,18 +189,18 @@
 	}
 }
 
-// Answer says how often a target was called.
-type Answer struct {
+// CallSummary says how often a target was called.
+type CallSummary struct {
 	Begun   Count     `json:"begun"`   // calls that were decided and about to be made
 	Arrived Count     `json:"arrived"` // of those, how many the target can have got: at least those that it answered
 	First   time.Time `json:"first,omitzero"`
 	Last    time.Time `json:"last,omitzero"`
-	Under   []uint64  `json:"under,omitempty"`   // the changes under which
+	Changes []uint64  `json:"under,omitempty"`   // the changes under which
 	Caveats []string  `json:"caveats,omitempty"` // why there may be more
 }
 
-// Called answers how often a target was called under the changes that a question fits.
-func (r *Record) Called(target string, fits func(*Change) bool) (a Answer) {
+// CallsTo answers how often a target was called under the changes that a question fits.
+func (r *Snapshot) CallsTo(target string, fits func(*Change) bool) (a CallSummary) {
 	for i := range r.Entries {
 		e := &r.Entries[i]
 		for _, c := range e.Calls {
@@ -208,8 +208,8 @@
 				continue
 			}
 			a.Begun.add(c.Begun)
-			a.Arrived.add(Count{c.Answered.Least, c.Begun.Most - min(c.Begun.Most, c.Unsent.Least)})
-			a.Under = append(a.Under, e.Seq)
+			a.Arrived.add(Count{c.Answered.Min, c.Begun.Max - min(c.Begun.Max, c.Unsent.Min)})
+			a.Changes = append(a.Changes, e.Seq)
 			if a.First.IsZero() || c.First.Before(a.First) {
 				a.First = c.First
 			}
@@ -223,21 +223,21 @@
 }
 
 // Caveats lists what the record does not have, in words; none: it is whole.
-func (r *Record) Caveats() (list []string) {
-	if r.Dropped.Changes > 0 || r.Dropped.Calls > 0 {
-		list = append(list, fmt.Sprintf("%d changes and %d calls, the last at %s, have been overwritten: give the ledger more bytes", r.Dropped.Changes, r.Dropped.Calls,
-			r.Dropped.Until.UTC().Format(time.RFC3339Nano)))
+func (r *Snapshot) Caveats() (list []string) {
+	if r.Overwritten.Changes > 0 || r.Overwritten.Calls > 0 {
+		list = append(list, fmt.Sprintf("%d changes and %d calls, the last at %s, have been overwritten: give the ledger more bytes", r.Overwritten.Changes, r.Overwritten.Calls,
+			r.Overwritten.Latest.UTC().Format(time.RFC3339Nano)))
 	}
-	if r.Dropped.Unread > 0 {
-		list = append(list, fmt.Sprintf("%d files that were damaged, another forwarder's, or being written anew when the process was killed have made room, unread", r.Dropped.Unread))
+	if r.Overwritten.UnreadSegments > 0 {
+		list = append(list, fmt.Sprintf("%d files that were damaged, another forwarder's, or being written anew when the process was killed have made room, unread", r.Overwritten.UnreadSegments))
 	}
-	if r.Missed.Calls.Most > 0 || r.Missed.Changes.Most > 0 {
-		list = append(list, fmt.Sprintf("there was no room for %d calls and %d changes: make room on the disk of NODE_STATE", r.Missed.Calls.Most, r.Missed.Changes.Most))
+	if r.Unrecorded.Calls.Max > 0 || r.Unrecorded.Changes.Max > 0 {
+		list = append(list, fmt.Sprintf("there was no room for %d calls and %d changes: make room on the disk of NODE_STATE", r.Unrecorded.Calls.Max, r.Unrecorded.Changes.Max))
 	}
 	for _, d := range r.Damage {
 		list = append(list, "damaged: "+d)
 	}
-	for _, o := range r.Others {
+	for _, o := range r.Foreign {
 		list = append(list, "another forwarder's: "+o)
 	}
 	return list
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -68,7 +68,7 @@
 	data    []byte // mapped
 	end     int64  // of the records
 	entries int
-	slots   []*Slot
+	slots   []*CallCounter
 }
 
 type dropped struct {
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if size < headed || size > MostBytes {
+	if size < headed || size > MaxBytes {
 		return nil, fmt.Errorf("%s has %d bytes", name, size)
 	}
 	d, ok := f.(descriptor)
@@ -213,7 +213,7 @@
 func padded(n int) int { return (n + 7) &^ 7 }
 
 // append writes a record if there is room for it; that of a slot gets its counts.
-func (s *segment) append(kind byte, payload []byte, slot *Slot) bool {
+func (s *segment) append(kind byte, payload []byte, slot *CallCounter) bool {
 	whole := int64(recordHead + padded(len(payload)))
 	if slot != nil {
 		whole += counts * 16
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -41,8 +41,8 @@
 	if f == nil {
 		return
 	}
-	if f.Ledger != 0 && (f.Ledger < ledger.LeastBytes || f.Ledger > ledger.MostBytes) {
-		add("fleet.ledger", fmt.Sprintf("a ledger of %d bytes", f.Ledger), fmt.Sprintf("set from %d to %d bytes, or leave it out", ledger.LeastBytes, ledger.MostBytes))
+	if f.Ledger != 0 && (f.Ledger < ledger.MinBytes || f.Ledger > ledger.MaxBytes) {
+		add("fleet.ledger", fmt.Sprintf("a ledger of %d bytes", f.Ledger), fmt.Sprintf("set from %d to %d bytes, or leave it out", ledger.MinBytes, ledger.MaxBytes))
 	}
 	if d := time.Duration(f.Fence); d != 0 && (d < fence.MinLease || d > mostFence) {
 		add("fleet.fence", fmt.Sprintf("a lease of %v", d), fmt.Sprintf("set from %v to %v, or leave it out", fence.MinLease, mostFence))
