--- a/cmd/scaleroute-lab/fleetrun.go
+++ b/cmd/scaleroute-lab/fleetrun.go
@@ -56,8 +56,8 @@
 	ListCalls  int              `json:"list_calls"`
 	Gossip     float64          `json:"gossip_kb_per_s"` // a forwarder
 	Speaker    spread           `json:"speaker_cpu_ms"`  // of the process that speaks for one that runs at the end
-	Lists      []audit.RollOut  `json:"lists,omitempty"`
-	Files      []audit.RollOut  `json:"operators,omitempty"`
+	Lists      []audit.Rollout  `json:"lists,omitempty"`
+	Files      []audit.Rollout  `json:"operators,omitempty"`
 	Verdicts   map[string]int   `json:"verdicts,omitempty"` // at the end
 	Spreads    []fleet.Spread   `json:"spreads"`            // over targets that never drained, the first third left out
 	Opened     float64          `json:"connections_per_call"`
@@ -350,9 +350,9 @@
 	if !audited {
 		return
 	}
-	all := audit.Doors(ctx, doors, 5*time.Second, nil)
+	all := audit.CollectMembers(ctx, doors, 5*time.Second, nil)
 	m := audit.Merge(all, version.Desired{}, nil)
-	p.Lists, p.Files, p.Verdicts = m.Lists, m.Files, map[string]int{}
+	p.Lists, p.Files, p.Verdicts = m.Lists, m.OperatorFiles, map[string]int{}
 	for i := range p.Lists {
 		p.Lists[i].Steps = nil
 	}
@@ -366,15 +366,15 @@
 }
 
 // compare holds what the ledgers say of each target against what the target saw of each forwarder, where no folder was touched.
-func (p *fleetReport) compare(r *fleet.Rig, all []audit.Gathered) {
+func (p *fleetReport) compare(r *fleet.Rig, all []audit.MemberData) {
 	for _, g := range all {
 		n := r.Node(g.Name)
-		if n == nil || n.Touched() || g.Record == nil || len(g.Record.Caveats()) > 0 {
+		if n == nil || n.Touched() || g.Ledger == nil || len(g.Ledger.Caveats()) > 0 {
 			continue
 		}
 		for _, e := range r.World.Endpoints {
 			seen, _ := n.Arrived(e.Name, time.Time{}, time.Time{})
-			a := audit.Merge([]audit.Gathered{g}, version.Desired{}, &audit.Question{Target: e.Name}).Asked
+			a := audit.Merge([]audit.MemberData{g}, version.Desired{}, &audit.CallQuery{Target: e.Name}).Calls
 			p.Audited++
 			if a.Total.Min > uint64(seen) || a.Total.Max < uint64(seen) {
 				p.Differ = append(p.Differ, fmt.Sprintf("%s has seen %d calls of %s, and the audit says %d to %d", e.Name, seen, g.Name, a.Total.Min, a.Total.Max))
@@ -411,7 +411,7 @@
 			doors = append(doors, pr.Door())
 		}
 	}
-	all := audit.Doors(context.Background(), doors, 5*time.Second, nil)
+	all := audit.CollectMembers(context.Background(), doors, 5*time.Second, nil)
 	put := func(name string, write func(io.Writer) error) error {
 		f, err := os.Create(filepath.Join(dir, name))
 		if err != nil {
@@ -423,7 +423,7 @@
 		put("forwarders.parquet", func(w io.Writer) error { return parquet.Write(w, rows) }),
 		put("calls.parquet", func(w io.Writer) error { return audit.WriteParquet(w, audit.Rows(all)) }),
 		put("lists.png", func(w io.Writer) error {
-			return audit.WriteChart(w, audit.Merge(all, version.Desired{}, nil), len(r.Nodes))
+			return audit.WriteRolloutChart(w, audit.Merge(all, version.Desired{}, nil), len(r.Nodes))
 		}))
 }
 
--- a/cmd/scaleroute/fleet_test.go
+++ b/cmd/scaleroute/fleet_test.go
@@ -324,13 +324,13 @@
 	for _, one := range n {
 		doors = append(doors, one.Process().Door())
 	}
-	report := audit.Merge(audit.Doors(t.Context(), doors, 5*time.Second, nil), version.Desired{}, &audit.Question{Target: victim.Name, Older: index})
-	for _, by := range report.Asked.By {
+	report := audit.Merge(audit.CollectMembers(t.Context(), doors, 5*time.Second, nil), version.Desired{}, &audit.CallQuery{Target: victim.Name, BelowIndex: index})
+	for _, by := range report.Calls.Members {
 		i := slices.IndexFunc(n, func(one *fleet.Node) bool { return one.Name == by.Name })
 		if seen, _ := n[i].Arrived(victim.Name, time.Time{}, time.Time{}); i < 3 && by.Arrived != (ledger.Count{Min: uint64(seen), Max: uint64(seen)}) {
 			t.Errorf("the audit has %s call %s %+v times, and it saw %d", by.Name, victim.Name, by.Arrived, seen)
 		}
-		if by.Acting.List.Index >= index && by.Begun.Max > 0 {
+		if by.LastVector.List.Index >= index && by.Begun.Max > 0 {
 			t.Errorf("%s: %+v", by.Name, by)
 		}
 	}
@@ -339,7 +339,7 @@
 			t.Errorf("%s is %s, its clock %v off", m.Name, m.Verdict, m.Offset)
 		}
 	}
-	if i := slices.IndexFunc(report.Lists, func(o audit.RollOut) bool { return o.Index == index }); i < 0 || report.Lists[i].Acted != len(n) || report.Lists[i].Digests != 1 {
+	if i := slices.IndexFunc(report.Lists, func(o audit.Rollout) bool { return o.Index == index }); i < 0 || report.Lists[i].Acted != len(n) || report.Lists[i].Digests != 1 {
 		t.Errorf("the list that drains it: %+v", report.Lists)
 	}
 	// The one that slept: fenced, no call until it was confirmed, and by then the list is in force.
--- a/cmd/scaleroute/load_test.go
+++ b/cmd/scaleroute/load_test.go
@@ -30,7 +30,7 @@
 		for _, one := range nodes {
 			doors = append(doors, one.Process().Door())
 		}
-		return load.Merge(audit.Loads(context.Background(), doors, time.Second, nil), 60)
+		return load.Merge(audit.CollectLoads(context.Background(), doors, time.Second, nil), 60)
 	}
 	over := make(chan struct{})
 	wait := r.Load(12, 8, 100, over)
--- a/cmd/scaleroute/member_faults_test.go
+++ b/cmd/scaleroute/member_faults_test.go
@@ -93,11 +93,11 @@
 	for _, one := range nodes {
 		doors = append(doors, one.Process().Door())
 	}
-	all := audit.Doors(context.Background(), doors, 5*time.Second, nil)
+	all := audit.CollectMembers(context.Background(), doors, 5*time.Second, nil)
 	for i, one := range nodes {
 		for _, e := range r.World.Endpoints {
 			seen, _ := one.Arrived(e.Name, time.Time{}, time.Time{})
-			a := audit.Merge(all[i:i+1], version.Desired{}, &audit.Question{Target: e.Name}).Asked
+			a := audit.Merge(all[i:i+1], version.Desired{}, &audit.CallQuery{Target: e.Name}).Calls
 			if a.Total.Min > uint64(seen) || a.Total.Max < uint64(seen) {
 				t.Errorf("%s has seen %d calls of %s, and the audit says %d to %d", e.Name, seen, one.Name, a.Total.Min, a.Total.Max)
 			}
@@ -331,16 +331,16 @@
 			}
 			for _, e := range r.World.Endpoints {
 				before, _ := n[7].Arrived(e.Name, time.Time{}, time.Time{})
-				all := audit.Doors(context.Background(), []string{n[7].Process().Door()}, 5*time.Second, nil)
+				all := audit.CollectMembers(context.Background(), []string{n[7].Process().Door()}, 5*time.Second, nil)
 				after, _ := n[7].Arrived(e.Name, time.Time{}, time.Time{})
-				a := audit.Merge(all, version.Desired{}, &audit.Question{Target: e.Name})
-				if all[0].Record == nil {
+				a := audit.Merge(all, version.Desired{}, &audit.CallQuery{Target: e.Name})
+				if all[0].Ledger == nil {
 					t.Errorf("n8 is not audited: %s", all[0].Err)
 					return
 				}
 				out := uint64(4) // begun, and not at the target yet, when either was read
-				if a.Asked.Total.Min > uint64(after)+out || a.Asked.Total.Max+out < uint64(before) && len(a.Caveats) == 0 {
-					t.Errorf("%s has seen %d to %d calls of n8, and the audit says %+v, %v", e.Name, before, after, a.Asked.Total, a.Caveats)
+				if a.Calls.Total.Min > uint64(after)+out || a.Calls.Total.Max+out < uint64(before) && len(a.Caveats) == 0 {
+					t.Errorf("%s has seen %d to %d calls of n8, and the audit says %+v, %v", e.Name, before, after, a.Calls.Total, a.Caveats)
 				}
 			}
 		}
@@ -366,8 +366,8 @@
 	report := exact(t, r, n[:7]...)
 	for _, m := range report.Members {
 		skew := map[string]time.Duration{"n4": 10 * time.Minute, "n5": -10 * time.Minute}[m.Name]
-		if d := m.Offset - skew; d < -m.Error-time.Millisecond || d > m.Error+time.Millisecond {
-			t.Errorf("%s: its clock is said to be off by %v within %v, and is by %v", m.Name, m.Offset, m.Error, skew)
+		if d := m.Offset - skew; d < -m.OffsetError-time.Millisecond || d > m.OffsetError+time.Millisecond {
+			t.Errorf("%s: its clock is said to be off by %v within %v, and is by %v", m.Name, m.Offset, m.OffsetError, skew)
 		}
 		if want := m.Name == "n6"; (m.Verdict == straggler.Diverged) != want {
 			t.Errorf("%s is %s", m.Name, m.Verdict)
--- a/cmd/scaleroutectl/fleet.go
+++ b/cmd/scaleroutectl/fleet.go
@@ -302,25 +302,25 @@
 	}
 	bar := progressbar.NewOptions(len(doors), progressbar.OptionSetWriter(errs.Writer), progressbar.OptionSetDescription("asking"), progressbar.OptionShowCount(), progressbar.OptionSetPredictTime(true),
 		progressbar.OptionClearOnFinish(), progressbar.OptionSetVisibility(!c.Quiet && !c.JSON))
-	all := audit.Doors(context.Background(), doors, c.Timeout, func() { bar.Add(1) })
+	all := audit.CollectMembers(context.Background(), doors, c.Timeout, func() { bar.Add(1) })
 	bar.Finish()
 	for _, name := range unheard {
-		all = append(all, audit.Gathered{Source: "?", Name: name, Err: "it has not told its door: is ops set there?"})
+		all = append(all, audit.MemberData{Source: "?", Name: name, Err: "it has not told its door: is ops set there?"})
 	}
 	for _, f := range c.Folder {
 		name, dir, ok := strings.Cut(f, "=")
 		if !ok {
 			name, dir = "", f
 		}
-		all = append(all, audit.Folder(dir, name))
+		all = append(all, audit.ReadFolder(dir, name))
 	}
-	var q *audit.Question
+	var q *audit.CallQuery
 	if c.Target != "" {
-		q = &audit.Question{Target: c.Target, Older: c.Older}
+		q = &audit.CallQuery{Target: c.Target, BelowIndex: c.Older}
 	}
 	r := audit.Merge(all, want, q)
 	if err := export(c.Parquet, func(w io.Writer) error { return audit.WriteParquet(w, audit.Rows(all)) },
-		c.Chart, func(w io.Writer) error { return audit.WriteChart(w, r, len(r.Members)) }); err != nil {
+		c.Chart, func(w io.Writer) error { return audit.WriteRolloutChart(w, r, len(r.Members)) }); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -389,37 +389,37 @@
 	fmt.Fprintln(t, "member\tverdict\tlist\tbuild\toperators\tchanges\tslept\tclock\tsince")
 	for _, m := range r.Members {
 		if m.Vector == nil {
-			fmt.Fprintf(t, "%s\t%s\t\t\t\t%d\t%d\t\t\n", m.Name, m.Verdict, m.Changes, m.Slept)
+			fmt.Fprintf(t, "%s\t%s\t\t\t\t%d\t%d\t\t\n", m.Name, m.Verdict, m.Changes, m.FencedCount)
 			continue
 		}
 		v := m.Vector
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%.8s\t%d\t%d\t%+.3fs ±%v\t%s\n", m.Name, m.Verdict, v.List.Index, v.Build, v.Operators.Digest, m.Changes, m.Slept, m.Offset.Seconds(), m.Error.Round(time.Microsecond),
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%.8s\t%d\t%d\t%+.3fs ±%v\t%s\n", m.Name, m.Verdict, v.List.Index, v.Build, v.Operators.Digest, m.Changes, m.FencedCount, m.Offset.Seconds(), m.OffsetError.Round(time.Microsecond),
 			v.Started.UTC().Format("15:04:05"))
 	}
 	t.Flush()
 	for _, m := range r.Members {
 		if m.Verdict != straggler.Current {
-			fmt.Fprintf(out, "%s is %s: %s\n", m.Name, m.Verdict, cmp.Or(m.ShutOut, m.Remedy))
+			fmt.Fprintf(out, "%s is %s: %s\n", m.Name, m.Verdict, cmp.Or(m.FencedOffReason, m.Remedy))
 		}
 	}
 	for _, o := range r.Lists[max(0, len(r.Lists)-c.Lists):] {
 		c.rollOut(out, &o)
 	}
-	if len(r.Files) > 1 {
-		for _, o := range r.Files {
+	if len(r.OperatorFiles) > 1 {
+		for _, o := range r.OperatorFiles {
 			fmt.Fprint(out, "operators ")
 			c.rollOut(out, &o)
 		}
 	}
-	if a := r.Asked; a != nil {
+	if a := r.Calls; a != nil {
 		under := "any list"
-		if a.Older > 0 {
-			under = fmt.Sprintf("lists before %d", a.Older)
+		if a.BelowIndex > 0 {
+			under = fmt.Sprintf("lists before %d", a.BelowIndex)
 		}
-		fmt.Fprintf(out, "%s under %s: %s calls have arrived, by %d members\n", a.Target, under, count(a.Total.Min, a.Total.Max), len(a.By))
-		for _, by := range a.By {
+		fmt.Fprintf(out, "%s under %s: %s calls have arrived, by %d members\n", a.Target, under, count(a.Total.Min, a.Total.Max), len(a.Members))
+		for _, by := range a.Members {
 			fmt.Fprintf(out, "  %s: %s, the last at %s (clock of this machine), under list %d, operators %.8s, build %s, since %q\n", by.Name, count(by.Arrived.Min, by.Arrived.Max),
-				by.LastHere.UTC().Format("2006-01-02 15:04:05.000"), by.Acting.List.Index, by.Acting.Operators.Digest, by.Acting.Build, by.Cause)
+				by.LastCorrected.UTC().Format("2006-01-02 15:04:05.000"), by.LastVector.List.Index, by.LastVector.Operators.Digest, by.LastVector.Build, by.Cause)
 		}
 	}
 	for _, text := range r.Caveats {
@@ -434,11 +434,11 @@
 	return fmt.Sprintf("%d to %d", least, most)
 }
 
-func (c *auditCommand) rollOut(out io.Writer, o *audit.RollOut) {
+func (c *auditCommand) rollOut(out io.Writer, o *audit.Rollout) {
 	fmt.Fprintln(out, o)
 	if c.Steps {
 		for _, s := range o.Steps {
-			fmt.Fprintf(out, "  %10v ±%v  %s (%s, change %d)\n", s.After.Round(time.Microsecond), s.Error.Round(time.Microsecond), s.Name, s.Cause, s.Seq)
+			fmt.Fprintf(out, "  %10v ±%v  %s (%s, change %d)\n", s.After.Round(time.Microsecond), s.OffsetError.Round(time.Microsecond), s.Name, s.Cause, s.Seq)
 		}
 	}
 }
--- a/cmd/scaleroutectl/fleetload.go
+++ b/cmd/scaleroutectl/fleetload.go
@@ -87,7 +87,7 @@
 	}
 	bar := progressbar.NewOptions(len(doors), progressbar.OptionSetWriter(errs.Writer), progressbar.OptionSetDescription("asking"), progressbar.OptionShowCount(), progressbar.OptionSetPredictTime(true),
 		progressbar.OptionClearOnFinish(), progressbar.OptionSetVisibility(!c.Quiet && !c.JSON))
-	all := audit.Loads(context.Background(), doors, c.Timeout, func() { bar.Add(1) })
+	all := audit.CollectLoads(context.Background(), doors, c.Timeout, func() { bar.Add(1) })
 	bar.Finish()
 	for _, name := range unheard {
 		all = append(all, load.Member{Source: name, Err: "it has not told its door: is ops set there?"})
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -13,46 +13,46 @@
 	"scaleroute/internal/version"
 )
 
-// Gathered is what one member has said, or why it has not.
-type Gathered struct {
-	Source  string           `json:"source"` // its door, or its folder
-	Name    string           `json:"name"`
-	Vector  *version.Vector  `json:"vector,omitempty"` // that it acts under now; nil: its process was not asked
-	Fenced  bool             `json:"fenced,omitempty"`
-	ShutOut string           `json:"shut_out,omitempty"`
-	Offset  time.Duration    `json:"offset_ns"` // its clock less the auditor's
-	Error   time.Duration    `json:"error_ns"`  // of that, at most
-	Record  *ledger.Snapshot `json:"-"`
-	Err     string           `json:"err,omitempty"` // why nothing is known of it
+// MemberData is what one member has said, or why it has not.
+type MemberData struct {
+	Source          string           `json:"source"` // its door, or its folder
+	Name            string           `json:"name"`
+	Vector          *version.Vector  `json:"vector,omitempty"` // that it acts under now; nil: its process was not asked
+	Fenced          bool             `json:"fenced,omitempty"`
+	FencedOffReason string           `json:"shut_out,omitempty"`
+	Offset          time.Duration    `json:"offset_ns"` // its clock less the auditor's
+	OffsetError     time.Duration    `json:"error_ns"`  // of that, at most
+	Ledger          *ledger.Snapshot `json:"-"`
+	Err             string           `json:"err,omitempty"` // why nothing is known of it
 }
 
 // Report is what the audit has found.
 type Report struct {
-	Members []Member  `json:"members"`
-	Lists   []RollOut `json:"lists"`     // by index
-	Files   []RollOut `json:"operators"` // by digest, in the order in which they were first acted on
-	Asked   *Asked    `json:"asked,omitempty"`
-	Caveats []string  `json:"caveats,omitempty"`
+	Members       []Member    `json:"members"`
+	Lists         []Rollout   `json:"lists"`     // by index
+	OperatorFiles []Rollout   `json:"operators"` // by digest, in the order in which they were first acted on
+	Calls         *CallReport `json:"asked,omitempty"`
+	Caveats       []string    `json:"caveats,omitempty"`
 }
 
 // Member is how one stands.
 type Member struct {
-	Gathered
-	Verdict straggler.Verdict  `json:"verdict"`
-	Lacks   []version.Mismatch `json:"lacks,omitempty"`
-	Remedy  string             `json:"remedy,omitempty"`
-	Changes int                `json:"changes"` // that its ledger has
-	Slept   int                `json:"slept"`   // times that it was fenced
+	MemberData
+	Verdict     straggler.Verdict  `json:"verdict"`
+	Mismatches  []version.Mismatch `json:"lacks,omitempty"`
+	Remedy      string             `json:"remedy,omitempty"`
+	Changes     int                `json:"changes"` // that its ledger has
+	FencedCount int                `json:"slept"`   // times that it was fenced
 }
 
-// RollOut is how a version went through the fleet.
-type RollOut struct {
+// Rollout is how a version went through the fleet.
+type Rollout struct {
 	Index   int64          `json:"index,omitempty"`
 	Digest  version.Digest `json:"digest"`
 	Digests int            `json:"digests"` // contents under this index: more than 1 is a fork
 	First   time.Time      `json:"first"`   // by the auditor's clock
 	Half    time.Duration  `json:"half_ns,omitempty"`
-	Most    time.Duration  `json:"most_ns,omitempty"` // 99 of 100
+	P99     time.Duration  `json:"most_ns,omitempty"` // 99 of 100
 	All     time.Duration  `json:"all_ns,omitempty"`  // 0: not all have
 	Acted   int            `json:"acted"`             // members that acted on it, or on a later one
 	Steps   []Step         `json:"steps"`
@@ -60,42 +60,42 @@
 
 // Step is one member's.
 type Step struct {
-	Name  string        `json:"name"`
-	After time.Duration `json:"after_ns"` // the first
-	Cause string        `json:"cause"`
-	Seq   uint64        `json:"seq"`
-	Error time.Duration `json:"error_ns"`
+	Name        string        `json:"name"`
+	After       time.Duration `json:"after_ns"` // the first
+	Cause       string        `json:"cause"`
+	Seq         uint64        `json:"seq"`
+	OffsetError time.Duration `json:"error_ns"`
 }
 
-// Question is about calls to a target.
-type Question struct {
-	Target string
-	Older  int64          // under lists with a lower index; 0: under any
-	Not    version.Digest // under operators' settings other than these; 0: under any
+// CallQuery is about calls to a target.
+type CallQuery struct {
+	Target          string
+	BelowIndex      int64          // under lists with a lower index; 0: under any
+	ExceptOperators version.Digest // under operators' settings other than these; 0: under any
 }
 
-// Asked is its answer.
-type Asked struct {
-	Target string       `json:"target"`
-	Older  int64        `json:"older_than,omitempty"`
-	Total  ledger.Count `json:"arrived"`
-	By     []By         `json:"by"`
+// CallReport is its answer.
+type CallReport struct {
+	Target     string        `json:"target"`
+	BelowIndex int64         `json:"older_than,omitempty"`
+	Total      ledger.Count  `json:"arrived"`
+	Members    []MemberCalls `json:"by"`
 }
 
-// By is one member's part.
-type By struct {
+// MemberCalls is one member's part.
+type MemberCalls struct {
 	Name string `json:"name"`
 	ledger.CallSummary
-	LastHere time.Time      `json:"last_here"` // by the auditor's clock
-	Acting   version.Vector `json:"acting"`    // the last of the vectors under which it was called
-	Cause    string         `json:"cause"`
+	LastCorrected time.Time      `json:"last_here"` // by the auditor's clock
+	LastVector    version.Vector `json:"acting"`    // the last of the vectors under which it was called
+	Cause         string         `json:"cause"`
 }
 
 // Merge judges what was gathered. want is what the fleet is to act under; empty: the newest list that anybody has.
-func Merge(all []Gathered, want version.Desired, q *Question) *Report {
+func Merge(all []MemberData, want version.Desired, q *CallQuery) *Report {
 	r := &Report{}
 	all = slices.Clone(all)
-	slices.SortFunc(all, func(a, b Gathered) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Source, b.Source)) })
+	slices.SortFunc(all, func(a, b MemberData) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Source, b.Source)) })
 	if want.Empty() {
 		for _, g := range all {
 			if g.Vector != nil {
@@ -120,29 +120,29 @@
 		processes[g.Name][g.Vector.Started] = true
 	}
 	for _, g := range all {
-		m := Member{Gathered: g, Verdict: straggler.Current}
-		if g.Record != nil {
-			m.Changes = len(g.Record.Entries)
-			for _, e := range g.Record.Entries {
+		m := Member{MemberData: g, Verdict: straggler.Current}
+		if g.Ledger != nil {
+			m.Changes = len(g.Ledger.Entries)
+			for _, e := range g.Ledger.Entries {
 				if e.Cause == ledger.CauseFenced {
-					m.Slept++
+					m.FencedCount++
 				}
 			}
-			for _, c := range g.Record.Caveats() {
+			for _, c := range g.Ledger.Caveats() {
 				r.Caveats = append(r.Caveats, g.Name+": "+c)
 			}
 		}
 		switch v := g.Vector; {
-		case v == nil && g.Record != nil && g.Err == "": // a folder: what its process acts under is not known
-			if n := len(g.Record.Entries); n > 0 {
-				last := g.Record.Entries[n-1].Vector
-				m.Lacks = last.Mismatches(want)
+		case v == nil && g.Ledger != nil && g.Err == "": // a folder: what its process acts under is not known
+			if n := len(g.Ledger.Entries); n > 0 {
+				last := g.Ledger.Entries[n-1].Vector
+				m.Mismatches = last.Mismatches(want)
 			}
 			m.Verdict, m.Remedy = straggler.Silent, "its process was not asked: only its folder was read"
 		case v == nil:
 			m.Verdict, m.Remedy = straggler.Silent, "see whether its process runs and its door answers: "+g.Err
 		default:
-			m.Lacks = v.Mismatches(want)
+			m.Mismatches = v.Mismatches(want)
 			split := false
 			for d, n := range digests[v.List.Index] {
 				split = split || d != v.List.Digest && n >= digests[v.List.Index][v.List.Digest]
@@ -152,10 +152,10 @@
 				m.Verdict, m.Remedy = straggler.Duplicate, "end one of the two: each calls targets on its own"
 			case split:
 				m.Verdict, m.Remedy = straggler.Diverged, straggler.Remedy([]version.Mismatch{version.ListDiverged})
-			case g.ShutOut != "":
-				m.Verdict, m.Remedy = straggler.FencedOff, straggler.Remedy(m.Lacks)
-			case len(m.Lacks) > 0:
-				m.Verdict, m.Remedy = straggler.Stale, straggler.Remedy(m.Lacks)
+			case g.FencedOffReason != "":
+				m.Verdict, m.Remedy = straggler.FencedOff, straggler.Remedy(m.Mismatches)
+			case len(m.Mismatches) > 0:
+				m.Verdict, m.Remedy = straggler.Stale, straggler.Remedy(m.Mismatches)
 			}
 		}
 		r.Members = append(r.Members, m)
@@ -179,7 +179,7 @@
 }
 
 // rollOuts follows each list and each operators' file through the fleet. A member has acted on an index once it acts on that or a later one.
-func (r *Report) rollOuts(all []Gathered) {
+func (r *Report) rollOuts(all []MemberData) {
 	type acted struct {
 		step Step
 		at   time.Time
@@ -188,11 +188,11 @@
 	files := map[version.Digest]bool{}
 	members := 0
 	for _, g := range all {
-		if g.Record == nil || len(g.Record.Entries) == 0 {
+		if g.Ledger == nil || len(g.Ledger.Entries) == 0 {
 			continue
 		}
 		members++
-		for _, e := range g.Record.Entries {
+		for _, e := range g.Ledger.Entries {
 			if e.At.IsZero() { // its change was overwritten
 				continue
 			}
@@ -206,15 +206,15 @@
 			}
 		}
 	}
-	follow := func(has func(*ledger.Entry) bool) (o RollOut) {
+	follow := func(has func(*ledger.Entry) bool) (o Rollout) {
 		var steps []acted
 		for _, g := range all {
-			if g.Record == nil {
+			if g.Ledger == nil {
 				continue
 			}
-			for i := range g.Record.Entries {
-				if e := &g.Record.Entries[i]; !e.At.IsZero() && has(e) {
-					steps = append(steps, acted{Step{Name: g.Name, Cause: e.Cause, Seq: e.Seq, Error: g.Error}, e.At.Add(-g.Offset)})
+			for i := range g.Ledger.Entries {
+				if e := &g.Ledger.Entries[i]; !e.At.IsZero() && has(e) {
+					steps = append(steps, acted{Step{Name: g.Name, Cause: e.Cause, Seq: e.Seq, OffsetError: g.OffsetError}, e.At.Add(-g.Offset)})
 					break
 				}
 			}
@@ -234,7 +234,7 @@
 			}
 			return 0
 		}
-		o.Half, o.Most, o.All = at(0.5), at(0.99), at(1)
+		o.Half, o.P99, o.All = at(0.5), at(0.99), at(1)
 		return o
 	}
 	for index, of := range indexes {
@@ -242,46 +242,46 @@
 		o.Index, o.Digest, o.Digests = index, contents[index], len(of)
 		r.Lists = append(r.Lists, o)
 	}
-	slices.SortFunc(r.Lists, func(a, b RollOut) int { return cmp.Compare(a.Index, b.Index) })
+	slices.SortFunc(r.Lists, func(a, b Rollout) int { return cmp.Compare(a.Index, b.Index) })
 	for digest := range files {
 		o := follow(func(e *ledger.Entry) bool { return e.Vector.Operators.Digest == digest })
 		o.Digest, o.Digests = digest, 1
-		r.Files = append(r.Files, o)
+		r.OperatorFiles = append(r.OperatorFiles, o)
 	}
-	slices.SortFunc(r.Files, func(a, b RollOut) int { return a.First.Compare(b.First) })
+	slices.SortFunc(r.OperatorFiles, func(a, b Rollout) int { return a.First.Compare(b.First) })
 }
 
-func (r *Report) ask(all []Gathered, q *Question) {
-	a := &Asked{Target: q.Target, Older: q.Older}
+func (r *Report) ask(all []MemberData, q *CallQuery) {
+	a := &CallReport{Target: q.Target, BelowIndex: q.BelowIndex}
 	for _, g := range all {
-		if g.Record == nil {
+		if g.Ledger == nil {
 			continue
 		}
 		fits := func(c *ledger.Change) bool {
-			return (q.Older == 0 || c.Vector.List.Index < q.Older) && (q.Not == 0 || c.Vector.Operators.Digest != q.Not)
+			return (q.BelowIndex == 0 || c.Vector.List.Index < q.BelowIndex) && (q.ExceptOperators == 0 || c.Vector.Operators.Digest != q.ExceptOperators)
 		}
-		got := g.Record.CallsTo(q.Target, fits)
+		got := g.Ledger.CallsTo(q.Target, fits)
 		if got.Begun.Max == 0 && len(got.Caveats) == 0 {
 			continue
 		}
-		by := By{Name: g.Name, CallSummary: got}
+		by := MemberCalls{Name: g.Name, CallSummary: got}
 		if !got.Last.IsZero() {
-			by.LastHere = got.Last.Add(-g.Offset)
+			by.LastCorrected = got.Last.Add(-g.Offset)
 		}
-		for i := range g.Record.Entries {
-			if e := &g.Record.Entries[i]; len(got.Changes) > 0 && e.Seq == got.Changes[len(got.Changes)-1] {
-				by.Acting, by.Cause = e.Vector, e.Cause
+		for i := range g.Ledger.Entries {
+			if e := &g.Ledger.Entries[i]; len(got.Changes) > 0 && e.Seq == got.Changes[len(got.Changes)-1] {
+				by.LastVector, by.Cause = e.Vector, e.Cause
 			}
 		}
 		a.Total = a.Total.Plus(got.Arrived)
-		a.By = append(a.By, by)
+		a.Members = append(a.Members, by)
 	}
-	slices.SortFunc(a.By, func(x, y By) int { return y.LastHere.Compare(x.LastHere) })
-	r.Asked = a
+	slices.SortFunc(a.Members, func(x, y MemberCalls) int { return y.LastCorrected.Compare(x.LastCorrected) })
+	r.Calls = a
 }
 
 // String is a roll-out in a line.
-func (o *RollOut) String() string {
+func (o *Rollout) String() string {
 	name := o.Digest.String()
 	if o.Index != 0 {
 		name = fmt.Sprintf("list %d", o.Index)
@@ -290,7 +290,7 @@
 	for _, t := range []struct {
 		what string
 		d    time.Duration
-	}{{"half", o.Half}, {"99%", o.Most}, {"all", o.All}} {
+	}{{"half", o.Half}, {"99%", o.P99}, {"all", o.All}} {
 		if t.d > 0 {
 			times += fmt.Sprintf(", %s after %v", t.what, t.d.Round(time.Millisecond))
 		}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -24,7 +24,7 @@
 
 // small is a fleet's ledgers as they are written, with what really happened.
 type small struct {
-	all    []Gathered
+	all    []MemberData
 	acted  map[int64]map[string]time.Time // index, member, true time
 	calls  map[string]map[string]uint64   // target, member
 	before map[string]map[string]uint64   // the same under lists before the last
@@ -76,7 +76,7 @@
 				}
 			}
 		}
-		g := Folder(dir, name)
+		g := ReadFolder(dir, name)
 		g.Vector, g.Offset = &v, offset
 		f.all = append(f.all, g)
 	}
@@ -87,7 +87,7 @@
 func TestMerge(t *testing.T) {
 	for seed := range uint64(20) {
 		f := write(t, seed, 3+int(seed), 5)
-		r := Merge(f.all, version.Desired{}, &Question{Target: "t1", Older: 5})
+		r := Merge(f.all, version.Desired{}, &CallQuery{Target: "t1", BelowIndex: 5})
 		if got := r.Worst(); got != straggler.Current || len(r.Caveats) > 0 || len(r.Members) != len(f.all) {
 			t.Fatalf("seed %d: %v, %v", seed, got, r.Caveats)
 		}
@@ -101,19 +101,19 @@
 					t.Errorf("seed %d: %s acted on list %d at %v, and the audit says %v", seed, s.Name, o.Index, times[s.Name], at)
 				}
 			}
-			if o.Half > o.Most || o.Most > o.All {
-				t.Errorf("seed %d: %v %v %v", seed, o.Half, o.Most, o.All)
+			if o.Half > o.P99 || o.P99 > o.All {
+				t.Errorf("seed %d: %v %v %v", seed, o.Half, o.P99, o.All)
 			}
 		}
 		var sum uint64
-		for _, by := range r.Asked.By {
+		for _, by := range r.Calls.Members {
 			if want := f.before["t1"][by.Name]; by.Arrived != (ledger.Count{Min: want, Max: want}) {
 				t.Errorf("seed %d: %s called t1 %d times under old lists, and the audit says %+v", seed, by.Name, want, by.Arrived)
 			}
 			sum += f.before["t1"][by.Name]
 		}
-		if r.Asked.Total.Min != sum || sum == 0 {
-			t.Errorf("seed %d: %+v, and it was %d", seed, r.Asked.Total, sum)
+		if r.Calls.Total.Min != sum || sum == 0 {
+			t.Errorf("seed %d: %+v, and it was %d", seed, r.Calls.Total, sum)
 		}
 	}
 }
@@ -123,13 +123,13 @@
 	f := write(t, 99, 8, 3)
 	f.all[1].Vector.List = version.List{Index: 2, Digest: 22}
 	f.all[2].Vector.List.Digest++
-	f.all[3] = Gathered{Source: "127.0.0.1:1", Name: "n3", Err: "no answer"}
+	f.all[3] = MemberData{Source: "127.0.0.1:1", Name: "n3", Err: "no answer"}
 	twin := f.all[4]
 	other := *twin.Vector
 	other.Started = other.Started.Add(time.Hour)
 	twin.Vector = &other
 	f.all = append(f.all, twin)
-	f.all[5].ShutOut = "behind"
+	f.all[5].FencedOffReason = "behind"
 	f.all[6].Vector = nil // its folder alone
 	want := map[string]straggler.Verdict{"n0": straggler.Current, "n1": straggler.Stale, "n2": straggler.Diverged, "n3": straggler.Silent, "n4": straggler.Duplicate, "n5": straggler.FencedOff,
 		"n6": straggler.Silent, "n7": straggler.Current}
@@ -171,7 +171,7 @@
 		t.Errorf("%v, and it was %v", got, f.calls)
 	}
 	b.Reset()
-	if err := WriteChart(&b, Merge(f.all, version.Desired{}, nil), len(f.all)); err != nil {
+	if err := WriteRolloutChart(&b, Merge(f.all, version.Desired{}, nil), len(f.all)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := png.Decode(&b); err != nil {
@@ -191,7 +191,7 @@
 		doors = append(doors, ln.Addr().String())
 	}
 	began, asked := time.Now(), make(chan bool, len(doors))
-	all := Doors(context.Background(), doors, 200*time.Millisecond, func() { asked <- true })
+	all := CollectMembers(context.Background(), doors, 200*time.Millisecond, func() { asked <- true })
 	if took := time.Since(began); took > 10*time.Second {
 		t.Errorf("it took %v", took)
 	}
@@ -203,10 +203,10 @@
 	if r := Merge(all, version.Desired{}, nil); r.Worst() != straggler.Silent || len(asked) != len(doors) {
 		t.Errorf("%v", r.Worst())
 	}
-	if g := Folder(t.TempDir(), "n"); g.Err == "" {
+	if g := ReadFolder(t.TempDir(), "n"); g.Err == "" {
 		t.Error("an empty folder is taken for a ledger")
 	}
-	if g := Folder(os.DevNull, "n"); g.Err == "" {
+	if g := ReadFolder(os.DevNull, "n"); g.Err == "" {
 		t.Error("a file is taken for a folder")
 	}
 }
--- a/internal/audit/export.go
+++ b/internal/audit/export.go
@@ -13,43 +13,43 @@
 
 // Row is a line of the exported table: the calls of one member to one target under one change, or a change without calls.
 type Row struct {
-	Member      string `parquet:"member,dict"`
-	Seq         int64  `parquet:"seq"`
-	At          int64  `parquet:"at,timestamp(nanosecond)"` // by the member's clock
-	OffsetNS    int64  `parquet:"offset_ns"`                // of that clock
-	ErrorNS     int64  `parquet:"error_ns"`
-	Cause       string `parquet:"cause,dict"`
-	By          string `parquet:"by,dict"`
-	Build       string `parquet:"build,dict"`
-	Dirty       bool   `parquet:"dirty"`
-	Settings    string `parquet:"settings,dict"`
-	Operators   string `parquet:"operators,dict"`
-	ListIndex   int64  `parquet:"list_index"`
-	ListDigest  string `parquet:"list_digest,dict"`
-	LeftOut     string `parquet:"left_out,dict"`
-	TakeOver    int32  `parquet:"take_over"`
-	Started     int64  `parquet:"started,timestamp(nanosecond)"`
-	Target      string `parquet:"target,dict"`
-	First       int64  `parquet:"first,timestamp(nanosecond)"`
-	Last        int64  `parquet:"last,timestamp(nanosecond)"`
-	Begun       int64  `parquet:"begun"`
-	BegunMost   int64  `parquet:"begun_most"`
-	Unsent      int64  `parquet:"unsent"`
-	Answered    int64  `parquet:"answered"`
-	OutAtChange int64  `parquet:"out_at_change"` // calls out at this target when the change came
+	Member           string `parquet:"member,dict"`
+	Seq              int64  `parquet:"seq"`
+	At               int64  `parquet:"at,timestamp(nanosecond)"` // by the member's clock
+	OffsetNS         int64  `parquet:"offset_ns"`                // of that clock
+	ErrorNS          int64  `parquet:"error_ns"`
+	Cause            string `parquet:"cause,dict"`
+	By               string `parquet:"by,dict"`
+	Build            string `parquet:"build,dict"`
+	Dirty            bool   `parquet:"dirty"`
+	Settings         string `parquet:"settings,dict"`
+	Operators        string `parquet:"operators,dict"`
+	ListIndex        int64  `parquet:"list_index"`
+	ListDigest       string `parquet:"list_digest,dict"`
+	Disabled         string `parquet:"left_out,dict"`
+	Handovers        int32  `parquet:"take_over"`
+	Started          int64  `parquet:"started,timestamp(nanosecond)"`
+	Target           string `parquet:"target,dict"`
+	First            int64  `parquet:"first,timestamp(nanosecond)"`
+	Last             int64  `parquet:"last,timestamp(nanosecond)"`
+	Begun            int64  `parquet:"begun"`
+	BegunMax         int64  `parquet:"begun_most"`
+	Unsent           int64  `parquet:"unsent"`
+	Answered         int64  `parquet:"answered"`
+	InFlightAtChange int64  `parquet:"out_at_change"` // calls out at this target when the change came
 }
 
 // Rows are all of what was gathered, in order.
-func Rows(all []Gathered) (rows []Row) {
+func Rows(all []MemberData) (rows []Row) {
 	for _, g := range all {
-		if g.Record == nil {
+		if g.Ledger == nil {
 			continue
 		}
-		for _, e := range g.Record.Entries {
+		for _, e := range g.Ledger.Entries {
 			v := &e.Vector
-			base := Row{Member: g.Name, Seq: int64(e.Seq), OffsetNS: int64(g.Offset), ErrorNS: int64(g.Error), Cause: e.Cause, By: e.By, Build: v.Build.Revision, Dirty: v.Build.Dirty,
+			base := Row{Member: g.Name, Seq: int64(e.Seq), OffsetNS: int64(g.Offset), ErrorNS: int64(g.OffsetError), Cause: e.Cause, By: e.By, Build: v.Build.Revision, Dirty: v.Build.Dirty,
 				Settings: v.Settings.Digest.String(), Operators: v.Operators.Digest.String(), ListIndex: v.List.Index, ListDigest: v.List.Digest.String(),
-				LeftOut: v.Disabled.Digest.String(), TakeOver: int32(v.Handovers)}
+				Disabled: v.Disabled.Digest.String(), Handovers: int32(v.Handovers)}
 			if !e.At.IsZero() {
 				base.At = e.At.UnixNano()
 			}
@@ -63,15 +63,15 @@
 			for _, c := range e.Calls {
 				row := base
 				row.Target, row.First, row.Last = c.Target, c.First.UnixNano(), c.Last.UnixNano()
-				row.Begun, row.BegunMost, row.Unsent, row.Answered = int64(c.Begun.Min), int64(c.Begun.Max), int64(c.Unsent.Min), int64(c.Answered.Min)
-				row.OutAtChange = int64(out[c.Target])
+				row.Begun, row.BegunMax, row.Unsent, row.Answered = int64(c.Begun.Min), int64(c.Begun.Max), int64(c.Unsent.Min), int64(c.Answered.Min)
+				row.InFlightAtChange = int64(out[c.Target])
 				delete(out, c.Target)
 				rows = append(rows, row)
 			}
 			for _, o := range e.InFlight { // that were not called again
 				if n, left := out[o.Target]; left {
 					row := base
-					row.Target, row.OutAtChange = o.Target, int64(n)
+					row.Target, row.InFlightAtChange = o.Target, int64(n)
 					rows = append(rows, row)
 				}
 			}
@@ -94,8 +94,8 @@
 
 const mostLines = 12 // of a chart
 
-// WriteChart draws which share of the members acted on each list, by the time since the first did: the newest ones, as PNG.
-func WriteChart(w io.Writer, r *Report, members int) error {
+// WriteRolloutChart draws which share of the members acted on each list, by the time since the first did: the newest ones, as PNG.
+func WriteRolloutChart(w io.Writer, r *Report, members int) error {
 	p := plot.New()
 	p.Title.Text = "Roll-out: members that act on a list"
 	p.X.Label.Text = "seconds since the first"
--- a/internal/audit/gather.go
+++ b/internal/audit/gather.go
@@ -15,24 +15,24 @@
 	"scaleroute/internal/version"
 )
 
-// Versions is what a forwarder's door says of what it acts under.
-type Versions struct {
-	Name    string         `json:"name"`
-	Clock   time.Time      `json:"clock"`
-	Fenced  bool           `json:"fenced"`
-	ShutOut string         `json:"shut_out"`
-	Vector  version.Vector `json:"vector"`
+// VersionsReply is what a forwarder's door says of what it acts under.
+type VersionsReply struct {
+	Name            string         `json:"name"`
+	Clock           time.Time      `json:"clock"`
+	Fenced          bool           `json:"fenced"`
+	FencedOffReason string         `json:"shut_out"`
+	Vector          version.Vector `json:"vector"`
 }
 
 const atOnce = 32 // members that are asked
 
-// Doors asks forwarders at their doors, some at a time; one that does not answer costs its time-out, and keeps no other waiting. done is told after each.
-func Doors(ctx context.Context, doors []string, limit time.Duration, done func()) []Gathered {
+// CollectMembers asks forwarders at their doors, some at a time; one that does not answer costs its time-out, and keeps no other waiting. done is told after each.
+func CollectMembers(ctx context.Context, doors []string, limit time.Duration, done func()) []MemberData {
 	return each(ctx, doors, limit, done, atDoor)
 }
 
-// Loads asks them how their calls are spread.
-func Loads(ctx context.Context, doors []string, limit time.Duration, done func()) []load.Member {
+// CollectLoads asks them how their calls are spread.
+func CollectLoads(ctx context.Context, doors []string, limit time.Duration, done func()) []load.Member {
 	return each(ctx, doors, limit, done, loadAt)
 }
 
@@ -73,13 +73,13 @@
 	return list
 }
 
-func atDoor(ctx context.Context, at string, limit time.Duration) (g Gathered) {
-	g = Gathered{Source: at, Name: at}
+func atDoor(ctx context.Context, at string, limit time.Duration) (g MemberData) {
+	g = MemberData{Source: at, Name: at}
 	c := door.NewClientWithTimeout(at, limit)
 	sent := time.Now()
 	text, err := c.Call(ctx, http.MethodGet, "/versions")
 	heard := time.Now()
-	var v Versions
+	var v VersionsReply
 	if err == nil {
 		err = json.Unmarshal([]byte(text), &v)
 	}
@@ -87,24 +87,24 @@
 		g.Err = err.Error()
 		return g
 	}
-	g.Name, g.Vector, g.Fenced, g.ShutOut = v.Name, &v.Vector, v.Fenced, v.ShutOut
+	g.Name, g.Vector, g.Fenced, g.FencedOffReason = v.Name, &v.Vector, v.Fenced, v.FencedOffReason
 	if !v.Clock.IsZero() { // it read its clock between the two
-		g.Error = heard.Sub(sent) / 2
-		g.Offset = v.Clock.Sub(sent.Round(0).Add(g.Error))
+		g.OffsetError = heard.Sub(sent) / 2
+		g.Offset = v.Clock.Sub(sent.Round(0).Add(g.OffsetError))
 	}
 	if text, err = c.Call(ctx, http.MethodGet, "/ledger"); err == nil {
-		g.Record = &ledger.Snapshot{}
-		err = json.Unmarshal([]byte(text), g.Record)
+		g.Ledger = &ledger.Snapshot{}
+		err = json.Unmarshal([]byte(text), g.Ledger)
 	}
 	if err != nil {
-		g.Record, g.Err = nil, fmt.Sprintf("its ledger: %v", err)
+		g.Ledger, g.Err = nil, fmt.Sprintf("its ledger: %v", err)
 	}
 	return g
 }
 
-// Folder reads a forwarder's folder, whether or not its process runs.
-func Folder(dir, name string) (g Gathered) {
-	g = Gathered{Source: dir, Name: name}
+// ReadFolder reads a forwarder's folder, whether or not its process runs.
+func ReadFolder(dir, name string) (g MemberData) {
+	g = MemberData{Source: dir, Name: name}
 	record, err := ledger.Read(journal.DirFS(dir), name)
 	switch {
 	case err != nil:
@@ -112,7 +112,7 @@
 	case len(record.Entries) == 0 && len(record.Damage) == 0:
 		g.Err = "there is no ledger in it: is fleet.ledger set for that forwarder?"
 	default:
-		g.Record = record
+		g.Ledger = record
 	}
 	if g.Name == "" {
 		g.Name = dir
