--- a/cmd/scaleroute-lab/fleet.go
+++ b/cmd/scaleroute-lab/fleet.go
@@ -17,17 +17,17 @@
 // Run counts.
 func (c *fleetCount) Run(out io.Writer) error {
 	if c.Restarts {
-		all, err := steplog.RestartsIn(c.Folder)
+		all, err := steplog.CountRestarts(c.Folder)
 		if err != nil {
 			return err
 		}
-		steplog.RestartTable(out, all)
+		steplog.WriteRestartTable(out, all)
 		return nil
 	}
-	all, err := steplog.Fleet(c.Folder)
+	all, err := steplog.CountFolder(c.Folder)
 	if err != nil {
 		return err
 	}
-	steplog.Table(out, all, c.Seconds, c.Dest)
+	steplog.WriteTable(out, all, c.Seconds, c.Dest)
 	return nil
 }
--- a/internal/steplog/count.go
+++ b/internal/steplog/count.go
@@ -24,8 +24,8 @@
 
 var pair = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
 
-// Fleet counts over all logs (*.log) of a folder.
-func Fleet(dir string) (map[Key]Counts, error) {
+// CountFolder counts over all logs (*.log) of a folder.
+func CountFolder(dir string) (map[Key]Counts, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, err
@@ -91,8 +91,8 @@
 	return lines.Err()
 }
 
-// Table writes the counts by destination, or by second; of one destination only, if it is not negative.
-func Table(to io.Writer, all map[Key]Counts, bySecond bool, only int) {
+// WriteTable writes the counts by destination, or by second; of one destination only, if it is not negative.
+func WriteTable(to io.Writer, all map[Key]Counts, bySecond bool, only int) {
 	rows := map[int]Counts{}
 	for k, c := range all {
 		if only >= 0 && k.Destination != only {
--- a/internal/steplog/restarts.go
+++ b/internal/steplog/restarts.go
@@ -12,17 +12,17 @@
 	"strings"
 )
 
-// Restarts is what became of the messages that restarts took up from their journals, over the logs of a fleet.
-type Restarts struct {
-	Lives     int // starts that took something up
-	Found     int // messages taken up
-	Untried   int // those of them with no call before
-	Tried     int // those of these that were sent
-	Refused   int // or were refused with no call,
-	Failed    int // or failed so,
-	Withdrawn int // or were not wanted any more,
-	Left      int // or had none when the process ended: the next start finds them again
-	Late      int // of those refused or failed: their time was up
+// RestartCounts is what became of the messages that restarts took up from their journals, over the logs of a fleet.
+type RestartCounts struct {
+	Starts      int // starts that took something up
+	Found       int // messages taken up
+	Unattempted int // those of them with no call before
+	Sent        int // those of these that were sent
+	Refused     int // or were refused with no call,
+	Failed      int // or failed so,
+	Withdrawn   int // or were not wanted any more,
+	Pending     int // or had none when the process ended: the next start finds them again
+	Expired     int // of those refused or failed: their time was up
 }
 
 // found is a message that a start took up untried, until it is sent or ends.
@@ -30,16 +30,16 @@
 	at, left float64 // seconds
 }
 
-// RestartsIn counts over all logs (*.log) of a folder and of those in it.
-func RestartsIn(dir string) (map[string]*Restarts, error) {
-	all := map[string]*Restarts{}
+// CountRestarts counts over all logs (*.log) of a folder and of those in it.
+func CountRestarts(dir string) (map[string]*RestartCounts, error) {
+	all := map[string]*RestartCounts{}
 	err := filepath.WalkDir(dir, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(path) != ".log" {
 			return err
 		}
 		day := filepath.Base(filepath.Dir(path))
 		if all[day] == nil {
-			all[day] = &Restarts{}
+			all[day] = &RestartCounts{}
 		}
 		f, err := os.Open(path)
 		if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // count adds the lines of one log, of one forwarder's processes one after the other.
-func (r *Restarts) count(from io.Reader) error {
+func (r *RestartCounts) count(from io.Reader) error {
 	waiting := map[string]found{}
 	now, took := 0.0, false
 	lines := bufio.NewScanner(from)
@@ -80,7 +80,7 @@
 		m, is := waiting[id]
 		switch word {
 		case "start":
-			r.Left += len(waiting)
+			r.Pending += len(waiting)
 			clear(waiting)
 			took = false
 		case "take":
@@ -89,10 +89,10 @@
 			}
 			if !took {
 				took = true
-				r.Lives++
+				r.Starts++
 			}
 			if r.Found++; values["attempts"] == "0" {
-				r.Untried++
+				r.Unattempted++
 				left, _ := strconv.ParseFloat(values["left"], 64)
 				waiting[id] = found{now, left / 1000}
 			}
@@ -103,7 +103,7 @@
 			delete(waiting, id)
 			switch word {
 			case "send":
-				r.Tried++
+				r.Sent++
 				continue
 			case "refuse":
 				r.Refused++
@@ -114,19 +114,19 @@
 				continue
 			}
 			if now-m.at >= m.left-0.1 {
-				r.Late++
+				r.Expired++
 			}
 		}
 	}
-	r.Left += len(waiting)
+	r.Pending += len(waiting)
 	return lines.Err()
 }
 
-// RestartTable writes the counts, a row for each folder of logs.
-func RestartTable(to io.Writer, all map[string]*Restarts) {
+// WriteRestartTable writes the counts, a row for each folder of logs.
+func WriteRestartTable(to io.Writer, all map[string]*RestartCounts) {
 	fmt.Fprintf(to, "%-28s %6s %7s %8s %6s %8s %7s %6s %10s %5s\n", "logs", "starts", "found", "untried", "tried", "refused", "failed", "late", "withdrawn", "left")
 	for _, day := range slices.Sorted(maps.Keys(all)) {
 		r := all[day]
-		fmt.Fprintf(to, "%-28s %6d %7d %8d %6d %8d %7d %6d %10d %5d\n", day, r.Lives, r.Found, r.Untried, r.Tried, r.Refused, r.Failed, r.Late, r.Withdrawn, r.Left)
+		fmt.Fprintf(to, "%-28s %6d %7d %8d %6d %8d %7d %6d %10d %5d\n", day, r.Starts, r.Found, r.Unattempted, r.Sent, r.Refused, r.Failed, r.Expired, r.Withdrawn, r.Pending)
 	}
 }
--- a/internal/steplog/restarts_test.go
+++ b/internal/steplog/restarts_test.go
@@ -30,7 +30,7 @@
 	log.WriteString("4.000 ")
 	w.Step(0, []decide.Event{taken("waits", 0, time.Minute)}, nil)
 	dir := filepath.Join(t.TempDir(), "day")
-	if _, err := RestartsIn(filepath.Dir(dir)); err == nil || !strings.Contains(err.Error(), "-log-steps") {
+	if _, err := CountRestarts(filepath.Dir(dir)); err == nil || !strings.Contains(err.Error(), "-log-steps") {
 		t.Errorf("no logs: %v", err)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -39,16 +39,16 @@
 	if err := os.WriteFile(filepath.Join(dir, "n0.log"), []byte(log.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	all, err := RestartsIn(filepath.Dir(dir))
+	all, err := CountRestarts(filepath.Dir(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Restarts{Lives: 2, Found: 8, Untried: 7, Tried: 1, Refused: 2, Failed: 1, Withdrawn: 1, Left: 2, Late: 1}
+	want := RestartCounts{Starts: 2, Found: 8, Unattempted: 7, Sent: 1, Refused: 2, Failed: 1, Withdrawn: 1, Pending: 2, Expired: 1}
 	if got := all["day"]; got == nil || *got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	var table strings.Builder
-	if RestartTable(&table, all); !strings.Contains(table.String(), "untried") || strings.Count(table.String(), "\n") != 2 {
+	if WriteRestartTable(&table, all); !strings.Contains(table.String(), "untried") || strings.Count(table.String(), "\n") != 2 {
 		t.Errorf("%s", table.String())
 	}
 }
--- a/internal/steplog/steplog_test.go
+++ b/internal/steplog/steplog_test.go
@@ -25,13 +25,13 @@
 	w.Step(2*time.Second, []decide.Event{decide.Outcome{Message: "m1", Target: "a", Result: decide.Succeeded, NoAnswerNeeded: true}}, nil)
 	log.WriteString("step: outcome dest=")
 	dir := t.TempDir()
-	if _, err := Fleet(dir); err == nil || !strings.Contains(err.Error(), "-log-steps") {
+	if _, err := CountFolder(dir); err == nil || !strings.Contains(err.Error(), "-log-steps") {
 		t.Errorf("an empty folder: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "n0.log"), []byte(log.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	all, err := Fleet(dir)
+	all, err := CountFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 		}
 	}
 	var table strings.Builder
-	Table(&table, all, true, 4)
+	WriteTable(&table, all, true, 4)
 	if lines := strings.Split(strings.TrimSpace(table.String()), "\n"); len(lines) != 3 || !strings.Contains(lines[0], "second") {
 		t.Errorf("table:\n%s", table.String())
 	}
