--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -52,7 +52,7 @@
 	seed := fnv.New64a() // another order of the servers in each forwarder
 	seed.Write([]byte(f.c.Name + " " + f.c.Seed))
 	limits := partial.DefaultLimits()
-	limits.Fetched, limits.LookupBytes, limits.Burst = set.Fetched, float64(set.LookupBytes), 2*float64(set.LookupBytes)
+	limits.MaxFetched, limits.LookupBytesPerSecond, limits.Burst = set.Fetched, float64(set.LookupBytes), 2*float64(set.LookupBytes)
 	return &partialList{f: f, limits: limits, client: control.New(control.Config{Servers: set.Servers, Name: f.c.Name, Zone: f.c.Settings.Zone, Seed: seed.Sum64(),
 		Layout: ownership.Layout{Partitions: set.Partitions, Replicas: set.Replicas}})}
 }
@@ -147,7 +147,7 @@
 
 func (t lookupFront) Accept(m *message.Message) engine.Answer {
 	d := t.follower.Arrive(m.Destination, m.ReadAt.Add(lookupWait))
-	if d.Verdict == partial.Reject {
+	if d.Action == partial.Reject {
 		if t.set.sources.inFile(m.Destination) { // its endpoints in the operators' file are known
 			return t.next.Accept(m)
 		}
--- a/internal/capacity/measure/watchers.go
+++ b/internal/capacity/measure/watchers.go
@@ -95,7 +95,7 @@
 
 func (one *watcher) followList(ctx context.Context) {
 	for ctx.Err() == nil {
-		answer, err := one.client.Watch(ctx, one.part, partial.Watch{From: one.index.Load(), Needed: one.index.Load()}, listHold)
+		answer, err := one.client.Watch(ctx, one.part, partial.Watch{From: one.index.Load(), MinIndex: one.index.Load()}, listHold)
 		if err != nil {
 			one.rest(ctx)
 			continue
--- a/internal/control/client/arrivals.go
+++ b/internal/control/client/arrivals.go
@@ -11,18 +11,18 @@
 // destination until Release.
 func (f *Follower) Arrive(destination int, deadline time.Time) partial.Decision {
 	f.mu.Lock()
-	d := f.state.Arrive(f.now(), destination)
-	if d.Verdict == partial.Reject {
+	d := f.state.Admit(f.now(), destination)
+	if d.Action == partial.Reject {
 		f.mu.Unlock()
 		return d
 	}
 	delivered := f.delivered
-	if d.Verdict == partial.Pass && delivered == nil {
+	if d.Action == partial.Proceed && delivered == nil {
 		f.mu.Unlock()
 		return d
 	}
 	var over chan struct{}
-	if d.Verdict == partial.Wait {
+	if d.Action == partial.Wait {
 		over = f.waiter(destination)
 	}
 	f.mu.Unlock()
@@ -48,15 +48,15 @@
 		select {
 		case <-over:
 		case <-f.ended:
-			return f.reject(destination, f.state.Abandon)
+			return f.reject(destination, f.state.RejectWaiting)
 		case <-timer.C:
-			return f.reject(destination, f.state.Abandon)
+			return f.reject(destination, f.state.RejectWaiting)
 		}
 		f.mu.Lock()
 		d := f.state.Resume(f.now(), destination)
 		delivered = f.delivered
 		f.mu.Unlock()
-		if d.Verdict == partial.Reject {
+		if d.Action == partial.Reject {
 			f.Release(destination)
 			return d
 		}
@@ -65,10 +65,10 @@
 		select {
 		case <-delivered:
 		case <-timer.C:
-			return f.reject(destination, f.state.RetryAfter)
+			return f.reject(destination, f.state.RejectNotWaiting)
 		}
 	}
-	return partial.Decision{Verdict: partial.Pass}
+	return partial.Decision{Action: partial.Proceed}
 }
 
 func (f *Follower) reject(destination int, decide func(now time.Duration) partial.Decision) partial.Decision {
@@ -82,7 +82,7 @@
 // Hold notes a message that the engine holds for a destination.
 func (f *Follower) Hold(destination int) {
 	f.mu.Lock()
-	f.state.Hold(destination)
+	f.state.AddReference(destination)
 	f.mu.Unlock()
 }
 
@@ -95,7 +95,7 @@
 
 // enqueue has an update delivered. done is closed once it is. The lock is held.
 func (f *Follower) enqueue(u partial.Update) (done chan struct{}) {
-	for _, d := range u.Ended {
+	for _, d := range u.CompletedLookups {
 		if over := f.waiters[d]; over != nil {
 			close(over)
 			delete(f.waiters, d)
@@ -158,7 +158,7 @@
 
 // startLookups starts look-ups as their budget permits, until ctx ends. Then it waits for those in flight.
 func (f *Follower) startLookups(ctx context.Context) {
-	inFlight := make(chan struct{}, f.Limits.InFlight)
+	inFlight := make(chan struct{}, f.Limits.MaxInFlight)
 	defer func() {
 		for range cap(inFlight) {
 			inFlight <- struct{}{}
@@ -169,7 +169,7 @@
 	for {
 		f.mu.Lock()
 		batch, wait := f.state.NextLookup(f.now())
-		newest := f.state.Newest()
+		newest := f.state.NewestIndex()
 		f.mu.Unlock()
 		if len(batch) > 0 {
 			inFlight <- struct{}{}
--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -236,8 +236,8 @@
 		}
 		a, _, err = c.list(ctx, next, whole)
 	}
-	if err == nil && a.Index < w.Needed && !w.Restarts(a) {
-		err = &BehindError{server, a.Index, w.Needed}
+	if err == nil && a.Index < w.MinIndex && !w.IsIndexReset(a) {
+		err = &BehindError{server, a.Index, w.MinIndex}
 	}
 	return a, err
 }
@@ -254,7 +254,7 @@
 
 // Snapshot asks for everything in a scope, which must not be older than an index.
 func (c *Client) Snapshot(ctx context.Context, scope ownership.Set, needed int64) (partial.Answer, error) {
-	return c.Watch(ctx, scope, partial.Watch{From: partial.NoIndex, Needed: needed}, 0)
+	return c.Watch(ctx, scope, partial.Watch{From: partial.NoIndex, MinIndex: needed}, 0)
 }
 
 func (c *Client) register(ctx context.Context, server string, scope ownership.Set) error {
--- a/internal/control/client/client_test.go
+++ b/internal/control/client/client_test.go
@@ -111,7 +111,7 @@
 			bad, _ := serving(c, a, b)
 			bad.spoils(spoil)
 			scope := ownership.NewSet(testLayout.PartitionOf(7))
-			w := partial.Watch{From: partial.NoIndex, Needed: 2}
+			w := partial.Watch{From: partial.NoIndex, MinIndex: 2}
 			if got, err := c.Watch(t.Context(), scope, w, 0); err == nil {
 				t.Fatalf("%+v is taken", got)
 			}
--- a/internal/control/client/follower.go
+++ b/internal/control/client/follower.go
@@ -99,8 +99,8 @@
 		return false
 	}
 	f.owned = owned
-	f.state.Start(f.owns(owned), from.Index, from.Known.Endpoints)
-	f.state.Continue()
+	f.state.Initialize(f.owns(owned), from.Index, from.Known.Endpoints)
+	f.state.ContinueWatch()
 	f.membership.Restore(from.Members)
 	close(f.parted)
 	return true
@@ -108,10 +108,10 @@
 
 // Start has the list of the configuration known until a control server has answered.
 func (f *Follower) Start(known *agent.List) {
-	f.state.Start(f.owns(ownership.Set{}), known.Index, known.Endpoints)
+	f.state.Initialize(f.owns(ownership.Set{}), known.Index, known.Endpoints)
 }
 
-func (f *Follower) owns(set ownership.Set) partial.Owns {
+func (f *Follower) owns(set ownership.Set) partial.DestinationFilter {
 	return func(destination int) bool { return set.Contains(f.layout.PartitionOf(destination)) }
 }
 
@@ -120,7 +120,7 @@
 func (f *Follower) First(ctx context.Context, recovered []int) error {
 	f.mu.Lock()
 	for _, d := range recovered {
-		f.state.Expect(d)
+		f.state.AddRecoveredMessage(d)
 	}
 	f.mu.Unlock()
 	var err error
@@ -151,7 +151,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begun, changed, f.early = true, f.early, nil
-	return agent.List{Index: max(0, f.state.Newest()), Snapshot: true, Endpoints: f.state.Endpoints()}, changed
+	return agent.List{Index: max(0, f.state.NewestIndex()), Snapshot: true, Endpoints: f.state.Endpoints()}, changed
 }
 
 // Status is how a Follower stands.
@@ -270,7 +270,7 @@
 		return nil, owned, 0, false
 	}
 	f.changed = false
-	return f.membership.Names(), f.owned, f.state.Newest(), f.state.Complete()
+	return f.membership.Names(), f.owned, f.state.NewestIndex(), f.state.Complete()
 }
 
 // tryAgain has the next followMembers work the part out again.
--- a/internal/control/client/follower_test.go
+++ b/internal/control/client/follower_test.go
@@ -106,13 +106,13 @@
 	if len(e.view) != 1 || e.status(name(inside[0])) != agent.Serving {
 		t.Fatalf("at the start: %v", e.view)
 	}
-	if d := f.Arrive(inside[0], soon()); d.Verdict != partial.Pass {
+	if d := f.Arrive(inside[0], soon()); d.Action != partial.Proceed {
 		t.Fatalf("%+v", d)
 	}
 	var all sync.WaitGroup
 	for range 20 {
 		all.Go(func() {
-			if d := f.Arrive(outside[0], soon()); d.Verdict != partial.Pass || e.status(name(outside[0])) != agent.Serving {
+			if d := f.Arrive(outside[0], soon()); d.Action != partial.Proceed || e.status(name(outside[0])) != agent.Serving {
 				t.Errorf("%+v; %q", d, e.status(name(outside[0])))
 			}
 		})
@@ -121,7 +121,7 @@
 	if n := s.count("lookup"); n != 1 {
 		t.Errorf("%d look-ups", n)
 	}
-	if d := f.Arrive(outside[2], soon()); d.Verdict != partial.Pass || e.status(name(outside[2])) != "" {
+	if d := f.Arrive(outside[2], soon()); d.Action != partial.Proceed || e.status(name(outside[2])) != "" {
 		t.Errorf("one that does not exist: %+v", d)
 	}
 	l.set(outside[0], name(outside[0]), agent.Draining)
@@ -154,10 +154,10 @@
 			return cutOff(w, r)
 		})
 	}
-	if d := f.Arrive(outside[0], soon()); d.Verdict != partial.Reject || d.RetryAfter <= 0 {
+	if d := f.Arrive(outside[0], soon()); d.Action != partial.Reject || d.RetryAfter <= 0 {
 		t.Errorf("%+v", d)
 	}
-	if d := f.Arrive(inside[1], soon()); d.Verdict != partial.Pass || e.status(name(inside[0])) != agent.Draining {
+	if d := f.Arrive(inside[1], soon()); d.Action != partial.Proceed || e.status(name(inside[0])) != agent.Draining {
 		t.Errorf("%+v; %v", d, e.view)
 	}
 	dead.Store("back", true)
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	for limit := soon(); ; { // the budget may be spent
-		if d := f.Arrive(outside[0], soon()); d.Verdict == partial.Pass {
+		if d := f.Arrive(outside[0], soon()); d.Action == partial.Proceed {
 			break
 		}
 		if time.Now().After(limit) {
@@ -194,7 +194,7 @@
 	if e.status(name(gained[1])) != "" {
 		t.Errorf("%s was withdrawn, and is %q", name(gained[1]), e.status(name(gained[1])))
 	}
-	if d := f.Arrive(gained[0], soon()); d.Verdict != partial.Pass {
+	if d := f.Arrive(gained[0], soon()); d.Action != partial.Proceed {
 		t.Errorf("%+v", d)
 	}
 	if n := s.count("lookup"); n != 0 {
@@ -234,7 +234,7 @@
 	}
 	l.set(kept[0], name(kept[0]), agent.Draining)
 	e.await(t, "a drain of the part", func() bool { return e.status(name(kept[0])) == agent.Draining })
-	if d := f.Arrive(gained[0], soon()); d.Verdict != partial.Pass || e.status(name(gained[0])) != agent.Serving {
+	if d := f.Arrive(gained[0], soon()); d.Action != partial.Proceed || e.status(name(gained[0])) != agent.Serving {
 		t.Errorf("%+v; %v", d, e.view)
 	}
 	s.spoils(nil)
@@ -300,12 +300,12 @@
 	_, outside := destinationsOf(testLayout.Owned("n0", []string{"n0", "n1", "n2", "n3"}), 40)
 	l.fill(outside...)
 	limits := partial.DefaultLimits()
-	limits.LookupBytes, limits.Burst, limits.Batch = 100, 1000, 1
+	limits.LookupBytesPerSecond, limits.Burst, limits.MaxBatch = 100, 1000, 1
 	f, _ := following(t, limits, newFake(t, l))
 	passed, rejected := 0, 0
 	for _, d := range outside {
 		switch v := f.Arrive(d, soon()); {
-		case v.Verdict == partial.Pass:
+		case v.Action == partial.Proceed:
 			passed++
 		case v.RetryAfter > 0:
 			rejected++
--- a/internal/partial/answers.go
+++ b/internal/partial/answers.go
@@ -11,9 +11,9 @@
 // NextWatch is what to ask for next. A destination that was looked up is asked for from the index of its look-up on, so that no change of it is missed.
 func (s *State) NextWatch() Watch {
 	s.sequence++
-	w := Watch{From: s.watched, Needed: max(s.watched, s.scoped), sequence: s.sequence}
+	w := Watch{From: s.watched, MinIndex: max(s.watched, s.scoped), sequence: s.sequence}
 	if w.From == NoIndex {
-		w.Needed = s.newest
+		w.MinIndex = s.newest
 	}
 	w.Destinations = s.beside()
 	for _, number := range w.Destinations {
@@ -35,7 +35,7 @@
 			list = append(list, number)
 		}
 	}
-	if most := s.limits.Beside; len(list) > most {
+	if most := s.limits.MaxExtraWatched; len(list) > most {
 		slices.SortFunc(list, func(a, b int) int {
 			return cmp.Or(cmp.Compare(s.destinations[a].index, s.destinations[b].index), cmp.Compare(a, b))
 		})
@@ -50,10 +50,10 @@
 
 // ApplyWatch takes the answer to a watch.
 func (s *State) ApplyWatch(w Watch, a Answer) (Update, error) {
-	if w.Restarts(a) {
+	if w.IsIndexReset(a) {
 		s.restart(a.Index)
-	} else if a.Index < w.Needed {
-		return Update{}, ErrOlder
+	} else if a.Index < w.MinIndex {
+		return Update{}, ErrStaleAnswer
 	}
 	asked := func(number int) bool {
 		d := s.destinations[number]
@@ -75,9 +75,9 @@
 	return u, nil
 }
 
-// Restarts tells whether an answer says that discovery counts anew: a server that had an index itself answers to it with a snapshot of a lower one. A server that is
+// IsIndexReset tells whether an answer says that discovery counts anew: a server that had an index itself answers to it with a snapshot of a lower one. A server that is
 // merely behind answers nothing.
-func (w Watch) Restarts(a Answer) bool {
+func (w Watch) IsIndexReset(a Answer) bool {
 	return w.From != NoIndex && a.Snapshot && a.Index < w.From
 }
 
@@ -92,9 +92,9 @@
 
 // ApplyScope goes on with another part of the list. gained is the answer to a request for the partitions that came new, by isGained; nil where there are none, and where the next watch asks for everything.
 // Destinations of lost partitions leave, unless messages refer to them.
-func (s *State) ApplyScope(owns, isGained Owns, gained *Answer) (Update, error) {
+func (s *State) ApplyScope(owns, isGained DestinationFilter, gained *Answer) (Update, error) {
 	if gained != nil && gained.Index < s.newest {
-		return Update{}, ErrOlder
+		return Update{}, ErrStaleAnswer
 	}
 	s.owns = owns
 	u := Update{Index: s.newest}
@@ -135,7 +135,7 @@
 }
 
 // apply takes what an answer says of the destinations that were asked for.
-func (s *State) apply(u *Update, a Answer, asked Owns) {
+func (s *State) apply(u *Update, a Answer, asked DestinationFilter) {
 	if a.Snapshot {
 		s.removeMissing(u, a, asked)
 	}
@@ -145,7 +145,7 @@
 }
 
 // removeMissing withdraws the endpoints that a snapshot does not name any more.
-func (s *State) removeMissing(u *Update, a Answer, asked Owns) {
+func (s *State) removeMissing(u *Update, a Answer, asked DestinationFilter) {
 	named := make(map[string]bool, len(a.Endpoints))
 	for i := range a.Endpoints {
 		named[a.Endpoints[i].Name] = true
@@ -162,7 +162,7 @@
 	}
 }
 
-func (s *State) applyEndpoint(u *Update, index int64, e agent.Endpoint, asked Owns) {
+func (s *State) applyEndpoint(u *Update, index int64, e agent.Endpoint, asked DestinationFilter) {
 	if at, known := s.byName[e.Name]; known && (at != e.Group || e.Status == agent.Deleted) {
 		if s.destinations[at].index > index {
 			return
--- a/internal/partial/budget.go
+++ b/internal/partial/budget.go
@@ -52,5 +52,5 @@
 		}
 		m.order = append(m.order, number)
 	}
-	m.until[number] = now + l.Missing
+	m.until[number] = now + l.MissingTTL
 }
--- a/internal/partial/lookups.go
+++ b/internal/partial/lookups.go
@@ -8,19 +8,19 @@
 	"scaleroute/internal/agent"
 )
 
-// Verdict is what becomes of a message that has arrived.
-type Verdict int
+// Action is what becomes of a message that has arrived.
+type Action int
 
 // The verdicts.
 const (
-	Pass   Verdict = iota // to the engine, which knows its destination or that there is none
+	Proceed Action = iota // to the engine, which knows its destination or that there is none
 	Wait                  // until the look-up of its destination is over
 	Reject                // with a retry-after
 )
 
 // Decision is a verdict on a message. One that passes or waits refers to its destination until Release.
 type Decision struct {
-	Verdict    Verdict
+	Action     Action
 	RetryAfter time.Duration
 }
 
@@ -45,20 +45,20 @@
 }
 
 func newLookups(l Limits) lookups {
-	return lookups{pending: map[int]bool{}, budget: budget{rate: l.LookupBytes, burst: l.Burst, tokens: l.Burst}}
+	return lookups{pending: map[int]bool{}, budget: budget{rate: l.LookupBytesPerSecond, burst: l.Burst, tokens: l.Burst}}
 }
 
-// Arrive decides on a message for a destination.
-func (s *State) Arrive(now time.Duration, number int) Decision {
+// Admit decides on a message for a destination.
+func (s *State) Admit(now time.Duration, number int) Decision {
 	if number < 0 || number > math.MaxUint32 || s.Known(number) || s.missing.has(now, number) {
 		s.refer(number)
-		return Decision{Verdict: Pass}
+		return Decision{Action: Proceed}
 	}
-	if s.lookups.waiting >= s.limits.Waiting {
+	if s.lookups.waiting >= s.limits.MaxWaiting {
 		return Decision{Reject, s.retryAfter(now)}
 	}
 	if _, under := s.lookups.pending[number]; !under {
-		if s.room() <= 0 || s.budgetDelay(now) > s.limits.Delay {
+		if s.room() <= 0 || s.budgetDelay(now) > s.limits.MaxBudgetDelay {
 			return Decision{Reject, s.retryAfter(now)}
 		}
 		s.lookups.pending[number] = false
@@ -66,20 +66,20 @@
 	}
 	s.lookups.waiting++
 	s.refer(number)
-	return Decision{Verdict: Wait}
+	return Decision{Action: Wait}
 }
 
 // Resume decides on a message whose look-up is over. It refers to its destination still, also where it is rejected.
 func (s *State) Resume(now time.Duration, number int) Decision {
 	s.lookups.waiting--
 	if s.Known(number) || s.missing.has(now, number) {
-		return Decision{Verdict: Pass}
+		return Decision{Action: Proceed}
 	}
 	return Decision{Reject, s.retryAfter(now)}
 }
 
-// Hold notes a message of the engine's for a destination: from its acceptance, or its recovery, until Release.
-func (s *State) Hold(number int) { s.refer(number) }
+// AddReference notes a message of the engine's for a destination: from its acceptance, or its recovery, until Release.
+func (s *State) AddReference(number int) { s.refer(number) }
 
 // Release ends what refers to a destination: a message that was handed in, or one of the engine's that is completed.
 func (s *State) Release(number int) (u Update) {
@@ -118,7 +118,7 @@
 
 // room is how many more destinations can be looked up: those whose look-up is pending will need theirs.
 func (s *State) room() int {
-	return s.limits.Fetched - s.fetched + s.idle.Len() - len(s.lookups.pending)
+	return s.limits.MaxFetched - s.fetched + s.idle.Len() - len(s.lookups.pending)
 }
 
 // budgetDelay is how long one more look-up would wait for its budget.
@@ -126,14 +126,16 @@
 	return s.lookups.budget.delay(now, lookupCost(len(s.lookups.queue)+1))
 }
 
-// Abandon rejects a message that can't wait any longer. It refers to its destination still.
-func (s *State) Abandon(now time.Duration) Decision {
+// RejectWaiting rejects a message that can't wait any longer. It refers to its destination still.
+func (s *State) RejectWaiting(now time.Duration) Decision {
 	s.lookups.waiting--
 	return Decision{Reject, s.retryAfter(now)}
 }
 
-// RetryAfter rejects a message that does not wait for a look-up.
-func (s *State) RetryAfter(now time.Duration) Decision { return Decision{Reject, s.retryAfter(now)} }
+// RejectNotWaiting rejects a message that does not wait for a look-up.
+func (s *State) RejectNotWaiting(now time.Duration) Decision {
+	return Decision{Reject, s.retryAfter(now)}
+}
 
 func (s *State) retryAfter(now time.Duration) time.Duration {
 	return min(max(s.budgetDelay(now), minRetryAfter), maxRetryAfter)
@@ -147,13 +149,13 @@
 // enough look-ups are in flight. Each batch is ended by ApplyLookup or FailLookup.
 func (s *State) NextLookup(now time.Duration) (batch []int, wait time.Duration) {
 	l := &s.lookups
-	if len(l.queue) == 0 || l.inFlight >= s.limits.InFlight {
+	if len(l.queue) == 0 || l.inFlight >= s.limits.MaxInFlight {
 		return nil, 0
 	}
 	if wait = l.budget.delay(now, lookupCost(1)); wait > 0 {
 		return nil, wait
 	}
-	n := min(len(l.queue), s.limits.Batch)
+	n := min(len(l.queue), s.limits.MaxBatch)
 	for n > 1 && l.budget.delay(now, lookupCost(n)) > 0 {
 		n--
 	}
@@ -168,15 +170,15 @@
 	return batch, 0
 }
 
-// Newest is the index that the answer to a look-up must have at least.
-func (s *State) Newest() int64 { return s.newest }
+// NewestIndex is the index that the answer to a look-up must have at least.
+func (s *State) NewestIndex() int64 { return s.newest }
 
 // ApplyLookup takes the answer for a batch: everything that there is of its destinations. spent is what it has cost on the wire. An answer that is older than
 // anything received is not applied; the batch is over all the same.
 func (s *State) ApplyLookup(now time.Duration, batch []int, a Answer, spent int64) (Update, error) {
 	u := s.endLookup(now, batch, spent)
 	if a.Index < s.newest || s.ceiling > 0 && a.Index > s.ceiling {
-		return u, ErrOlder
+		return u, ErrStaleAnswer
 	}
 	s.newest, u.Index = a.Index, a.Index
 	has := map[int]bool{}
@@ -215,7 +217,7 @@
 	for _, number := range batch {
 		delete(s.lookups.pending, number)
 	}
-	return Update{Index: s.newest, Ended: batch}
+	return Update{Index: s.newest, CompletedLookups: batch}
 }
 
 func (s *State) addFetched(number int) {
@@ -229,7 +231,7 @@
 
 // makeRoom evicts the least recently used destination where the set is full, and tells whether there is room: each may have come into use since the look-up began.
 func (s *State) makeRoom(u *Update) bool {
-	if s.fetched < s.limits.Fetched {
+	if s.fetched < s.limits.MaxFetched {
 		return true
 	}
 	oldest := s.idle.Back()
--- a/internal/partial/model_test.go
+++ b/internal/partial/model_test.go
@@ -49,7 +49,7 @@
 }
 
 // answer is what a server at an index tells about what is asked for, since another index.
-func (h history) answer(asked Owns, from, index int64) Answer {
+func (h history) answer(asked DestinationFilter, from, index int64) Answer {
 	a := Answer{Index: index, Snapshot: from == NoIndex}
 	for d := range modelDestinations {
 		if !asked(d) {
@@ -92,7 +92,7 @@
 }
 
 func newModel(t *rapid.T, visited map[string]int) *model {
-	limits := Limits{Fetched: 2, Beside: 2, Waiting: 6, Batch: 2, InFlight: 2, LookupBytes: 1000, Burst: 1200, Delay: 500 * time.Millisecond, Missing: time.Second, MaxMissing: 2}
+	limits := Limits{MaxFetched: 2, MaxExtraWatched: 2, MaxWaiting: 6, MaxBatch: 2, MaxInFlight: 2, LookupBytesPerSecond: 1000, Burst: 1200, MaxBudgetDelay: 500 * time.Millisecond, MissingTTL: time.Second, MaxMissing: 2}
 	return &model{t: t, limits: limits, state: New(limits), history: history{{}}, part: map[int]bool{}, applied: map[int]int64{}, ever: map[int]int64{},
 		view: map[string]agent.Endpoint{}, visited: visited}
 }
@@ -101,7 +101,7 @@
 func (m *model) expect() {
 	for range rapid.IntRange(0, 2).Draw(m.t, "recovered") {
 		d := rapid.IntRange(0, modelDestinations-1).Draw(m.t, "recovered for")
-		m.state.Expect(d)
+		m.state.AddRecoveredMessage(d)
 		m.messages = append(m.messages, d)
 	}
 }
@@ -128,7 +128,7 @@
 }
 
 // received notes an answer that was applied.
-func (m *model) received(asked Owns, index int64) {
+func (m *model) received(asked DestinationFilter, index int64) {
 	for d := range modelDestinations {
 		if asked(d) && (m.part[d] || m.state.destinations[d] != nil) {
 			m.applied[d] = max(m.applied[d], index)
@@ -225,8 +225,8 @@
 
 func (m *model) arrive() {
 	d := rapid.IntRange(0, modelDestinations-1).Draw(m.t, "for")
-	switch m.state.Arrive(m.now, d).Verdict {
-	case Pass:
+	switch m.state.Admit(m.now, d).Action {
+	case Proceed:
 		if _, received := m.applied[d]; !received && !m.state.missing.has(m.now, d) && !(m.part[d] && m.state.Complete()) {
 			m.t.Fatalf("a message for %d passes, of which nothing was received", d)
 		}
@@ -283,7 +283,7 @@
 		}
 		d := m.waiting[i]
 		m.waiting = slices.Delete(m.waiting, i, i+1)
-		if m.state.Resume(m.now, d).Verdict == Reject {
+		if m.state.Resume(m.now, d).Action == Reject {
 			m.drop(d)
 		}
 	}
@@ -308,14 +308,14 @@
 }
 
 func (m *model) check() {
-	if w := m.state.beside(); len(w) > m.limits.Beside {
+	if w := m.state.beside(); len(w) > m.limits.MaxExtraWatched {
 		m.t.Fatalf("%d destinations beside the part are watched", len(w))
 	}
-	if m.state.fetched > m.limits.Fetched || m.state.lookups.waiting > m.limits.Waiting || m.state.lookups.waiting != len(m.waiting) ||
-		len(m.state.missing.until) > m.limits.MaxMissing || len(m.state.lookups.pending) > m.limits.Fetched {
+	if m.state.fetched > m.limits.MaxFetched || m.state.lookups.waiting > m.limits.MaxWaiting || m.state.lookups.waiting != len(m.waiting) ||
+		len(m.state.missing.until) > m.limits.MaxMissing || len(m.state.lookups.pending) > m.limits.MaxFetched {
 		m.t.Fatalf("bounds %+v: %+v, %d missing, %d pending, %d wait", m.limits, m.state.Counts(), len(m.state.missing.until), len(m.state.lookups.pending), len(m.waiting))
 	}
-	if most := m.limits.Burst + m.limits.LookupBytes*m.now.Seconds() + m.excess; m.spent > most {
+	if most := m.limits.Burst + m.limits.LookupBytesPerSecond*m.now.Seconds() + m.excess; m.spent > most {
 		m.t.Fatalf("look-ups have cost %.0f bytes in %v, and %.0f were allowed", m.spent, m.now, most)
 	}
 	for d := range modelDestinations {
--- a/internal/partial/partial.go
+++ b/internal/partial/partial.go
@@ -17,26 +17,26 @@
 
 // Limits bound what a State holds and what look-ups may cost.
 type Limits struct {
-	Fetched     int           // destinations that are known by look-up
-	Beside      int           // destinations outside the part that one watch asks for
-	Waiting     int           // messages that wait for look-ups
-	Batch       int           // destinations of one look-up
-	InFlight    int           // look-ups at the same time
-	LookupBytes float64       // bytes a second for look-ups
-	Burst       float64       // bytes that may be spent at once after a pause
-	Delay       time.Duration // how long a look-up may wait for its budget
-	Missing     time.Duration // how long it is remembered that a destination does not exist
-	MaxMissing  int           // how many such destinations are remembered
+	MaxFetched           int           // destinations that are known by look-up
+	MaxExtraWatched      int           // destinations outside the part that one watch asks for
+	MaxWaiting           int           // messages that wait for look-ups
+	MaxBatch             int           // destinations of one look-up
+	MaxInFlight          int           // look-ups at the same time
+	LookupBytesPerSecond float64       // bytes a second for look-ups
+	Burst                float64       // bytes that may be spent at once after a pause
+	MaxBudgetDelay       time.Duration // how long a look-up may wait for its budget
+	MissingTTL           time.Duration // how long it is remembered that a destination does not exist
+	MaxMissing           int           // how many such destinations are remembered
 }
 
 // DefaultLimits are those of a forwarder where operators set no others.
 func DefaultLimits() Limits {
-	return Limits{Fetched: 256, Beside: 4096, Waiting: 256, Batch: 32, InFlight: 2, LookupBytes: 1500, Burst: 3000,
-		Delay: 100 * time.Millisecond, Missing: 2 * time.Second, MaxMissing: 1024}
+	return Limits{MaxFetched: 256, MaxExtraWatched: 4096, MaxWaiting: 256, MaxBatch: 32, MaxInFlight: 2, LookupBytesPerSecond: 1500, Burst: 3000,
+		MaxBudgetDelay: 100 * time.Millisecond, MissingTTL: 2 * time.Second, MaxMissing: 1024}
 }
 
-// Owns tells whether a destination is in the forwarder's own part.
-type Owns func(destination int) bool
+// DestinationFilter tells whether a destination is in the forwarder's own part.
+type DestinationFilter func(destination int) bool
 
 // Answer is what a control server has answered: all endpoints of what was asked for, or those that changed.
 type Answer struct {
@@ -48,7 +48,7 @@
 // Watch is what to ask for next: the part, the destinations beside it, and what has changed in them since an index.
 type Watch struct {
 	From         int64 // NoIndex: everything
-	Needed       int64 // an older answer does not count
+	MinIndex     int64 // an older answer does not count
 	Destinations []int // sorted
 	sequence     uint64
 }
@@ -58,10 +58,10 @@
 
 // Update is what the engine is to receive, in the order of its fields.
 type Update struct {
-	Index   int64
-	Evicted []Eviction       // withdrawn here because they are not needed, which says nothing of their state
-	Changed []agent.Endpoint // new, changed or, with the status agent.Deleted, removed
-	Ended   []int            // destinations whose look-up is over
+	Index            int64
+	Evicted          []Eviction       // withdrawn here because they are not needed, which says nothing of their state
+	Changed          []agent.Endpoint // new, changed or, with the status agent.Deleted, removed
+	CompletedLookups []int            // destinations whose look-up is over
 }
 
 // Eviction is a destination that is not known any more.
@@ -71,10 +71,10 @@
 }
 
 // Empty tells whether there is nothing to do.
-func (u *Update) Empty() bool { return len(u.Changed)+len(u.Evicted)+len(u.Ended) == 0 }
+func (u *Update) Empty() bool { return len(u.Changed)+len(u.Evicted)+len(u.CompletedLookups) == 0 }
 
-// ErrOlder is the error of an answer that is older than what was received before: another control server has to be asked.
-var ErrOlder = errors.New("the answer is older than what was received before")
+// ErrStaleAnswer is the error of an answer that is older than what was received before: another control server has to be asked.
+var ErrStaleAnswer = errors.New("the answer is older than what was received before")
 
 // class is why a destination is known.
 type class int
@@ -98,7 +98,7 @@
 // State is what a forwarder knows of the list.
 type State struct {
 	limits       Limits
-	owns         Owns
+	owns         DestinationFilter
 	destinations map[int]*destination
 	byName       map[string]int // the destination of each endpoint
 	references   map[int]int    // messages that wait, are handed in or were accepted, by destination
@@ -120,9 +120,9 @@
 		lookups: newLookups(limits), missing: missing{until: map[int]time.Duration{}}, watched: NoIndex, scoped: NoIndex, newest: NoIndex}
 }
 
-// Start takes what an earlier process or the configuration knew: the endpoints, which of them are owned, and the index of that list.
+// Initialize takes what an earlier process or the configuration knew: the endpoints, which of them are owned, and the index of that list.
 // It is called once, before everything else. Destinations that are not owned leave with the first answer to a watch, or later, once no message refers to them.
-func (s *State) Start(owns Owns, index int64, endpoints []agent.Endpoint) {
+func (s *State) Initialize(owns DestinationFilter, index int64, endpoints []agent.Endpoint) {
 	s.owns, s.newest = owns, index
 	for _, e := range endpoints {
 		d := s.destinations[e.Group]
@@ -137,16 +137,16 @@
 	}
 }
 
-// Expect has the endpoints of a destination asked for with the next watch, as a message refers to it: one that was accepted before this process began.
-func (s *State) Expect(number int) {
+// AddRecoveredMessage has the endpoints of a destination asked for with the next watch, as a message refers to it: one that was accepted before this process began.
+func (s *State) AddRecoveredMessage(number int) {
 	s.refer(number)
 	if !s.owns(number) && s.destinations[number] == nil {
 		s.destinations[number] = &destination{class: retained, index: NoIndex}
 	}
 }
 
-// Continue has the first watch ask for what changed since the index of Start, in place of everything. It is for a State whose part is that of the process before.
-func (s *State) Continue() { s.watched, s.complete = s.newest, true }
+// ContinueWatch has the first watch ask for what changed since the index of Start, in place of everything. It is for a State whose part is that of the process before.
+func (s *State) ContinueWatch() { s.watched, s.complete = s.newest, true }
 
 // Endpoints lists all that is known, by name.
 func (s *State) Endpoints() []agent.Endpoint {
--- a/internal/partial/partial_test.go
+++ b/internal/partial/partial_test.go
@@ -12,7 +12,7 @@
 func none(int) bool { return false }
 
 // owning has a State know a snapshot of a part.
-func owning(t *testing.T, owns Owns, index int64, endpoints ...agent.Endpoint) *State {
+func owning(t *testing.T, owns DestinationFilter, index int64, endpoints ...agent.Endpoint) *State {
 	t.Helper()
 	s := New(DefaultLimits())
 	if _, err := s.ApplyScope(owns, owns, nil); err != nil {
@@ -27,7 +27,7 @@
 // lookUp has a State look up one destination.
 func lookUp(t *testing.T, s *State, now time.Duration, number int, a Answer) (Update, error) {
 	t.Helper()
-	if d := s.Arrive(now, number); d.Verdict != Wait {
+	if d := s.Admit(now, number); d.Action != Wait {
 		t.Fatalf("%+v", d)
 	}
 	batch, wait := s.NextLookup(now)
@@ -58,8 +58,8 @@
 func TestLostPartition(t *testing.T) {
 	owns := func(d int) bool { return d < 3 }
 	s := owning(t, owns, 5, entry(1, "a", agent.Serving), entry(2, "b", agent.Serving))
-	s.Hold(1)
-	s.Hold(1)
+	s.AddReference(1)
+	s.AddReference(1)
 	u, err := s.ApplyScope(none, none, nil)
 	if err != nil || len(u.Evicted) != 1 || u.Evicted[0].Destination != 2 {
 		t.Fatalf("%+v %v", u, err)
@@ -85,17 +85,17 @@
 	if _, err := lookUp(t, s, 0, 9, Answer{Index: 8, Endpoints: []agent.Endpoint{entry(9, "a", agent.Draining)}}); err != nil {
 		t.Fatal(err)
 	}
-	if d := s.Resume(0, 9); d.Verdict != Pass {
+	if d := s.Resume(0, 9); d.Action != Proceed {
 		t.Fatalf("%+v", d)
 	}
 	s.Release(9)
 	var u Update
 	s.evict(&u, 9)
 	_, err := lookUp(t, s, time.Second, 9, Answer{Index: 7, Endpoints: []agent.Endpoint{entry(9, "a", agent.Serving)}})
-	if !errors.Is(err, ErrOlder) || len(s.Endpoints()) > 0 {
+	if !errors.Is(err, ErrStaleAnswer) || len(s.Endpoints()) > 0 {
 		t.Fatalf("%v; %v", err, s.Endpoints())
 	}
-	if d := s.Resume(time.Second, 9); d.Verdict != Reject || d.RetryAfter <= 0 {
+	if d := s.Resume(time.Second, 9); d.Action != Reject || d.RetryAfter <= 0 {
 		t.Fatalf("%+v", d)
 	}
 }
@@ -106,14 +106,14 @@
 	if _, err := lookUp(t, s, 0, 9, Answer{Index: 5}); err != nil {
 		t.Fatal(err)
 	}
-	if d := s.Resume(0, 9); d.Verdict != Pass {
+	if d := s.Resume(0, 9); d.Action != Proceed {
 		t.Fatalf("%+v", d)
 	}
 	limits := DefaultLimits()
-	if d := s.Arrive(limits.Missing-1, 9); d.Verdict != Pass {
+	if d := s.Admit(limits.MissingTTL-1, 9); d.Action != Proceed {
 		t.Fatalf("%+v", d)
 	}
-	if d := s.Arrive(limits.Missing, 9); d.Verdict != Wait {
+	if d := s.Admit(limits.MissingTTL, 9); d.Action != Wait {
 		t.Fatalf("%+v", d)
 	}
 }
@@ -126,7 +126,7 @@
 	if u, err := s.ApplyWatch(w, Answer{Index: 3, Snapshot: true, Endpoints: []agent.Endpoint{entry(1, "b", agent.Serving)}}); err != nil || len(u.Changed) != 2 {
 		t.Fatalf("%+v %v", u, err)
 	}
-	if _, err := lookUp(t, s, 0, 9, Answer{Index: 1000, Endpoints: []agent.Endpoint{entry(9, "c", agent.Serving)}}); !errors.Is(err, ErrOlder) {
+	if _, err := lookUp(t, s, 0, 9, Answer{Index: 1000, Endpoints: []agent.Endpoint{entry(9, "c", agent.Serving)}}); !errors.Is(err, ErrStaleAnswer) {
 		t.Fatal(err)
 	}
 	s.Resume(0, 9)
@@ -137,7 +137,7 @@
 	if w := s.NextWatch(); w.From != 3 {
 		t.Fatalf("%+v", w)
 	}
-	if _, err := s.ApplyWatch(s.NextWatch(), Answer{Index: 2}); !errors.Is(err, ErrOlder) {
+	if _, err := s.ApplyWatch(s.NextWatch(), Answer{Index: 2}); !errors.Is(err, ErrStaleAnswer) {
 		t.Fatalf("changes of a lower index: %v", err)
 	}
 }
@@ -145,13 +145,13 @@
 // TestExpected: a destination of recovered messages is asked for with the next watch, and until then a message for it waits for its own look-up, or is rejected.
 func TestExpected(t *testing.T) {
 	s := New(DefaultLimits())
-	s.Expect(7)
-	if d := s.Arrive(0, 7); d.Verdict != Wait {
+	s.AddRecoveredMessage(7)
+	if d := s.Admit(0, 7); d.Action != Wait {
 		t.Fatalf("%+v", d)
 	}
 	batch, _ := s.NextLookup(0)
 	s.FailLookup(0, batch, 500)
-	if d := s.Resume(0, 7); d.Verdict != Reject {
+	if d := s.Resume(0, 7); d.Action != Reject {
 		t.Fatalf("%+v", d)
 	}
 	s.Release(7)
@@ -160,7 +160,7 @@
 		t.Fatalf("%+v", w)
 	}
 	u, err := s.ApplyWatch(w, Answer{Index: 3, Snapshot: true, Endpoints: []agent.Endpoint{entry(7, "a", agent.Serving)}})
-	if err != nil || len(u.Changed) != 1 || s.Arrive(0, 7).Verdict != Pass {
+	if err != nil || len(u.Changed) != 1 || s.Admit(0, 7).Action != Proceed {
 		t.Fatalf("%+v %v", u, err)
 	}
 }
--- a/internal/scale/partial.go
+++ b/internal/scale/partial.go
@@ -61,7 +61,7 @@
 func newPartialList(s *Start, name string, seed uint64) *partialList {
 	layout := ownership.Layout{Partitions: s.Partial.Partitions, Replicas: s.Partial.Replicas}
 	limits := partial.DefaultLimits()
-	limits.Fetched, limits.LookupBytes = s.Partial.Cached, float64(s.Partial.LookupBytes)
+	limits.MaxFetched, limits.LookupBytesPerSecond = s.Partial.Cached, float64(s.Partial.LookupBytes)
 	p := &partialList{layout: layout, client: client.New(client.Config{Servers: s.Addresses, Layout: layout, Name: name, Zone: simulatedZone, Seed: seed})}
 	p.follower = client.NewFollower(client.FollowerConfig{Client: p.client, Limits: limits, Fleet: s.Partial.Fleet, Deliver: p.deliver})
 	return p
