--- a/cmd/scaleroute/partial_test.go
+++ b/cmd/scaleroute/partial_test.go
@@ -181,7 +181,7 @@
 	w := newPartWorld(t, 2, 40)
 	p := w.start()
 	p.statusWhen("no part", hasPart)
-	after := partLayout.Owned("n0", []string{"n0", "n1", "n2"}).Minus(partLayout.Owned("n0", partMembers))
+	after := partLayout.OwnedPartitions("n0", []string{"n0", "n1", "n2"}).Difference(partLayout.OwnedPartitions("n0", partMembers))
 	var moves []int
 	for _, d := range w.outside {
 		if after.Contains(partLayout.PartitionOf(d)) {
--- a/cmd/scaleroute/partialworld_test.go
+++ b/cmd/scaleroute/partialworld_test.go
@@ -85,7 +85,7 @@
 	t.Cleanup(sync.OnceFunc(func() { w.let() }))
 	w.set.Partitions, w.set.Replicas, w.set.LookupBytes = partLayout.Partitions, partLayout.Replicas, 1<<20
 	w.noKnown, w.env = true, []string{"NODE_OPS=127.0.0.1:0"}
-	own := partLayout.Owned("n0", partMembers)
+	own := partLayout.OwnedPartitions("n0", partMembers)
 	for d := 1; len(w.inside) < destinations || len(w.outside) < destinations; d++ {
 		if own.Contains(partLayout.PartitionOf(d)) {
 			w.inside = append(w.inside, d)
@@ -233,7 +233,7 @@
 func hasPart(s controlclient.Status) bool { return hasPartAmong(s, partMembers) }
 
 func hasPartAmong(s controlclient.Status, members []string) bool {
-	return s.Complete && s.Members == len(members) && s.Partitions == partLayout.Owned("n0", members).Len()
+	return s.Complete && s.Members == len(members) && s.Partitions == partLayout.OwnedPartitions("n0", members).Len()
 }
 
 // deliver hands a message in until it is accepted, and waits for its call.
--- a/internal/capacity/measure/control.go
+++ b/internal/capacity/measure/control.go
@@ -83,7 +83,7 @@
 	for i := range names {
 		names[i] = fmt.Sprintf("forwarder-%04d", i)
 	}
-	if _, err := c.Snapshot(ctx, layout.Among(names).Owned(memberOfControl), 0); err != nil {
+	if _, err := c.Snapshot(ctx, layout.Members(names).OwnedPartitions(memberOfControl), 0); err != nil {
 		return fmt.Errorf("asking for a part: %w", err)
 	}
 	bytes := int64(0)
--- a/internal/capacity/measure/ownership.go
+++ b/internal/capacity/measure/ownership.go
@@ -61,7 +61,7 @@
 		inPartition[layout.PartitionOf(d)]++
 	}
 	leaver := names[0]
-	before, after := layout.Among(names), layout.Among(names[1:])
+	before, after := layout.Members(names), layout.Members(names[1:])
 	parts, moved := map[string]int{}, 0
 	for p, destinations := range inPartition {
 		owners := before.Owners(ownership.Partition(p))
@@ -83,7 +83,7 @@
 	x := float64(forwarders)
 	into.add(partEvenness, x, float64(largest)*x/float64(listed*layout.Replicas), seed)
 	into.add(partMoved, x, float64(moved)/float64(parts[leaver]), seed)
-	into.add(partScope, x, float64(len(before.Owned(leaver).String())), seed)
+	into.add(partScope, x, float64(len(before.OwnedPartitions(leaver).String())), seed)
 	tracker := ownership.NewTracker(layout, names[1])
 	tracker.Update(names)
 	cpu := ownCPU()
--- a/internal/capacity/measure/part.go
+++ b/internal/capacity/measure/part.go
@@ -122,7 +122,7 @@
 
 // partSize is how many destinations the forwarder owns.
 func partSize(layout ownership.Layout, destinations int, members []string) (n int) {
-	owned := layout.Among(members).Owned(partForwarder)
+	owned := layout.Members(members).OwnedPartitions(partForwarder)
 	for d := range destinations {
 		if owned.Contains(layout.PartitionOf(d)) {
 			n++
--- a/internal/control/client/client_test.go
+++ b/internal/control/client/client_test.go
@@ -41,7 +41,7 @@
 // TestWatchRegisters: an unknown scope is registered once, and asked for again.
 func TestWatchRegisters(t *testing.T) {
 	s := newFake(t, newList())
-	scope := testLayout.Owned("n0", []string{"n0", "n1", "n2"})
+	scope := testLayout.OwnedPartitions("n0", []string{"n0", "n1", "n2"})
 	inside, outside := destinationsOf(scope, 2)
 	for _, d := range []int{inside[0], outside[0], outside[1]} {
 		s.set(d, name(d), agent.Serving)
--- a/internal/control/client/follower.go
+++ b/internal/control/client/follower.go
@@ -245,7 +245,7 @@
 		return nil
 	}
 	next := f.bounded(f.parts.Update(names), len(names))
-	gained := next.Minus(owned)
+	gained := next.Difference(owned)
 	var answer *partial.Answer
 	if complete && gained.Len() > 0 && 2*gained.Len() < next.Len() {
 		a, err := f.Client.Snapshot(ctx, gained, needed)
@@ -257,7 +257,7 @@
 	if err := f.applyPart(next, gained, answer); err != nil {
 		return f.tryAgain(err)
 	}
-	slog.Info("the part of the list has changed", "members", len(names), "partitions", next.Len(), "gained", gained.Len(), "lost", owned.Minus(next).Len(), "index", needed)
+	slog.Info("the part of the list has changed", "members", len(names), "partitions", next.Len(), "gained", gained.Len(), "lost", owned.Difference(next).Len(), "index", needed)
 	return nil
 }
 
--- a/internal/control/client/follower_test.go
+++ b/internal/control/client/follower_test.go
@@ -99,7 +99,7 @@
 func TestFollow(t *testing.T) {
 	l := newList()
 	l.setMembers("n0", "n1", "n2", "n3")
-	inside, outside := destinationsOf(testLayout.Owned("n0", []string{"n0", "n1", "n2", "n3"}), 3)
+	inside, outside := destinationsOf(testLayout.OwnedPartitions("n0", []string{"n0", "n1", "n2", "n3"}), 3)
 	l.fill(inside[0], outside[0], outside[1])
 	s := newFake(t, l)
 	f, e := following(t, partial.DefaultLimits(), s)
@@ -139,7 +139,7 @@
 func TestAllServersDead(t *testing.T) {
 	l := newList()
 	l.setMembers("n0", "n1", "n2", "n3")
-	inside, outside := destinationsOf(testLayout.Owned("n0", []string{"n0", "n1", "n2", "n3"}), 2)
+	inside, outside := destinationsOf(testLayout.OwnedPartitions("n0", []string{"n0", "n1", "n2", "n3"}), 2)
 	l.fill(inside[0], inside[1], outside[0])
 	a, b := newFake(t, l), newFake(t, l)
 	f, e := following(t, partial.DefaultLimits(), a, b)
@@ -179,8 +179,8 @@
 	l := newList()
 	before, after := []string{"n0", "n1", "n2", "n3", "n4", "n5"}, []string{"n0", "n1", "n2", "n3", "n4"}
 	l.setMembers(before...)
-	was, is := testLayout.Owned("n0", before), testLayout.Owned("n0", after)
-	gained, _ := destinationsOf(is.Minus(was), 2)
+	was, is := testLayout.OwnedPartitions("n0", before), testLayout.OwnedPartitions("n0", after)
+	gained, _ := destinationsOf(is.Difference(was), 2)
 	kept, _ := destinationsOf(was, 2)
 	l.fill(append(slices.Clone(gained), kept...)...)
 	s := newFake(t, l)
@@ -218,8 +218,8 @@
 	l := newList()
 	before, after := []string{"n0", "n1", "n2", "n3", "n4", "n5"}, []string{"n0", "n1", "n2", "n3", "n4"}
 	l.setMembers(before...)
-	was, is := testLayout.Owned("n0", before), testLayout.Owned("n0", after)
-	gained, _ := destinationsOf(is.Minus(was), 1)
+	was, is := testLayout.OwnedPartitions("n0", before), testLayout.OwnedPartitions("n0", after)
+	gained, _ := destinationsOf(is.Difference(was), 1)
 	kept, _ := destinationsOf(was, 1)
 	l.fill(gained[0], kept[0])
 	s := newFake(t, l)
@@ -249,7 +249,7 @@
 func TestResume(t *testing.T) {
 	l := newList()
 	l.setMembers("n0", "n1", "n2", "n3")
-	inside, outside := destinationsOf(testLayout.Owned("n0", []string{"n0", "n1", "n2", "n3"}), 1)
+	inside, outside := destinationsOf(testLayout.OwnedPartitions("n0", []string{"n0", "n1", "n2", "n3"}), 1)
 	l.fill(inside[0], outside[0])
 	s := newFake(t, l)
 	f, _ := following(t, partial.DefaultLimits(), s)
@@ -297,7 +297,7 @@
 func TestBudget(t *testing.T) {
 	l := newList()
 	l.setMembers("n0", "n1", "n2", "n3")
-	_, outside := destinationsOf(testLayout.Owned("n0", []string{"n0", "n1", "n2", "n3"}), 40)
+	_, outside := destinationsOf(testLayout.OwnedPartitions("n0", []string{"n0", "n1", "n2", "n3"}), 40)
 	l.fill(outside...)
 	limits := partial.DefaultLimits()
 	limits.LookupBytesPerSecond, limits.Burst, limits.MaxBatch = 100, 1000, 1
@@ -323,7 +323,7 @@
 func TestLookWaitsForDelivery(t *testing.T) {
 	l := newList()
 	l.setMembers("n0", "n1", "n2", "n3")
-	inside, _ := destinationsOf(testLayout.Owned("n0", []string{"n0", "n1", "n2", "n3"}), 1)
+	inside, _ := destinationsOf(testLayout.OwnedPartitions("n0", []string{"n0", "n1", "n2", "n3"}), 1)
 	l.fill(inside...)
 	s := newFake(t, l)
 	drain := sync.OnceFunc(func() { l.set(inside[0], name(inside[0]), agent.Draining) })
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -104,7 +104,7 @@
 	if o.MaxRequests < 0 || o.MaxRequests > math.MaxInt32 {
 		return fmt.Errorf("max-requests %d: from 1 to %d", o.MaxRequests, math.MaxInt32)
 	}
-	return o.Layout.Check()
+	return o.Layout.Validate()
 }
 
 func checkAddress(setting, address string) error {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	options.setDefaults()
-	if err := options.Layout.Check(); err != nil {
+	if err := options.Layout.Validate(); err != nil {
 		return nil, err
 	}
 	folder, err := openFolder(options.Folder)
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -51,7 +51,7 @@
 	return func(visit catalog.Visit) bool {
 		count := max(1, slotsAtOnce*s.options.Layout.Partitions/(s.list.Len()+1))
 		var piece ownership.Set
-		piece, rest = rest.Cut(count)
+		piece, rest = rest.Split(count)
 		if piece.Len() == 0 {
 			s.list.Destinations(single, visit) // there is a list
 			return false
--- a/internal/operator/control.go
+++ b/internal/operator/control.go
@@ -48,10 +48,10 @@
 		}
 		seen[a] = true
 	}
-	if err := (ownership.Layout{Partitions: s.Partitions, Replicas: 1}).Check(); err != nil {
+	if err := (ownership.Layout{Partitions: s.Partitions, Replicas: 1}).Validate(); err != nil {
 		add("control.partitions", err.Error(), "write the number that all forwarders and control servers have, as 2097152")
 	}
-	if err := (ownership.Layout{Partitions: 1, Replicas: s.Replicas}).Check(); err != nil {
+	if err := (ownership.Layout{Partitions: 1, Replicas: s.Replicas}).Validate(); err != nil {
 		add("control.replicas", err.Error(), "write the number that all forwarders have, as 3")
 	}
 	if s.Fetched < 1 || s.Fetched > maxFetched {
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -30,8 +30,8 @@
 	Replicas   int // owners of each partition
 }
 
-// Check reports what is wrong with a layout.
-func (l Layout) Check() error {
+// Validate reports what is wrong with a layout.
+func (l Layout) Validate() error {
 	if l.Partitions < 1 || l.Partitions > MaxPartitions || bits.OnesCount(uint(l.Partitions)) != 1 {
 		return fmt.Errorf("partitions %d: a power of two from 1 to %d", l.Partitions, MaxPartitions)
 	}
@@ -51,12 +51,12 @@
 // Owners are the owners of a partition, the one with the highest weight first; fewer than Replicas where there are fewer members. The order
 // of members and names that occur twice make no difference.
 func (l Layout) Owners(p Partition, members []string) []string {
-	return l.Among(members).Owners(p)
+	return l.Members(members).Owners(p)
 }
 
-// Owned are the partitions that self owns. It is counted as a member whether it is among them or not.
-func (l Layout) Owned(self string, members []string) Set {
-	return l.Among(members).Owned(self)
+// OwnedPartitions are the partitions that self owns. It is counted as a member whether it is among them or not.
+func (l Layout) OwnedPartitions(self string, members []string) Set {
+	return l.Members(members).OwnedPartitions(self)
 }
 
 // Members is a list of members made ready for many questions.
@@ -71,8 +71,8 @@
 	name string
 }
 
-// Among makes a list of members ready.
-func (l Layout) Among(names []string) *Members {
+// Members makes a list of members ready.
+func (l Layout) Members(names []string) *Members {
 	m := &Members{layout: l, members: make([]member, len(names))}
 	for i, name := range names {
 		m.members[i] = newMember(name)
@@ -132,9 +132,9 @@
 	return names
 }
 
-// Owned are the partitions that a member owns, whether the list has it or not. Each partition takes some thirty hashes, however many members
+// OwnedPartitions are the partitions that a member owns, whether the list has it or not. Each partition takes some thirty hashes, however many members
 // there are: it is decided by the first Replicas of them that outrank self.
-func (m *Members) Owned(name string) Set {
+func (m *Members) OwnedPartitions(name string) Set {
 	self := newMember(name)
 	var owned []Partition
 	for p := range Partition(m.layout.Partitions) {
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -20,12 +20,12 @@
 
 func TestLayoutCheck(t *testing.T) {
 	for _, l := range []Layout{{1, 1}, {1 << 21, 3}, {MaxPartitions, MaxReplicas}} {
-		if err := l.Check(); err != nil {
+		if err := l.Validate(); err != nil {
 			t.Errorf("%+v: %v", l, err)
 		}
 	}
 	for _, l := range []Layout{{}, {3, 1}, {-4, 1}, {2 * MaxPartitions, 1}, {4, 0}, {4, MaxReplicas + 1}} {
-		if l.Check() == nil {
+		if l.Validate() == nil {
 			t.Errorf("%+v is accepted", l)
 		}
 	}
@@ -48,14 +48,14 @@
 				t.Fatalf("partition %d: %q in one order, %q in another", p, owners, other)
 			}
 			for _, name := range members {
-				if owned := layout.Among(shuffled).owns(newMember(name), p); owned != slices.Contains(owners, name) {
+				if owned := layout.Members(shuffled).owns(newMember(name), p); owned != slices.Contains(owners, name) {
 					t.Fatalf("partition %d: %q owns it: %t; owners %q", p, name, owned, owners)
 				}
 			}
 			after := layout.Owners(p, rest)
 			// Where some members see the leaver and some do not, whoever owns a partition by the one list does by the other.
 			for _, name := range owners {
-				if name != leaver && !layout.Among(rest).owns(newMember(name), p) {
+				if name != leaver && !layout.Members(rest).owns(newMember(name), p) {
 					t.Fatalf("partition %d: %q owns it only while %q is there", p, name, leaver)
 				}
 			}
@@ -64,7 +64,7 @@
 				t.Fatalf("partition %d: owners %q, and %q without %q", p, owners, after, leaver)
 			}
 		}
-		if without, with := layout.Owned(leaver, rest), layout.Owned(leaver, members); !without.Equal(with) {
+		if without, with := layout.OwnedPartitions(leaver, rest), layout.OwnedPartitions(leaver, members); !without.Equal(with) {
 			t.Fatalf("%q owns another part where the list does not have it", leaver)
 		}
 	})
@@ -87,7 +87,7 @@
 	for d := range destinations {
 		perPartition[layout.PartitionOf(d)]++
 	}
-	ready, parts := layout.Among(memberNames(members)), map[string]int{}
+	ready, parts := layout.Members(memberNames(members)), map[string]int{}
 	for p, n := range perPartition {
 		for _, owner := range ready.Owners(Partition(p)) {
 			parts[owner] += n
@@ -113,7 +113,7 @@
 // TestLeaverMovesItsOwnPart: what changes owners is what the leaver owned, each by one owner.
 func TestLeaverMovesItsOwnPart(t *testing.T) {
 	layout, members := Layout{Partitions: 1 << 12, Replicas: 3}, memberNames(50)
-	before, after := layout.Among(members), layout.Among(members[1:])
+	before, after := layout.Members(members), layout.Members(members[1:])
 	gained := 0
 	for p := range Partition(layout.Partitions) {
 		was := before.Owners(p)
@@ -123,7 +123,7 @@
 			}
 		}
 	}
-	if own := before.Owned(members[0]).Len(); gained != own {
+	if own := before.OwnedPartitions(members[0]).Len(); gained != own {
 		t.Errorf("%d assignments have moved, and the leaver had %d", gained, own)
 	}
 }
@@ -140,15 +140,15 @@
 		}
 		for _, number := range append(slices.Clone(numbers), others...) {
 			inA, inB := slices.Contains(numbers, number), slices.Contains(others, number)
-			if a.Contains(number) != inA || !a.Union(b).Contains(number) || a.Minus(b).Contains(number) != (inA && !inB) {
+			if a.Contains(number) != inA || !a.Union(b).Contains(number) || a.Difference(b).Contains(number) != (inA && !inB) {
 				t.Fatalf("number %d is in the wrong sets", number)
 			}
 		}
-		first, rest := a.Cut(len(others))
-		if first.Len() != min(len(others), a.Len()) || !first.Union(rest).Equal(a) || first.Minus(rest).Len() != first.Len() {
+		first, rest := a.Split(len(others))
+		if first.Len() != min(len(others), a.Len()) || !first.Union(rest).Equal(a) || first.Difference(rest).Len() != first.Len() {
 			t.Fatalf("%v cut into %v and %v", a.numbers, first.numbers, rest.numbers)
 		}
-		if a.Union(b).Len() != a.Minus(b).Len()+b.Len() {
+		if a.Union(b).Len() != a.Difference(b).Len()+b.Len() {
 			t.Fatalf("sizes of %v and %v", a.numbers, b.numbers)
 		}
 	})
@@ -206,7 +206,7 @@
 func BenchmarkOwned(b *testing.B) {
 	layout, members := Layout{Partitions: 1 << 21, Replicas: 3}, memberNames(6800)
 	for b.Loop() {
-		layout.Owned(members[17], members)
+		layout.OwnedPartitions(members[17], members)
 	}
 }
 
--- a/internal/ownership/set.go
+++ b/internal/ownership/set.go
@@ -58,14 +58,14 @@
 	return Set{numbers: append(merged, b...)}
 }
 
-// Cut is the set of the first count numbers, and that of the others.
-func (s Set) Cut(count int) (first, rest Set) {
+// Split is the set of the first count numbers, and that of the others.
+func (s Set) Split(count int) (first, rest Set) {
 	count = min(count, len(s.numbers))
 	return Set{numbers: s.numbers[:count:count]}, Set{numbers: s.numbers[count:]}
 }
 
-// Minus is the set of the numbers that are not in the other.
-func (s Set) Minus(other Set) Set {
+// Difference is the set of the numbers that are not in the other.
+func (s Set) Difference(other Set) Set {
 	var rest []uint32
 	b := other.numbers
 	for _, number := range s.numbers {
--- a/internal/ownership/tracker.go
+++ b/internal/ownership/tracker.go
@@ -19,16 +19,16 @@
 
 // Update is the partitions that the member owns among the members as they are now.
 func (t *Tracker) Update(names []string) Set {
-	before, next := t.members, t.layout.Among(names)
+	before, next := t.members, t.layout.Members(names)
 	t.members = next
 	if before == nil {
-		t.owned = next.Owned(t.self.name)
+		t.owned = next.OwnedPartitions(t.self.name)
 		return t.owned
 	}
 	joined, left := changedMembers(before.members, next.members)
 	switch {
 	case float64(len(left)) > maxLeftShare*float64(len(before.members)):
-		t.owned = next.Owned(t.self.name)
+		t.owned = next.OwnedPartitions(t.self.name)
 	case len(left) > 0:
 		t.owned = t.ownedAfterLeaving(next, joined, left)
 	case len(joined) > 0:
--- a/internal/ownership/tracker_test.go
+++ b/internal/ownership/tracker_test.go
@@ -25,7 +25,7 @@
 					names = append(names, each)
 				}
 			}
-			got, want := tracker.Update(names), layout.Owned("m-0", names)
+			got, want := tracker.Update(names), layout.OwnedPartitions("m-0", names)
 			if !slices.Equal(got.numbers, want.numbers) {
 				t.Fatalf("among %v: tracked %v, anew %v", names, got.numbers, want.numbers)
 			}
@@ -53,7 +53,7 @@
 	}
 	b.Run("anew", func(b *testing.B) {
 		for b.Loop() {
-			layout.Owned(names[0], names)
+			layout.OwnedPartitions(names[0], names)
 		}
 	})
 }
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -254,7 +254,7 @@
 	nodes, lists := h.partial()
 	for i, p := range lists {
 		now := p.part()
-		parts = append(parts, Part{Destinations: p.owned(), Partitions: now.Len(), Gained: now.Minus(h.parts[nodes[i]]).Len()})
+		parts = append(parts, Part{Destinations: p.owned(), Partitions: now.Len(), Gained: now.Difference(h.parts[nodes[i]]).Len()})
 		h.parts[nodes[i]] = now
 	}
 	return parts
--- a/internal/scale/partial.go
+++ b/internal/scale/partial.go
@@ -160,7 +160,7 @@
 // hasPart tells whether the part is the one that the members known leave to this node.
 func (p *partialList) hasPart() bool {
 	saved := p.follower.Save()
-	return saved.Owned == p.layout.Owned(p.node.Name, saved.Members).String()
+	return saved.Owned == p.layout.OwnedPartitions(p.node.Name, saved.Members).String()
 }
 
 // leave ends the lease.
