--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -31,9 +31,9 @@
 // Errors of Begin and Since.
 var (
 	ErrNoList         = errors.New("no list yet")
-	ErrBehind         = errors.New("the list here is older than the one asked from")
+	ErrCatalogBehind  = errors.New("the list here is older than the one asked from")
 	ErrSnapshotNeeded = errors.New("what has changed since then is not known any more")
-	ErrOldChanges     = errors.New("changes with an older index than the list's")
+	ErrStaleChanges   = errors.New("changes with an older index than the list's")
 )
 
 // Catalog is the whole list.
@@ -72,10 +72,10 @@
 // Layout is how the destinations are split.
 func (c *Catalog) Layout() ownership.Layout { return c.layout }
 
-// Touched says whose part a list has changed.
-type Touched struct {
-	All    bool     // there are too many to name
-	Groups []uint32 // destinations, some more than once
+// ChangedDestinations says whose part a list has changed.
+type ChangedDestinations struct {
+	All          bool     // there are too many to name
+	Destinations []uint32 // destinations, some more than once
 }
 
 // Begin starts to take over a list: a snapshot, or what changed. Entries follow with Put, and Commit ends it. A list that was begun before and not
@@ -87,7 +87,7 @@
 		return ErrNoList
 	}
 	if index < c.index && !snapshot {
-		return ErrOldChanges
+		return ErrStaleChanges
 	}
 	c.update = update{open: true, index: index, snapshot: snapshot}
 	return nil
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// Refuse is for an entry that could not be read: what is known under its name stays, also where the list is a snapshot.
-func (c *Catalog) Refuse(name string) {
+// KeepExisting is for an entry that could not be read: what is known under its name stays, also where the list is a snapshot.
+func (c *Catalog) KeepExisting(name string) {
 	if slot, known := c.entries.find(name); known && c.update.open {
 		c.see(slot)
 	}
@@ -207,9 +207,9 @@
 }
 
 // Commit ends a list that was begun: what a snapshot has not named is gone, and the list has its index.
-func (c *Catalog) Commit() (Touched, error) {
+func (c *Catalog) Commit() (ChangedDestinations, error) {
 	if !c.update.open {
-		return Touched{}, errors.New("no list is being taken over")
+		return ChangedDestinations{}, errors.New("no list is being taken over")
 	}
 	if c.update.snapshot {
 		c.deleteUnseen()
@@ -220,10 +220,10 @@
 		c.highest = max(c.highest, c.index)
 		c.index = index
 		c.log.restart(index)
-		return Touched{All: true}, nil
+		return ChangedDestinations{All: true}, nil
 	}
 	if index == c.index { // changes without a new index wait for one: who has this index could not be sent them
-		return Touched{}, nil
+		return ChangedDestinations{}, nil
 	}
 	c.index = index
 	return c.log.commit(index), nil
@@ -238,9 +238,9 @@
 }
 
 // Apply takes over a list at once. The entries that were refused are the second result; the first error is about the list as a whole.
-func (c *Catalog) Apply(list *agent.List) (touched Touched, refused []error, err error) {
+func (c *Catalog) Apply(list *agent.List) (touched ChangedDestinations, refused []error, err error) {
 	if err := c.Begin(list.Index, list.Snapshot); err != nil {
-		return Touched{}, nil, err
+		return ChangedDestinations{}, nil, err
 	}
 	for _, e := range list.Endpoints {
 		if err := c.Put(e); err != nil {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -38,7 +38,7 @@
 func (v *view) catchUp(c *Catalog) error {
 	err := ErrSnapshotNeeded
 	if v.index >= 0 {
-		err = c.Since(&v.scope, v.index, v.visit)
+		err = c.VisitChanges(&v.scope, v.index, v.visit)
 	}
 	if errors.Is(err, ErrSnapshotNeeded) {
 		clear(v.endpoints)
@@ -52,10 +52,10 @@
 
 func (v *view) snapshot(c *Catalog) error {
 	if !v.scope.Whole {
-		return c.Snapshot(&v.scope, v.visit)
+		return c.VisitScope(&v.scope, v.visit)
 	}
 	for begin, more := 0, true; more; {
-		begin, more = c.Slots(begin, 3, v.visit)
+		begin, more = c.VisitSlots(begin, 3, v.visit)
 	}
 	return nil
 }
@@ -204,7 +204,7 @@
 	c.Apply(&agent.List{Index: 2, Endpoints: []agent.Endpoint{{Name: "a", Status: agent.Draining}}})
 	want := serving("a", 5)
 	want.Status = agent.Draining
-	c.Destinations(ownership.NewSet(5), func(got agent.Endpoint) {
+	c.VisitDestinations(ownership.NewSet(5), func(got agent.Endpoint) {
 		if got != want {
 			t.Errorf("%+v", got)
 		}
@@ -216,7 +216,7 @@
 	c := New(testLayout, Limits{Entries: 100, Changes: 3})
 	c.Apply(&agent.List{Index: 1, Snapshot: true, Endpoints: []agent.Endpoint{serving("a", 5), serving("b", 6), serving("c", 7), serving("d", 8)}})
 	touched, _, _ := c.Apply(&agent.List{Index: 2, Endpoints: []agent.Endpoint{serving("a", 9), serving("b", 6)}})
-	if touched.All || !slices.Equal(touched.Groups, []uint32{5, 9}) {
+	if touched.All || !slices.Equal(touched.Destinations, []uint32{5, 9}) {
 		t.Errorf("%+v", touched)
 	}
 	touched, _, _ = c.Apply(&agent.List{Index: 3, Snapshot: true})
@@ -228,7 +228,7 @@
 // TestSince: a client that is ahead gets ErrBehind, one that is older than the log needs a snapshot, and an index that went back is no reason to refuse.
 func TestSince(t *testing.T) {
 	c, scope := New(testLayout, Limits{Entries: 100, Changes: 2}), &Scope{Whole: true}
-	ask := func(index int64) error { return c.Since(scope, index, func(agent.Endpoint) {}) }
+	ask := func(index int64) error { return c.VisitChanges(scope, index, func(agent.Endpoint) {}) }
 	if err := ask(0); err != ErrNoList {
 		t.Error(err)
 	}
@@ -239,16 +239,16 @@
 	for i := range 4 {
 		c.Apply(&agent.List{Index: 11 + int64(i), Endpoints: []agent.Endpoint{serving("a", i)}})
 	}
-	for index, want := range map[int64]error{15: ErrBehind, 14: nil, 13: nil, 12: ErrSnapshotNeeded, 3: ErrSnapshotNeeded} {
+	for index, want := range map[int64]error{15: ErrCatalogBehind, 14: nil, 13: nil, 12: ErrSnapshotNeeded, 3: ErrSnapshotNeeded} {
 		if err := ask(index); err != want {
 			t.Errorf("since %d: %v", index, err)
 		}
 	}
-	if _, _, err := c.Apply(&agent.List{Index: 13}); err != ErrOldChanges {
+	if _, _, err := c.Apply(&agent.List{Index: 13}); err != ErrStaleChanges {
 		t.Error(err)
 	}
 	c.Apply(&agent.List{Index: 5, Snapshot: true})
-	for index, want := range map[int64]error{15: ErrBehind, 14: ErrSnapshotNeeded, 6: ErrSnapshotNeeded, 5: nil, 4: ErrSnapshotNeeded} {
+	for index, want := range map[int64]error{15: ErrCatalogBehind, 14: ErrSnapshotNeeded, 6: ErrSnapshotNeeded, 5: nil, 4: ErrSnapshotNeeded} {
 		if err := ask(index); err != want {
 			t.Errorf("since %d, after the index went back: %v", index, err)
 		}
--- a/internal/catalog/log.go
+++ b/internal/catalog/log.go
@@ -52,20 +52,20 @@
 func (l *changeLog) committed() uint64 { return l.marks[len(l.marks)-1].end }
 
 // commit gives the changes since the last commit an index, and says which destinations they touch. It is greater than the last one.
-func (l *changeLog) commit(index int64) Touched {
+func (l *changeLog) commit(index int64) ChangedDestinations {
 	since := l.committed()
 	if l.end == since {
-		return Touched{}
+		return ChangedDestinations{}
 	}
 	l.marks = append(l.marks, mark{index: index, end: l.end})
 	forgotten := sort.Search(len(l.marks)-1, func(i int) bool { return l.marks[i].end >= l.first() })
 	l.marks = append(l.marks[:0], l.marks[forgotten:]...)
 	if since < l.first() {
-		return Touched{All: true}
+		return ChangedDestinations{All: true}
 	}
-	touched := Touched{Groups: make([]uint32, 0, l.end-since)}
+	touched := ChangedDestinations{Destinations: make([]uint32, 0, l.end-since)}
 	for place := since; place < l.end; place++ {
-		touched.Groups = append(touched.Groups, l.at(place).group)
+		touched.Destinations = append(touched.Destinations, l.at(place).group)
 	}
 	return touched
 }
--- a/internal/catalog/scope.go
+++ b/internal/catalog/scope.go
@@ -18,8 +18,8 @@
 		s.Partitions.Len() > 0 && s.Partitions.Contains(layout.PartitionOf(int(destination)))
 }
 
-// Outside are the scope's destinations that are in none of its partitions.
-func (s *Scope) Outside(layout ownership.Layout) ownership.Set {
+// DestinationsOutsidePartitions are the scope's destinations that are in none of its partitions.
+func (s *Scope) DestinationsOutsidePartitions(layout ownership.Layout) ownership.Set {
 	var outside []uint32
 	for destination := range s.Destinations.All() {
 		if !s.Partitions.Contains(layout.PartitionOf(int(destination))) {
@@ -29,11 +29,11 @@
 	return ownership.NewSet(outside...)
 }
 
-// Visit is called with one endpoint after another; it must not call the catalog.
-type Visit func(agent.Endpoint)
+// EndpointVisitor is called with one endpoint after another; it must not call the catalog.
+type EndpointVisitor func(agent.Endpoint)
 
-// Since visits what has changed in a scope since an index: each endpoint that did as it is now, and as deleted where it is not in the scope any more.
-func (c *Catalog) Since(scope *Scope, index int64, visit Visit) error {
+// VisitChanges visits what has changed in a scope since an index: each endpoint that did as it is now, and as deleted where it is not in the scope any more.
+func (c *Catalog) VisitChanges(scope *Scope, index int64, visit EndpointVisitor) error {
 	begin, end, err := c.span(index)
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 	case index == c.index:
 		return 0, 0, nil
 	case index > c.index && index > c.highest:
-		return 0, 0, ErrBehind
+		return 0, 0, ErrCatalogBehind
 	case index > c.index: // discovery has counted anew since
 		return 0, 0, ErrSnapshotNeeded
 	}
@@ -90,8 +90,8 @@
 	return agent.Endpoint{Name: changed.name, Group: int(changed.group), Status: agent.Deleted}
 }
 
-// Snapshot visits all endpoints of a scope that names partitions and destinations. For the whole list there is Slots.
-func (c *Catalog) Snapshot(scope *Scope, visit Visit) error {
+// VisitScope visits all endpoints of a scope that names partitions and destinations. For the whole list there is Slots.
+func (c *Catalog) VisitScope(scope *Scope, visit EndpointVisitor) error {
 	if c.index < 0 {
 		return ErrNoList
 	}
@@ -100,13 +100,13 @@
 			c.visitPartition(p, func(uint32) bool { return true }, visit)
 		}
 	}
-	for destination := range scope.Outside(c.layout).All() {
+	for destination := range scope.DestinationsOutsidePartitions(c.layout).All() {
 		c.visitPartition(c.layout.PartitionOf(int(destination)), func(group uint32) bool { return group == destination }, visit)
 	}
 	return nil
 }
 
-func (c *Catalog) visitPartition(p ownership.Partition, wanted func(group uint32) bool, visit Visit) {
+func (c *Catalog) visitPartition(p ownership.Partition, wanted func(group uint32) bool, visit EndpointVisitor) {
 	for at := c.entries.first[p]; at != noSlot; at = c.entries.at(at).next {
 		if wanted(c.entries.at(at).group) {
 			visit(c.entries.endpoint(at))
@@ -114,15 +114,15 @@
 	}
 }
 
-// Destinations visits the endpoints of some destinations.
-func (c *Catalog) Destinations(set ownership.Set, visit Visit) error {
-	return c.Snapshot(&Scope{Destinations: set}, visit)
+// VisitDestinations visits the endpoints of some destinations.
+func (c *Catalog) VisitDestinations(set ownership.Set, visit EndpointVisitor) error {
+	return c.VisitScope(&Scope{Destinations: set}, visit)
 }
 
-// Slots visits the endpoints in the next count places from begin on, and says where to go on; more is false at the end. The catalog may change
+// VisitSlots visits the endpoints in the next count places from begin on, and says where to go on; more is false at the end. The catalog may change
 // between two calls: an endpoint that is there all the time is visited once, and whatever else happens comes after the index that the list had
 // at the first call.
-func (c *Catalog) Slots(begin, count int, visit Visit) (next int, more bool) {
+func (c *Catalog) VisitSlots(begin, count int, visit EndpointVisitor) (next int, more bool) {
 	end := min(begin+count, int(c.entries.slots()))
 	for at := begin; at < end; at++ {
 		if c.entries.at(slot(at)).used() {
--- a/internal/control/keep.go
+++ b/internal/control/keep.go
@@ -16,7 +16,7 @@
 )
 
 // noteChange keeps what a list has changed, or has a snapshot written where that can't be written as a delta.
-func (s *Server) noteChange(before int64, touched catalog.Touched) {
+func (s *Server) noteChange(before int64, touched catalog.ChangedDestinations) {
 	s.keepMu.Lock()
 	defer s.keepMu.Unlock()
 	if touched.All || s.folder.changes == nil {
@@ -24,14 +24,14 @@
 		s.requestSave()
 		return
 	}
-	if len(touched.Groups) == 0 {
+	if len(touched.Destinations) == 0 {
 		return
 	}
 	var entries []byte
 	count := 0
 	s.listMu.RLock()
 	index := s.list.Index()
-	err := s.list.Since(&catalog.Scope{Whole: true}, before, func(e agent.Endpoint) {
+	err := s.list.VisitChanges(&catalog.Scope{Whole: true}, before, func(e agent.Endpoint) {
 		entries = appendFileEntry(append(entries, 1), &e)
 		count++
 	})
--- a/internal/control/listfile.go
+++ b/internal/control/listfile.go
@@ -186,7 +186,7 @@
 	for next, more := 0, true; more; {
 		piece = piece[:0]
 		s.listMu.RLock()
-		next, more = s.list.Slots(next, slotsAtOnce, func(e agent.Endpoint) {
+		next, more = s.list.VisitSlots(next, slotsAtOnce, func(e agent.Endpoint) {
 			piece = appendFileEntry(append(piece, 1), &e)
 			count++
 		})
--- a/internal/control/lists.go
+++ b/internal/control/lists.go
@@ -202,7 +202,7 @@
 	}
 	body = appendListHeader(body, s.list.Index(), true)
 	first := true
-	err := s.list.Snapshot(wanted, func(e agent.Endpoint) {
+	err := s.list.VisitScope(wanted, func(e agent.Endpoint) {
 		body = appendEntry(body, &e, first)
 		first = false
 	})
@@ -213,7 +213,7 @@
 func (s *Server) appendChanges(body []byte, from int64, wanted *catalog.Scope) ([]byte, error) {
 	body = appendListHeader(body, s.list.Index(), false)
 	first := true
-	err := s.list.Since(wanted, from, func(e agent.Endpoint) {
+	err := s.list.VisitChanges(wanted, from, func(e agent.Endpoint) {
 		body = appendEntry(body, &e, first)
 		first = false
 	})
@@ -234,7 +234,7 @@
 	switch {
 	case errors.Is(err, catalog.ErrNoList):
 		return unavailable(time.Second, "this server has no list yet: ask another one")
-	case errors.Is(err, catalog.ErrBehind):
+	case errors.Is(err, catalog.ErrCatalogBehind):
 		return unavailable(time.Second, "this server has index %d, which is behind %d: ask another one", s.list.Index(), from)
 	}
 	return err
--- a/internal/control/scopes.go
+++ b/internal/control/scopes.go
@@ -169,10 +169,10 @@
 }
 
 // notify wakes those whose scope a list has touched.
-func (w *watches) notify(touched catalog.Touched) {
+func (w *watches) notify(touched catalog.ChangedDestinations) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !touched.All && len(touched.Groups) == 0 {
+	if !touched.All && len(touched.Destinations) == 0 {
 		return
 	}
 	for each := range w.whole {
@@ -182,7 +182,7 @@
 		w.notifyAll()
 		return
 	}
-	for _, group := range touched.Groups {
+	for _, group := range touched.Destinations {
 		for each := range w.byDestination[group] {
 			each.notify()
 		}
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -36,27 +36,27 @@
 }
 
 // nextPiece visits some entries more, under the list's lock; more is false at the end.
-type nextPiece func(visit catalog.Visit) (more bool)
+type nextPiece func(visit catalog.EndpointVisitor) (more bool)
 
 // piecesOf goes over a scope.
 func (s *Server) piecesOf(wanted *catalog.Scope) nextPiece {
 	if wanted.Whole {
 		next, more := 0, true
-		return func(visit catalog.Visit) bool {
-			next, more = s.list.Slots(next, slotsAtOnce, visit)
+		return func(visit catalog.EndpointVisitor) bool {
+			next, more = s.list.VisitSlots(next, slotsAtOnce, visit)
 			return more
 		}
 	}
-	rest, single := wanted.Partitions, wanted.Outside(s.options.Layout)
-	return func(visit catalog.Visit) bool {
+	rest, single := wanted.Partitions, wanted.DestinationsOutsidePartitions(s.options.Layout)
+	return func(visit catalog.EndpointVisitor) bool {
 		count := max(1, slotsAtOnce*s.options.Layout.Partitions/(s.list.Len()+1))
 		var piece ownership.Set
 		piece, rest = rest.Split(count)
 		if piece.Len() == 0 {
-			s.list.Destinations(single, visit) // there is a list
+			s.list.VisitDestinations(single, visit) // there is a list
 			return false
 		}
-		s.list.Snapshot(&catalog.Scope{Partitions: piece}, visit) // there is a list
+		s.list.VisitScope(&catalog.Scope{Partitions: piece}, visit) // there is a list
 		return true
 	}
 }
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -32,7 +32,7 @@
 	u.server.listMu.Lock()
 	err := malformed
 	if err != nil {
-		u.server.list.Refuse(e.Name)
+		u.server.list.KeepExisting(e.Name)
 	} else {
 		err = u.server.list.Put(e)
 	}
@@ -63,7 +63,7 @@
 	}
 	if u.snapshot || after < before {
 		slog.Info("the whole list is taken over", "index", after, "index_before", before, "entries", entries,
-			"refused", u.refused, "changed", len(touched.Groups), "all_changed", touched.All, "took", time.Since(u.began).Round(time.Millisecond))
+			"refused", u.refused, "changed", len(touched.Destinations), "all_changed", touched.All, "took", time.Since(u.began).Round(time.Millisecond))
 	}
 	s.noteChange(before, touched)
 }
