--- a/cmd/scaleroute-control/main.go
+++ b/cmd/scaleroute-control/main.go
@@ -43,7 +43,7 @@
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
 func run(args []string, out, errs io.Writer) (status int) {
-	tool := commandline.Tool{Name: "scaleroute-control", Description: "A control server of scaleroute.", Out: out, Errs: errs, StatusOf: statusOf}
+	tool := commandline.Tool{Name: "scaleroute-control", Description: "A control server of scaleroute.", Stdout: out, Stderr: errs, StatusOf: statusOf}
 	return tool.Run(&flags{}, args)
 }
 
--- a/cmd/scaleroute-lab/main.go
+++ b/cmd/scaleroute-lab/main.go
@@ -90,7 +90,7 @@
 func command(args []string, out, errs io.Writer) (status int) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	tool := commandline.Tool{Name: "scaleroute-lab", Description: "Experiments with scaleroute.", Out: out, Errs: errs, StatusOf: statusOf,
+	tool := commandline.Tool{Name: "scaleroute-lab", Description: "Experiments with scaleroute.", Stdout: out, Stderr: errs, StatusOf: statusOf,
 		Options: []kong.Option{kong.Vars{"sicknesses": strings.Join(sicknesses(), ", ")}, kong.BindTo(ctx, (*context.Context)(nil))}}
 	return tool.Run(&commands{}, doubled(args))
 }
--- a/cmd/scaleroute/bundle.go
+++ b/cmd/scaleroute/bundle.go
@@ -18,9 +18,9 @@
 // bundle is what one process leaves to the next one besides the folder that lasts.
 type bundle struct {
 	engine  engine.Handover
-	list    *agent.List    // nil: none was told yet
-	part    *control.Saved // in place of it, where only a part of the list is known; nil: the whole list is
-	drained bool           // clients are sent away by hand
+	list    *agent.List         // nil: none was told yet
+	part    *control.SavedState // in place of it, where only a part of the list is known; nil: the whole list is
+	drained bool                // clients are sent away by hand
 	clients []resp2.DetachedConn
 	stopped time.Time // nobody reads what clients send since then
 	idle    []httpcall.IdleConn
@@ -146,7 +146,7 @@
 			b.list = &agent.List{}
 			read(b.list)
 		case kindPart:
-			b.part = &control.Saved{}
+			b.part = &control.SavedState{}
 			read(b.part)
 		case kindFront:
 			var v frontParcel
--- a/cmd/scaleroute/fleet.go
+++ b/cmd/scaleroute/fleet.go
@@ -83,7 +83,7 @@
 	}
 	v := version.Vector{Format: version.Format, Build: p.build, Settings: version.Contents{Digest: p.f.c.Digest, LoadCount: 1},
 		Operators: version.Contents{Digest: set.Digest(), LoadCount: p.f.operators.reads}, Handovers: p.over, Started: p.began}
-	if names, err := operations.NewDisabledFile(p.f.c.State).Load(); len(names) > 0 || err != nil {
+	if names, err := operations.NewDisabledFile(p.f.c.StateDir).Load(); len(names) > 0 || err != nil {
 		v.Disabled = version.Contents{Digest: version.DigestOfNames(names), LoadCount: 1}
 	}
 	v.List = new(version.ListTracker).Update(known.Index, true, known.VersionEntries())
@@ -100,7 +100,7 @@
 	}
 	if set.Fleet.Ledger > 0 {
 		var err error
-		if p.ledger, err = ledger.Open(journal.DirFS(p.f.c.State), set.Fleet.Ledger, p.f.c.Name); err != nil {
+		if p.ledger, err = ledger.Open(journal.DirFS(p.f.c.StateDir), set.Fleet.Ledger, p.f.c.Name); err != nil {
 			return nil, err
 		}
 		a.Ledger = p.ledger
@@ -186,7 +186,7 @@
 }
 
 func (p *auditing) record(w http.ResponseWriter, r *http.Request) {
-	record, err := ledger.Read(journal.DirFS(p.f.c.State), p.f.c.Name)
+	record, err := ledger.Read(journal.DirFS(p.f.c.StateDir), p.f.c.Name)
 	if err != nil {
 		door.WriteResult(w, err)
 		return
--- a/cmd/scaleroute/member.go
+++ b/cmd/scaleroute/member.go
@@ -80,10 +80,10 @@
 		return m, nil
 	}
 	listen := set.Gossip.Listen
-	if p.f.c.Gossip != "" {
-		listen = p.f.c.Gossip
+	if p.f.c.GossipListen != "" {
+		listen = p.f.c.GossipListen
 	}
-	advertise := cmp.Or(p.f.c.Advertise, set.Gossip.Advertise)
+	advertise := cmp.Or(p.f.c.GossipAdvertise, set.Gossip.Advertise)
 	var key []byte
 	if file := set.Gossip.Key; file != "" {
 		var err error
@@ -136,7 +136,7 @@
 	}
 }
 
-func (m *member) wantFile() string { return filepath.Join(m.p.f.c.State, wantName) }
+func (m *member) wantFile() string { return filepath.Join(m.p.f.c.StateDir, wantName) }
 
 // want takes a want, keeps it, and passes it on. It tells whether it is a newer one.
 func (m *member) want(w straggler.Desired) bool {
--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -60,26 +60,26 @@
 // start has a new tenure know what the process before knew, or what control servers answer within a bounded time, or else the list of the configuration: no call
 // begins by less. The destinations of recovered messages are among what is asked for.
 func (p *partialList) start(configured *agent.List, from *bundle, j *journal.Journal) *agent.List {
-	follower := control.NewFollower(control.FollowerConfig{Client: p.client, Limits: p.limits, Fleet: p.f.settings.Forwarders, Deliver: p.deliver})
+	follower := control.NewFollower(control.FollowerConfig{Client: p.client, Limits: p.limits, FleetSize: p.f.settings.Forwarders, Deliver: p.deliver})
 	p.follower.Store(follower)
 	p.recovered = nil
 	if from != nil && from.part != nil && follower.Resume(*from.part) {
-		known, _ := follower.Begin()
+		known, _ := follower.StartDelivery()
 		return &known
 	}
 	if from != nil && from.list != nil { // that process watched the whole list: no client waits for control servers
-		follower.Start(from.list)
-		known, _ := follower.Begin()
+		follower.SetInitialList(from.list)
+		known, _ := follower.StartDelivery()
 		return &known
 	}
-	follower.Start(configured)
+	follower.SetInitialList(configured)
 	p.recovered = recoveredDestinations(j)
 	ctx, cancel := context.WithTimeout(context.Background(), firstPartWait)
 	defer cancel()
-	if err := follower.First(ctx, p.recovered); err != nil {
+	if err := follower.FetchInitial(ctx, p.recovered); err != nil {
 		slog.Warn("no control server has told this forwarder's part: starting with the list of the configuration", "endpoints", len(configured.Endpoints), "err", err)
 	}
-	known, changed := follower.Begin()
+	known, changed := follower.StartDelivery()
 	p.f.withdrawn.Update(&agent.List{Index: known.Index, Endpoints: changed})
 	return &known
 }
@@ -181,7 +181,7 @@
 }
 
 // leave is what the next process goes on with.
-func (p *partialList) leave() *control.Saved {
+func (p *partialList) leave() *control.SavedState {
 	if p == nil {
 		return nil
 	}
@@ -208,7 +208,7 @@
 // look asks for what the list is now, and returns once that has been applied.
 func (f *forwarder) look(ctx context.Context) error {
 	if f.partial != nil {
-		return f.partial.follower.Load().Look(ctx)
+		return f.partial.follower.Load().Refresh(ctx)
 	}
 	return f.platform.Refresh(ctx)
 }
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -84,7 +84,7 @@
 	if operators.mail = operators.now.HasMail(); operators.mail {
 		descriptors += mailIdle
 	}
-	if c.Ops != "" {
+	if c.AdminListen != "" {
 		descriptors += door.MaxDescriptors
 	}
 	if set := operators.now.Fleet; set != nil && set.Gossip != nil {
@@ -93,10 +93,10 @@
 	f := &forwarder{c: c, operators: operators, control: operations.NewControl(), stop: stop, hup: hup}
 	f.partial = newPartialList(f)
 	descriptors += f.partial.descriptors()
-	if c.Limits.Sockets -= descriptors; c.Limits.Endpoints() < 1 {
+	if c.Limits.Sockets -= descriptors; c.Limits.MaxEndpointConnections() < 1 {
 		return fmt.Errorf("plug-ins, connections for mail and the operators' door need %d descriptors, which leaves %d: allow more, or set fewer processes", descriptors, c.Limits.Sockets)
 	}
-	if most := c.Limits.Endpoints(); c.Settings.Slots > most { // with each slot in use there is a connection for each call, or the descriptors run out
+	if most := c.Limits.MaxEndpointConnections(); c.Settings.Slots > most { // with each slot in use there is a connection for each call, or the descriptors run out
 		slog.Warn("fewer calls are out at once than the settings let", "slots", c.Settings.Slots, "calls", most, "sockets", c.Limits.Sockets)
 		c.Settings.Slots = most
 	}
@@ -108,8 +108,8 @@
 	if f.fleet, err = newFleet(f); err != nil {
 		return err
 	}
-	if c.Ops != "" { // before what may take a while
-		ln, err := net.Listen("tcp", c.Ops)
+	if c.AdminListen != "" { // before what may take a while
+		ln, err := net.Listen("tcp", c.AdminListen)
 		if err != nil {
 			return fmt.Errorf("listening for operators (NODE_OPS, or ops in the configuration): give each process an address of its own: %w", err)
 		}
@@ -165,7 +165,7 @@
 			return j, err
 		}
 		if refusals == 0 {
-			slog.Error("the journal can't be opened: nothing is served until its disk lets it", "folder", f.c.State, "err", err)
+			slog.Error("the journal can't be opened: nothing is served until its disk lets it", "folder", f.c.StateDir, "err", err)
 		}
 		select {
 		case <-f.stop:
@@ -176,14 +176,14 @@
 }
 
 func (f *forwarder) tryJournal() (*journal.Journal, error) {
-	return journal.Open(f.c.State, journal.Options{FS: folderFS(f.c.State), DiskLimit: int64(f.c.Limits.DiskMB*1e6) - f.fleet.disk(), MemoryLimit: int64(f.c.Limits.MemoryMB) << 20 * heldShare / 100,
+	return journal.Open(f.c.StateDir, journal.Options{FS: folderFS(f.c.StateDir), DiskLimit: int64(f.c.Limits.DiskMB*1e6) - f.fleet.disk(), MemoryLimit: int64(f.c.Limits.MemoryMB) << 20 * heldShare / 100,
 		Durability: operator.Durabilities[f.operators.now.Journal.Durability], AllowExtras: f.operators.file != ""})
 }
 
 // back makes the calls; http is the part of it for HTTP.
 func (f *forwarder) back() (back engine.Back, http *httpcall.Back) {
 	set := &f.settings
-	http = httpcall.New(httpcall.Config{MaxConnections: f.c.Limits.Endpoints(), EndpointIdleTimeout: set.ConnIdle, ConnectTimeout: set.ConnectTimeout, DialControl: dialControl})
+	http = httpcall.New(httpcall.Config{MaxConnections: f.c.Limits.MaxEndpointConnections(), EndpointIdleTimeout: set.ConnIdle, ConnectTimeout: set.ConnectTimeout, DialControl: dialControl})
 	back = http
 	if f.operators.mail {
 		name := f.c.Name
@@ -202,7 +202,7 @@
 func (f *forwarder) start(j *journal.Journal, from *bundle) (l *engine.Engine, http *httpcall.Back, known *agent.List, err error) {
 	back, http := f.back()
 	configuration := engine.Config{Settings: f.settings, Journal: j, Back: back, Resumer: http, Limits: f.operators.intake(), SyncEvery: time.Duration(f.operators.now.Journal.SyncEvery),
-		CompletionNotifiers: map[string]engine.CompletionNotifier{"": f.platform}, PublishStats: f.c.Ops != "", PreviousStats: f.before}
+		CompletionNotifiers: map[string]engine.CompletionNotifier{"": f.platform}, PublishStats: f.c.AdminListen != "", PreviousStats: f.before}
 	if f.operators.plugins != nil {
 		configuration.OnOutcome = f.operators.plugins.Ended
 	}
@@ -212,7 +212,7 @@
 	if f.operators.logSteps {
 		configuration.OnStep = steplog.NewWriter(os.Stderr).Step
 	}
-	f.withdrawn = agent.OpenWithdrawnStore(f.c.State, &f.c.Known)
+	f.withdrawn = agent.OpenWithdrawnStore(f.c.StateDir, &f.c.InitialList)
 	list := f.withdrawn.InitialList()
 	lists := []engine.List{list.ToEngineList(decide.LastKnown)}
 	if f.partial != nil {
@@ -232,8 +232,8 @@
 	if l, err = engine.New(configuration); err != nil {
 		return nil, nil, nil, err
 	}
-	if f.operators.file != "" || f.c.Ops != "" {
-		f.operators.sources = &sources{to: l, leftOut: operations.NewDisabledFile(f.c.State)}
+	if f.operators.file != "" || f.c.AdminListen != "" {
+		f.operators.sources = &sources{to: l, leftOut: operations.NewDisabledFile(f.c.StateDir)}
 		lists = f.operators.sources.start(f.operators.now.Endpoints(), lists...)
 		f.operators.sources.noteFile(f.operators.now)
 		f.operators.sources.list = f.operators.sources.targets.Update(list.Index, true, list.VersionEntries())
@@ -289,7 +289,7 @@
 	if f.operators.plugins != nil {
 		intake = router{f.operators, f.operators.plugins.Front(f.partial.front(l))}
 	}
-	clients := resp2.New(ln, f.c.Limits.Clients(), intake)
+	clients := resp2.New(ln, f.c.Limits.MaxClientConnections(), intake)
 	clients.HandoverEnabled = f.inherited != nil
 	if from != nil && from.drained {
 		clients.Drain()
@@ -417,7 +417,7 @@
 			operators.reload()
 		case <-again:
 		}
-		address, err := config.DiscoveryIn(file)
+		address, err := config.ReadDiscovery(file)
 		if err != nil {
 			slog.Warn("the configuration stays as it was", "err", err)
 			again = time.After(reloadPause)
--- a/cmd/scaleroute/takeover.go
+++ b/cmd/scaleroute/takeover.go
@@ -35,7 +35,7 @@
 	if f.inherited, err = newShared(ln); err != nil {
 		return fmt.Errorf("NODE_SOCKET_FD: descriptor %d: %w", f.c.SocketFD, err)
 	}
-	f.id, err = takeover.NewIdentity(f.c.Name, f.c.State)
+	f.id, err = takeover.NewIdentity(f.c.Name, f.c.StateDir)
 	return err
 }
 
@@ -108,7 +108,7 @@
 
 // take asks the process that serves, if there is one, to hand over. Without all that it has to leave, the journal alone is started from.
 func (f *forwarder) take() (*bundle, *takeover.Receiver, error) {
-	taker, err := takeover.RequestHandover(f.c.Scratch, f.id)
+	taker, err := takeover.RequestHandover(f.c.TempDir, f.id)
 	var refused takeover.RefusedError
 	switch {
 	case errors.Is(err, takeover.ErrNoProcess), errors.Is(err, takeover.ErrRetryLater):
@@ -143,9 +143,9 @@
 	if f.inherited == nil {
 		return nil
 	}
-	s, err := takeover.Listen(f.c.Scratch, f.id)
+	s, err := takeover.Listen(f.c.TempDir, f.id)
 	if err != nil {
-		slog.Warn("no process can take over from this one", "TMPDIR", f.c.Scratch, "err", err)
+		slog.Warn("no process can take over from this one", "TMPDIR", f.c.TempDir, "err", err)
 		return nil
 	}
 	context.AfterFunc(ctx, s.Close)
--- a/cmd/scaleroute/takeover_test.go
+++ b/cmd/scaleroute/takeover_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &forwarder{c: &config.Config{SocketFD: fd, Name: "n0", State: t.TempDir()}}
+	f := &forwarder{c: &config.Config{SocketFD: fd, Name: "n0", StateDir: t.TempDir()}}
 	if err := f.inherit(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/scaleroutectl/main.go
+++ b/cmd/scaleroutectl/main.go
@@ -40,7 +40,7 @@
 }
 
 func run(args []string, out, errs io.Writer) (status int) {
-	tool := commandline.Tool{Name: "scaleroutectl", Description: "The operators' tool of scaleroute.", Out: out, Errs: errs, StatusOf: statusOf,
+	tool := commandline.Tool{Name: "scaleroutectl", Description: "The operators' tool of scaleroute.", Stdout: out, Stderr: errs, StatusOf: statusOf,
 		Options: []kong.Option{kong.UsageOnError(), kong.Bind(stderr{errs})}}
 	return tool.Run(&commands{}, doubleDashes(args))
 }
--- a/cmd/scaleroutectl/operators.go
+++ b/cmd/scaleroutectl/operators.go
@@ -45,7 +45,7 @@
 	if platform == "" {
 		return nil
 	}
-	p, err := config.Read(platform)
+	p, err := config.ReadFile(platform)
 	if err != nil {
 		return err
 	}
--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -13,10 +13,10 @@
 
 // Tool is a program with commands.
 type Tool struct {
-	Name        string
-	Description string
-	Out, Errs   io.Writer
-	Options     []kong.Option
+	Name           string
+	Description    string
+	Stdout, Stderr io.Writer
+	Options        []kong.Option
 
 	// StatusOf is the exit status of an error that says what a command found, having done what was asked; false for any other error.
 	StatusOf func(error) (status int, isFinding bool)
@@ -43,13 +43,13 @@
 	if status, isFinding := t.StatusOf(err); isFinding {
 		return status
 	}
-	fmt.Fprintf(t.Errs, "%s: %v\n", t.Name, err)
+	fmt.Fprintf(t.Stderr, "%s: %v\n", t.Name, err)
 	return StatusNotDone
 }
 
 func (t Tool) parseAndRun(commands any, args []string) error {
-	options := append([]kong.Option{kong.Name(t.Name), kong.Description(t.Description), kong.Writers(t.Out, t.Errs),
-		kong.Exit(func(status int) { panic(exitStatus(status)) }), kong.BindTo(t.Out, (*io.Writer)(nil))}, t.Options...)
+	options := append([]kong.Option{kong.Name(t.Name), kong.Description(t.Description), kong.Writers(t.Stdout, t.Stderr),
+		kong.Exit(func(status int) { panic(exitStatus(status)) }), kong.BindTo(t.Stdout, (*io.Writer)(nil))}, t.Options...)
 	parser, err := kong.New(commands, options...)
 	if err != nil {
 		return err
--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -40,7 +40,7 @@
 
 func runTool(args ...string) (status int, out, errs string) {
 	var o, e strings.Builder
-	tool := Tool{Name: "tool", Description: "A tool of tests.", Out: &o, Errs: &e, Options: []kong.Option{kong.BindTo(name("me"), (*fmt.Stringer)(nil))},
+	tool := Tool{Name: "tool", Description: "A tool of tests.", Stdout: &o, Stderr: &e, Options: []kong.Option{kong.BindTo(name("me"), (*fmt.Stringer)(nil))},
 		StatusOf: func(err error) (int, bool) { return 7, errors.Is(err, errFinding) }}
 	status = tool.Run(&commands{}, args)
 	return status, o.String(), e.String()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,22 +17,22 @@
 
 // Config is what a forwarder is told at its start.
 type Config struct {
-	Name      string     `json:"name"`
-	Listen    string     `json:"listen"`
-	Discovery string     `json:"discovery"`
-	Ops       string     `json:"ops"` // the operators' door; empty: there is none
-	Seed      string     `json:"seed"`
-	Limits    Limits     `json:"limits"`
-	Known     agent.List `json:"known"`
+	Name        string     `json:"name"`
+	Listen      string     `json:"listen"`
+	Discovery   string     `json:"discovery"`
+	AdminListen string     `json:"ops"` // the operators' door; empty: there is none
+	Seed        string     `json:"seed"`
+	Limits      Limits     `json:"limits"`
+	InitialList agent.List `json:"known"`
 
-	File      string          `json:"-"` // where it was read
-	State     string          `json:"-"` // the folder that lasts
-	Scratch   string          `json:"-"` // the folder for what need not last
-	Advertise string          `json:"-"` // where they reach it, if that is elsewhere
-	Gossip    string          `json:"-"` // where other forwarders tell what they act under, in place of what operators have set
-	Digest    version.Digest  `json:"-"` // of the settings and limits as they were read
-	SocketFD  int             `json:"-"` // the clients' listening socket, where the platform holds it; else 0
-	Settings  decide.Settings `json:"-"`
+	File            string          `json:"-"` // where it was read
+	StateDir        string          `json:"-"` // the folder that lasts
+	TempDir         string          `json:"-"` // the folder for what need not last
+	GossipAdvertise string          `json:"-"` // where they reach it, if that is elsewhere
+	GossipListen    string          `json:"-"` // where other forwarders tell what they act under, in place of what operators have set
+	Digest          version.Digest  `json:"-"` // of the settings and limits as they were read
+	SocketFD        int             `json:"-"` // the clients' listening socket, where the platform holds it; else 0
+	Settings        decide.Settings `json:"-"`
 }
 
 // Limits are those of the machine.
@@ -51,21 +51,23 @@
 // discovery, notices, the runtime's own, and a client that waits for room.
 const ownDescriptors = 24
 
-// Clients is how many connections clients may hold together.
-func (l Limits) Clients() int { return l.Sockets * 2 / 5 }
+// MaxClientConnections is how many connections clients may hold together.
+func (l Limits) MaxClientConnections() int { return l.Sockets * 2 / 5 }
 
-// Endpoints is how many connections to endpoints there may be, idle ones counted.
-func (l Limits) Endpoints() int { return l.Sockets - l.Clients() - ownDescriptors }
+// MaxEndpointConnections is how many connections to endpoints there may be, idle ones counted.
+func (l Limits) MaxEndpointConnections() int {
+	return l.Sockets - l.MaxClientConnections() - ownDescriptors
+}
 
 // Load reads the file that NODE_CONFIG names. The other variables, where
 // set, go before what the file says.
 func Load(getenv func(string) string) (*Config, error) {
-	c, err := Read(getenv("NODE_CONFIG"))
+	c, err := ReadFile(getenv("NODE_CONFIG"))
 	if err != nil {
 		return nil, fmt.Errorf("NODE_CONFIG: %w", err)
 	}
 	for name, field := range map[string]*string{"NODE_NAME": &c.Name, "NODE_LISTEN": &c.Listen,
-		"NODE_DISCOVERY": &c.Discovery, "NODE_STATE": &c.State, "NODE_OPS": &c.Ops} {
+		"NODE_DISCOVERY": &c.Discovery, "NODE_STATE": &c.StateDir, "NODE_OPS": &c.AdminListen} {
 		if v := getenv(name); v != "" {
 			*field = v
 		}
@@ -75,15 +77,15 @@
 			return nil, fmt.Errorf("NODE_SOCKET_FD: %q is no number of a descriptor from 3 on: name the one that the clients' listening socket is, or leave it out", text)
 		}
 	}
-	c.Scratch, c.Gossip, c.Advertise = getenv("TMPDIR"), getenv("NODE_GOSSIP"), getenv("NODE_GOSSIP_ADVERTISE")
-	if c.Listen == "" || c.Discovery == "" || c.State == "" {
+	c.TempDir, c.GossipListen, c.GossipAdvertise = getenv("TMPDIR"), getenv("NODE_GOSSIP"), getenv("NODE_GOSSIP_ADVERTISE")
+	if c.Listen == "" || c.Discovery == "" || c.StateDir == "" {
 		return nil, fmt.Errorf("no address to listen on, none of discovery, or no folder for the state")
 	}
 	return c, nil
 }
 
-// Read reads a file alone.
-func Read(file string) (*Config, error) {
+// ReadFile reads a file alone.
+func ReadFile(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -96,9 +98,9 @@
 	return c, nil
 }
 
-// DiscoveryIn reads the address of discovery from a configuration file that was
+// ReadDiscovery reads the address of discovery from a configuration file that was
 // replaced. The variables are those of the start and say nothing of it.
-func DiscoveryIn(file string) (string, error) {
+func ReadDiscovery(file string) (string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return "", err
--- a/internal/control/api/api.go
+++ b/internal/control/api/api.go
@@ -30,10 +30,10 @@
 )
 
 const (
-	// MaxLookup bounds the destinations of a look-up without a scope.
-	MaxLookup = 256
-	// MaxExtra bounds the destinations beside a scope.
-	MaxExtra = 4096
+	// MaxLookupDestinations bounds the destinations of a look-up without a scope.
+	MaxLookupDestinations = 256
+	// MaxExtraDestinations bounds the destinations beside a scope.
+	MaxExtraDestinations = 4096
 	// UnknownScope is the text of a 404 for a scope that is not registered.
 	UnknownScope = "unknown scope"
 )
--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -27,12 +27,12 @@
 
 // Times of calls. A server whose machine is dead sends no reset: it is left holdMargin after the time that its answer may be held.
 const (
-	Hold         = 3 * time.Second
-	holdMargin   = time.Second
-	snapshotTime = 5 * time.Second
-	registerTime = time.Second
-	dialTime     = 500 * time.Millisecond
-	idleTime     = time.Minute
+	DefaultWatchHold = 3 * time.Second
+	holdMargin       = time.Second
+	snapshotTime     = 5 * time.Second
+	registerTime     = time.Second
+	dialTime         = 500 * time.Millisecond
+	idleTime         = time.Minute
 )
 
 // Bounds of what is read and kept.
@@ -49,8 +49,8 @@
 	Name    string // this member's
 	Zone    string
 	Seed    uint64 // of the order of the servers and of the back-off
-	// LookupTime is how long one server may take for a look-up; 0: lookupTime.
-	LookupTime time.Duration
+	// LookupTimeout is how long one server may take for a look-up; 0: lookupTime.
+	LookupTimeout time.Duration
 	// Dial makes connections; nil: by TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -71,8 +71,8 @@
 func New(c Config) *Client {
 	k := &Client{config: c, random: rand.New(rand.NewPCG(c.Seed, 0)), servers: slices.Clone(c.Servers)}
 	k.random.Shuffle(len(k.servers), func(i, j int) { k.servers[i], k.servers[j] = k.servers[j], k.servers[i] })
-	if c.LookupTime == 0 {
-		k.config.LookupTime = lookupTime
+	if c.LookupTimeout == 0 {
+		k.config.LookupTimeout = lookupTime
 	}
 	dial := c.Dial
 	if dial == nil {
@@ -138,7 +138,7 @@
 
 // call is one HTTP call.
 type call struct {
-	kind   Kind
+	kind   CallKind
 	method string
 	server string
 	path   string // with its query
@@ -237,19 +237,19 @@
 		a, _, err = c.list(ctx, next, whole)
 	}
 	if err == nil && a.Index < w.MinIndex && !w.IsIndexReset(a) {
-		err = &BehindError{server, a.Index, w.MinIndex}
+		err = &StaleAnswerError{server, a.Index, w.MinIndex}
 	}
 	return a, err
 }
 
-// BehindError is an answer that is older than what was received before.
-type BehindError struct {
-	Server        string
-	Index, Needed int64
+// StaleAnswerError is an answer that is older than what was received before.
+type StaleAnswerError struct {
+	Server          string
+	Index, MinIndex int64
 }
 
-func (e *BehindError) Error() string {
-	return fmt.Sprintf("%s: its list has index %d, after %d was received", e.Server, e.Index, e.Needed)
+func (e *StaleAnswerError) Error() string {
+	return fmt.Sprintf("%s: its list has index %d, after %d was received", e.Server, e.Index, e.MinIndex)
 }
 
 // Snapshot asks for everything in a scope, which must not be older than an index.
@@ -281,10 +281,10 @@
 	servers := c.fromCurrent()
 	for _, server := range servers[:min(len(servers), lookupServers)] {
 		var bytes int64
-		a, bytes, err = c.list(ctx, call{kind: LookupCall, method: http.MethodGet, server: server, path: path, limit: c.config.LookupTime}, true)
+		a, bytes, err = c.list(ctx, call{kind: LookupCall, method: http.MethodGet, server: server, path: path, limit: c.config.LookupTimeout}, true)
 		spent += bytes
 		if err == nil && a.Index < newest {
-			err = &BehindError{server, a.Index, newest}
+			err = &StaleAnswerError{server, a.Index, newest}
 		}
 		if err == nil || ctx.Err() != nil {
 			break
--- a/internal/control/client/client_test.go
+++ b/internal/control/client/client_test.go
@@ -17,7 +17,7 @@
 )
 
 func newTestClient(t *testing.T, servers ...*fake) *Client {
-	c := Config{Layout: testLayout, Name: "n0", Zone: "a", Seed: 3, LookupTime: patience}
+	c := Config{Layout: testLayout, Name: "n0", Zone: "a", Seed: 3, LookupTimeout: patience}
 	for _, s := range servers {
 		c.Servers = append(c.Servers, s.address())
 	}
@@ -160,8 +160,8 @@
 	if err != nil || a.Index != 3 || len(a.Endpoints) != 2 || spent < 200 {
 		t.Fatalf("%+v %d %v", a, spent, err)
 	}
-	var older *BehindError
-	if _, _, err := c.Lookup(t.Context(), []int{7}, 4); !errors.As(err, &older) || older.Needed != 4 {
+	var older *StaleAnswerError
+	if _, _, err := c.Lookup(t.Context(), []int{7}, 4); !errors.As(err, &older) || older.MinIndex != 4 {
 		t.Fatal(err)
 	}
 }
--- a/internal/control/client/follower.go
+++ b/internal/control/client/follower.go
@@ -16,9 +16,9 @@
 type FollowerConfig struct {
 	Client *Client
 	Limits partial.Limits
-	// Fleet is how many forwarders are expected. While fewer are known, no more than twice the part of so many is taken: the first member of a fleet that starts
+	// FleetSize is how many forwarders are expected. While fewer are known, no more than twice the part of so many is taken: the first member of a fleet that starts
 	// must not ask for the whole list. 0: no such bound.
-	Fleet int
+	FleetSize int
 	// Deliver takes each update, in order, by one goroutine; it may wait.
 	Deliver func(partial.Update)
 	// WatchHold is how long a watch may be held; 0: Hold.
@@ -64,7 +64,7 @@
 // NewFollower makes a Follower, which knows nothing.
 func NewFollower(c FollowerConfig) *Follower {
 	if c.WatchHold == 0 {
-		c.WatchHold = Hold
+		c.WatchHold = DefaultWatchHold
 	}
 	return &Follower{FollowerConfig: c, layout: c.Client.config.Layout, began: time.Now(), wake: make(chan struct{}, 1), ready: make(chan struct{}, 1), parted: make(chan struct{}), ended: make(chan struct{}),
 		state: partial.New(c.Limits), waiters: map[int]chan struct{}{}, parts: ownership.NewTracker(c.Client.config.Layout, c.Client.config.Name)}
@@ -73,29 +73,29 @@
 // now is the State's time.
 func (f *Follower) now() time.Duration { return time.Since(f.began) }
 
-// Saved is what one process leaves to the next one.
-type Saved struct {
-	Members   []string   `json:"members"`
-	Owned     string     `json:"owned"`
-	Index     int64      `json:"index"`
-	Known     agent.List `json:"known"`
-	Complete  bool       `json:"complete"`
-	Partition int        `json:"partitions"`
+// SavedState is what one process leaves to the next one.
+type SavedState struct {
+	Members    []string   `json:"members"`
+	Owned      string     `json:"owned"`
+	Index      int64      `json:"index"`
+	Known      agent.List `json:"known"`
+	Complete   bool       `json:"complete"`
+	Partitions int        `json:"partitions"`
 }
 
 // Save is for the next process, after Run has ended.
-func (f *Follower) Save() Saved {
+func (f *Follower) Save() SavedState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	index := f.state.Counts().Index
-	return Saved{Members: f.membership.Names(), Owned: f.owned.String(), Index: index, Partition: f.layout.Partitions, Complete: f.state.Complete(),
+	return SavedState{Members: f.membership.Names(), Owned: f.owned.String(), Index: index, Partitions: f.layout.Partitions, Complete: f.state.Complete(),
 		Known: agent.List{Index: max(0, index), Snapshot: true, Endpoints: f.state.Endpoints()}}
 }
 
 // Resume goes on from what another process has saved. It comes first; false: that is of another layout, or incomplete, and is not used.
-func (f *Follower) Resume(from Saved) bool {
+func (f *Follower) Resume(from SavedState) bool {
 	owned, err := ownership.ParseSet(from.Owned, f.layout.Partitions, uint64(f.layout.Partitions))
-	if err != nil || from.Partition != f.layout.Partitions || !from.Complete {
+	if err != nil || from.Partitions != f.layout.Partitions || !from.Complete {
 		return false
 	}
 	f.owned = owned
@@ -106,8 +106,8 @@
 	return true
 }
 
-// Start has the list of the configuration known until a control server has answered.
-func (f *Follower) Start(known *agent.List) {
+// SetInitialList has the list of the configuration known until a control server has answered.
+func (f *Follower) SetInitialList(known *agent.List) {
 	f.state.Initialize(f.owns(ownership.Set{}), known.Index, known.Endpoints)
 }
 
@@ -115,9 +115,9 @@
 	return func(destination int) bool { return set.Contains(f.layout.PartitionOf(destination)) }
 }
 
-// First asks for the members and for the part, with some destinations beside it that messages are recovered for, before Run. An error says that there is no answer yet:
+// FetchInitial asks for the members and for the part, with some destinations beside it that messages are recovered for, before Run. An error says that there is no answer yet:
 // then Run goes on asking. Each of these destinations is referred to until Release.
-func (f *Follower) First(ctx context.Context, recovered []int) error {
+func (f *Follower) FetchInitial(ctx context.Context, recovered []int) error {
 	f.mu.Lock()
 	for _, d := range recovered {
 		f.state.AddRecoveredMessage(d)
@@ -146,8 +146,8 @@
 	return f.watchOnce(ctx, 0)
 }
 
-// Begin lists what is known, and what of it differs from what Start was told. What changes from then on is delivered.
-func (f *Follower) Begin() (known agent.List, changed []agent.Endpoint) {
+// StartDelivery lists what is known, and what of it differs from what Start was told. What changes from then on is delivered.
+func (f *Follower) StartDelivery() (known agent.List, changed []agent.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begun, changed, f.early = true, f.early, nil
@@ -299,14 +299,14 @@
 
 // bounded cuts a part that is far larger than it will be once all of the fleet are members.
 func (f *Follower) bounded(owned ownership.Set, members int) ownership.Set {
-	if f.Fleet <= 1 || 2*members >= f.Fleet {
+	if f.FleetSize <= 1 || 2*members >= f.FleetSize {
 		return owned
 	}
-	most := max(1, 2*f.layout.Partitions*min(f.layout.Replicas, f.Fleet)/f.Fleet)
+	most := max(1, 2*f.layout.Partitions*min(f.layout.Replicas, f.FleetSize)/f.FleetSize)
 	if owned.Len() <= most {
 		return owned
 	}
-	slog.Warn("fewer members are known than the settings say: a bounded part is taken, and the rest by look-ups", "members", members, "expected", f.Fleet, "partitions", most, "owned", owned.Len())
+	slog.Warn("fewer members are known than the settings say: a bounded part is taken, and the rest by look-ups", "members", members, "expected", f.FleetSize, "partitions", most, "owned", owned.Len())
 	var cut []uint32
 	for p := range owned.All() {
 		if len(cut) == most {
@@ -357,8 +357,8 @@
 	return nil
 }
 
-// Look has the list asked for what there is now, and returns once the answer to a call that began after that has been applied and delivered.
-func (f *Follower) Look(ctx context.Context) error {
+// Refresh has the list asked for what there is now, and returns once the answer to a call that began after that has been applied and delivered.
+func (f *Follower) Refresh(ctx context.Context) error {
 	done := make(chan struct{})
 	f.mu.Lock()
 	f.asked = append(f.asked, done)
--- a/internal/control/client/follower_test.go
+++ b/internal/control/client/follower_test.go
@@ -62,10 +62,10 @@
 	t.Helper()
 	e := newEngine()
 	f := NewFollower(FollowerConfig{Client: newTestClient(t, servers...), Limits: limits, Deliver: e.deliver, WatchHold: 50 * time.Millisecond})
-	if err := f.First(t.Context(), nil); err != nil {
+	if err := f.FetchInitial(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
-	known, _ := f.Begin()
+	known, _ := f.StartDelivery()
 	for _, one := range known.Endpoints {
 		e.view[one.Name] = one.Status
 	}
@@ -161,7 +161,7 @@
 		t.Errorf("%+v; %v", d, e.view)
 	}
 	dead.Store("back", true)
-	if err := f.Look(t.Context()); err != nil {
+	if err := f.Refresh(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	for limit := soon(); ; { // the budget may be spent
@@ -261,7 +261,7 @@
 	if !next.Resume(saved) {
 		t.Fatal("not resumed")
 	}
-	known, _ := next.Begin()
+	known, _ := next.StartDelivery()
 	if len(known.Endpoints) != 2 {
 		t.Fatalf("%+v", known)
 	}
@@ -284,8 +284,8 @@
 func TestBoundedPart(t *testing.T) {
 	l := newList()
 	l.setMembers("n0")
-	f := NewFollower(FollowerConfig{Client: newTestClient(t, newFake(t, l)), Limits: partial.DefaultLimits(), Fleet: 16})
-	if err := f.First(t.Context(), nil); err != nil {
+	f := NewFollower(FollowerConfig{Client: newTestClient(t, newFake(t, l)), Limits: partial.DefaultLimits(), FleetSize: 16})
+	if err := f.FetchInitial(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
 	if n, most := f.Status().Partitions, 2*testLayout.Partitions*testLayout.Replicas/16; n != most {
@@ -341,15 +341,15 @@
 		}
 		e.deliver(u)
 	}})
-	if err := f.First(t.Context(), nil); err != nil {
+	if err := f.FetchInitial(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
-	f.Begin()
+	f.StartDelivery()
 	run(t, f)
 	letGo := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(letGo) // before the Follower is ended
 	looked := make(chan error, 1)
-	go func() { looked <- f.Look(t.Context()) }()
+	go func() { looked <- f.Refresh(t.Context()) }()
 	<-entered
 	select {
 	case err := <-looked:
--- a/internal/control/client/traffic.go
+++ b/internal/control/client/traffic.go
@@ -5,12 +5,12 @@
 	"sync/atomic"
 )
 
-// Kind is a kind of call.
-type Kind int32
+// CallKind is a kind of call.
+type CallKind int32
 
 // The kinds of call.
 const (
-	WatchCall Kind = iota
+	WatchCall CallKind = iota
 	ScopeCall
 	LookupCall
 	MembersCall
@@ -19,7 +19,7 @@
 
 var kindNames = [kinds]string{"watch", "scope", "lookup", "members"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k CallKind) String() string { return kindNames[k] }
 
 // Usage is what calls of one kind have come to, in bytes of HTTP, headers included.
 type Usage struct {
@@ -51,7 +51,7 @@
 }
 
 // begin notes which call the connection carries from now on, and returns how many bytes it has carried.
-func (c *countingConn) begin(kind Kind) int64 {
+func (c *countingConn) begin(kind CallKind) int64 {
 	c.kind.Store(int32(kind))
 	c.traffic[kind].calls.Add(1)
 	return c.bytes.Load()
--- a/internal/control/lists.go
+++ b/internal/control/lists.go
@@ -46,19 +46,19 @@
 	if q.hold, err = s.parseHold(values); err != nil {
 		return nil, err
 	}
-	most := api.MaxLookup
+	most := api.MaxLookupDestinations
 	if digest := values.Get("scope"); values.Has("scope") {
 		if q.scope = s.watches.find(digest); q.scope == nil {
 			return nil, errUnknownScope
 		}
-		most = api.MaxExtra
+		most = api.MaxExtraDestinations
 	}
 	if values.Has("destinations") {
 		if q.destinations, err = ownership.ParseSet(values.Get("destinations"), most, math.MaxUint32+1); err != nil {
 			return nil, badRequest("destinations: %v", err)
 		}
 		if q.scope == nil && q.destinations.Len() == 0 {
-			return nil, badRequest("destinations: the set is empty; without a scope it names 1 to %d", api.MaxLookup)
+			return nil, badRequest("destinations: the set is empty; without a scope it names 1 to %d", api.MaxLookupDestinations)
 		}
 	}
 	return q, nil
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -190,7 +190,7 @@
 	if number == testNodes-1 {
 		start.Addresses = addressesOf(f.far)
 	}
-	c, err := config.Read(start.Config)
+	c, err := config.ReadFile(start.Config)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -143,7 +143,7 @@
 	if s == nil {
 		return errors.New("start without nodes")
 	}
-	c, err := config.Read(s.Config)
+	c, err := config.ReadFile(s.Config)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/host_test.go
+++ b/internal/scale/host_test.go
@@ -25,7 +25,7 @@
 
 func settingsOf(t *testing.T, d *Directory) decide.Settings {
 	t.Helper()
-	c, err := config.Read(configOf(t, d))
+	c, err := config.ReadFile(configOf(t, d))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/partial.go
+++ b/internal/scale/partial.go
@@ -63,7 +63,7 @@
 	limits := partial.DefaultLimits()
 	limits.MaxFetched, limits.LookupBytesPerSecond = s.Partial.Cached, float64(s.Partial.LookupBytes)
 	p := &partialList{layout: layout, client: client.New(client.Config{Servers: s.Addresses, Layout: layout, Name: name, Zone: simulatedZone, Seed: seed})}
-	p.follower = client.NewFollower(client.FollowerConfig{Client: p.client, Limits: limits, Fleet: s.Partial.Fleet, Deliver: p.deliver})
+	p.follower = client.NewFollower(client.FollowerConfig{Client: p.client, Limits: limits, FleetSize: s.Partial.Fleet, Deliver: p.deliver})
 	return p
 }
 
@@ -72,9 +72,9 @@
 	defer p.client.Close()
 	p.node = to
 	first, cancel := context.WithTimeout(ctx, firstWithin)
-	p.follower.First(first, nil) // an error: Run goes on asking
+	p.follower.FetchInitial(first, nil) // an error: Run goes on asking
 	cancel()
-	known, _ := p.follower.Begin()
+	known, _ := p.follower.StartDelivery()
 	p.apply(&known)
 	p.follower.Run(ctx)
 }
