--- a/cmd/scaleroute-sim/main.go
+++ b/cmd/scaleroute-sim/main.go
@@ -1,6 +1,6 @@
-// Command scaleroute-sim hosts forwarders on the wire of the test bench:
-// batches of events on standard input, one reply for each on standard output.
-// The forwarders share nothing.
+// Command scaleroute-sim runs simulated forwarders for the test bench: it reads
+// batches of events on standard input and writes one reply for each batch on
+// standard output. The forwarders share no state.
 package main
 
 import (
@@ -22,10 +22,10 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run processes batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
-	hosted := map[string]*decide.Forwarder{}
+	forwarders := map[string]*decide.Forwarder{}
 	for {
 		b, err := r.Next()
 		if errors.Is(err, io.EOF) {
@@ -34,19 +34,20 @@
 		if err != nil {
 			return err
 		}
-		if err := answer(b, hosted, w); err != nil {
+		if err := processBatch(b, forwarders, w); err != nil {
 			return fmt.Errorf("batch %s: %w", b.Turn, err)
 		}
 	}
 }
 
-// answer tells each forwarder its events of one batch and writes what they do.
-// Nothing is written if any part of the batch is at fault.
-func answer(b *wire.Batch, hosted map[string]*decide.Forwarder, w *wire.Writer) error {
+// processBatch passes each forwarder its events of one batch and writes the actions
+// that it returns. It validates the whole batch first, so that an invalid batch
+// gets no part of a reply.
+func processBatch(b *wire.Batch, forwarders map[string]*decide.Forwarder, w *wire.Writer) error {
 	var order []string
 	events := map[string][]decide.Event{}
 	for _, in := range b.Inputs {
-		if in.Op != wire.OpStart && hosted[in.Instance] == nil {
+		if in.Op != wire.OpStart && forwarders[in.Instance] == nil {
 			return fmt.Errorf("field ForwarderId: unknown instance %q", in.Instance)
 		}
 		if _, ok := events[in.Instance]; !ok {
@@ -59,16 +60,16 @@
 			if err != nil {
 				return fmt.Errorf("instance %s: %w", in.Instance, err)
 			}
-			hosted[in.Instance], events[in.Instance] = f, nil
+			forwarders[in.Instance], events[in.Instance] = f, nil
 		case wire.OpStop:
-			delete(hosted, in.Instance)
+			delete(forwarders, in.Instance)
 			events[in.Instance] = nil
 		case wire.OpEvent:
 			events[in.Instance] = append(events[in.Instance], in.Event)
 		}
 	}
 	for _, instance := range order {
-		f := hosted[instance]
+		f := forwarders[instance]
 		if f == nil {
 			continue
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,17 +8,17 @@
 	"scaleroute/internal/decide"
 )
 
-// ParseSettings reads settings from path=value pairs as a PROVISION line holds them,
-// InitSeed among them. The error names the first field at fault.
+// ParseSettings converts the path=value pairs of a PROVISION line, which include
+// InitSeed, into settings. The error names the first invalid field.
 func ParseSettings(pairs map[string]string) (decide.Settings, error) {
 	f := &fields{pairs: pairs}
-	s := settings(f)
+	s := settingsFrom(f)
 	return s, f.err
 }
 
-// settings turns the pairs of a PROVISION line into settings. Keys that it does
-// not know are passed over.
-func settings(f *fields) decide.Settings {
+// settingsFrom converts the fields of a PROVISION line into settings and ignores
+// unknown keys. The first invalid field is kept in f.err.
+func settingsFrom(f *fields) decide.Settings {
 	s := decide.Settings{
 		Zone: f.text("Locality", false), CrossZonePrice: f.number("Costs.CrossZone", false),
 		ConnectPrice: f.number("Costs.Handshake", false),
@@ -41,17 +41,17 @@
 	if f.boolean("Limits.RetryAfter") {
 		s.MaxRetryAfter = f.duration("Limits.MaxRetryAfter", false)
 	}
-	s.MustSubscribe = choice(f, "Discovery", map[string]bool{"automatic": false, "": false, "subscribe": true})
-	s.Decay = choice(f, "FamilyInfo.Late", map[string]decide.Decay{
+	s.MustSubscribe = enumValue(f, "Discovery", map[string]bool{"automatic": false, "": false, "subscribe": true})
+	s.Decay = enumValue(f, "FamilyInfo.Late", map[string]decide.Decay{
 		"line": decide.Linear, "": decide.Linear, "halves": decide.Exponential})
-	s.Weights = choice(f, "Weights", map[string]decide.Weights{
+	s.Weights = enumValue(f, "Weights", map[string]decide.Weights{
 		"": decide.NoWeights, "silent": decide.NoWeights, "live": decide.NoWeights,
 		"nominal": decide.ExactWeights, "rough": decide.RoughWeights})
-	for i := range count(f, "Classes") {
+	for i := range objectCount(f, "Classes") {
 		p := fmt.Sprintf("Classes.%d.", i)
 		s.Classes = append(s.Classes, decide.Class{
 			Name: f.text(p+"Name", true),
-			Effect: choice(f, p+"Effect", map[string]decide.Effect{
+			Effect: enumValue(f, p+"Effect", map[string]decide.Effect{
 				"pure": decide.Idempotent, "token": decide.Deduplicated, "side_effect": decide.AtMostOnce}),
 			DedupPerZone: f.text(p+"DedupScope", false) != "all", DedupWindow: f.duration(p+"RepeatWindow", false),
 			OnTime: f.duration(p+"OnTime", true), Deadline: f.duration(p+"Deadline", true),
@@ -59,11 +59,11 @@
 			Ordered: f.boolean(p + "KeepOrder"),
 		})
 	}
-	apart, perCall := list(f, "FamilyInfo.SeparateRoutes"), list(f, "FamilyInfo.PerCall")
-	for i, name := range list(f, "Kinds") {
+	separateRoutes, perCall := splitList(f, "FamilyInfo.SeparateRoutes"), splitList(f, "FamilyInfo.PerCall")
+	for i, name := range splitList(f, "Kinds") {
 		k := decide.Kind{Name: name, MaxBatch: 1}
-		if i < len(apart) {
-			k.SeparateRoutes = apart[i] == "true" || apart[i] == "1"
+		if i < len(separateRoutes) {
+			k.SeparateRoutes = separateRoutes[i] == "true" || separateRoutes[i] == "1"
 		}
 		if i < len(perCall) {
 			n, err := strconv.ParseFloat(perCall[i], 64)
@@ -74,19 +74,19 @@
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
-	fees := list(f, "FamilyInfo.Carriage")
+	zoneFees := splitList(f, "FamilyInfo.Carriage")
 	s.ZoneFee = map[string]float64{}
-	for i, zone := range list(f, "Azs") {
-		if i >= len(fees) {
+	for i, zone := range splitList(f, "Azs") {
+		if i >= len(zoneFees) {
 			break
 		}
-		fee, err := strconv.ParseFloat(fees[i], 64)
+		fee, err := strconv.ParseFloat(zoneFees[i], 64)
 		if err != nil {
-			f.fail("FamilyInfo.Carriage", "bad number", fees[i])
+			f.fail("FamilyInfo.Carriage", "bad number", zoneFees[i])
 		}
 		s.ZoneFee[zone] = fee
 	}
-	for i := range count(f, "Tenants") {
+	for i := range objectCount(f, "Tenants") {
 		p := fmt.Sprintf("Tenants.%d.", i)
 		s.Tenants = append(s.Tenants, decide.Tenant{
 			Name: f.text(p+"Name", true), Quota: f.number(p+"QuotaPerS", false)})
@@ -94,18 +94,20 @@
 	return s
 }
 
-// count is the length of a list of objects.
-func count(f *fields, name string) int {
+// objectCount returns the length of a list of objects, which the line gives as
+// NAME.count. A length that exceeds the number of pairs is invalid.
+func objectCount(f *fields, name string) int {
 	n := f.integer(name+".count", false)
 	if n < 0 || n > len(f.pairs) {
-		f.fail(name+".count", "impossible length", f.pairs[name+".count"])
+		f.fail(name+".count", "invalid length", f.pairs[name+".count"])
 		return 0
 	}
 	return n
 }
 
-// list splits a list of plain values.
-func list(f *fields, name string) []string {
+// splitList splits a comma-separated list of plain values. An absent list and "-"
+// are empty.
+func splitList(f *fields, name string) []string {
 	s := f.pairs[name]
 	if s == "" || s == "-" {
 		return nil
@@ -113,7 +115,8 @@
 	return strings.Split(s, ",")
 }
 
-func choice[T any](f *fields, name string, known map[string]T) T {
+// enumValue looks up a field's text in the table of known values.
+func enumValue[T any](f *fields, name string, known map[string]T) T {
 	s := f.text(name, false)
 	v, ok := known[s]
 	if !ok {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads batches of events and writes replies in the line protocol
-// of the forwarders' test bench, and turns them into the terms of package
-// decide. It decides nothing.
+// Package wire translates between the line protocol of the simulator's test
+// bench and the types of package decide: it reads batches of events and writes
+// the actions in reply. It makes no decisions.
 package wire
 
 import (
@@ -17,17 +17,17 @@
 	"scaleroute/internal/decide"
 )
 
-// What an Input does to its instance.
+// The operations of an Input.
 const (
-	OpStart Op = iota // Settings hold what it starts with
-	OpStop            // the instance is killed
-	OpEvent           // Event is told to it
+	OpStart Op = iota // a forwarder starts with Settings
+	OpStop            // the forwarder is killed
+	OpEvent           // Event is passed to the forwarder
 )
 
-// Op is what an Input does to its instance.
+// Op is the operation that an Input applies to its instance.
 type Op int
 
-// Input is one line of a batch that concerns one instance.
+// Input is one line of a batch, addressed to one forwarder instance.
 type Input struct {
 	Instance string
 	Op       Op
@@ -35,27 +35,28 @@
 	Event    decide.Event
 }
 
-// Batch is all that happens at one clock time.
+// Batch holds the inputs of one clock time. Turn is its number, which the reply
+// repeats.
 type Batch struct {
 	Now    time.Duration
 	Turn   string
 	Inputs []Input
 }
 
-// Reader reads batches.
+// Reader reads batches and keeps the endpoint lists that DIRECTORY lines declare.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	lists map[int][]decide.Target
+	in          *bufio.Reader
+	line        int
+	directories map[int][]decide.Target
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<16), lists: map[int][]decide.Target{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<16), directories: map[int][]decide.Target{}}
 }
 
-// Next returns the next batch, or io.EOF at a clean end of input. Any other
-// error names the batch, the line and, where there is one, the field.
+// Next returns the next batch, or io.EOF if the input ends between batches. Any
+// other error names the batch, the line and, where it concerns one, the field.
 func (r *Reader) Next() (*Batch, error) {
 	text, err := r.readLine()
 	for err == nil && text == "" {
@@ -65,7 +66,7 @@
 		return nil, err
 	}
 	b := &Batch{}
-	f := fieldsOf(text)
+	f := parseFields(text)
 	if f.verb != "BEGIN_BATCH" {
 		return nil, fmt.Errorf("line %d: %q where BEGIN_BATCH was expected", r.line, f.verb)
 	}
@@ -86,7 +87,7 @@
 			return b, nil
 		}
 		if err == nil {
-			err = r.event(b, text)
+			err = r.readEvent(b, text)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("batch %s, line %d: %w", b.Turn, r.line, err)
@@ -94,6 +95,8 @@
 	}
 }
 
+// readLine returns the next line without its line ending. A last line without a
+// line ending counts as a line.
 func (r *Reader) readLine() (string, error) {
 	text, err := r.in.ReadString('\n')
 	if err != nil && !(errors.Is(err, io.EOF) && text != "") {
@@ -106,21 +109,22 @@
 	return strings.TrimRight(text, "\r\n"), nil
 }
 
-// event reads one line inside a batch, and the entries that follow a list.
-func (r *Reader) event(b *Batch, text string) error {
-	f := fieldsOf(text)
+// readEvent parses one line of a batch and adds its input to b. For a DIRECTORY
+// line it also reads the TARGET lines that follow.
+func (r *Reader) readEvent(b *Batch, text string) error {
+	f := parseFields(text)
 	if f.verb == "DIRECTORY" {
-		return r.list(f)
+		return r.readDirectory(f)
 	}
 	in := Input{Instance: f.text("ForwarderId", true), Op: OpEvent}
 	switch f.verb {
 	case "PROVISION":
 		in.Op = OpStart
-		in.Settings = settings(f)
+		in.Settings = settingsFrom(f)
 	case "DETACH":
 		in.Op = OpStop
 	case "PEERS_KNOWN":
-		in.Event = r.known(f)
+		in.Event = r.targetList(f)
 	case "ACCEPT":
 		in.Event = decide.Message{
 			ID: f.text("Tid", true), Class: f.text("Qos", true), Destination: f.integer("CalledNode", true),
@@ -153,11 +157,11 @@
 	case "DEADLINE_HIT":
 		f.text("Mark", true)
 		in.Event = decide.Woken{}
-	case "OPENED": // streams: no class here has one, and nothing is decided on it
+	case "OPENED": // a stream opened: only validated, since no class uses streams
 		f.text("Tid", true)
 		f.integer("Try", false)
 		return f.err
-	case "NEIGHBOUR_SAYS": // forwarders share nothing
+	case "NEIGHBOUR_SAYS": // a peer's message: only validated, since forwarders share no state
 		if _, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(f.text("Body", true), "-")); err != nil {
 			return fmt.Errorf("field Body: bad base64: %w", err)
 		}
@@ -173,7 +177,9 @@
 	return nil
 }
 
-func (r *Reader) list(f *fields) error {
+// readDirectory stores the endpoint list of a DIRECTORY line and the TARGET lines
+// after it under its table number.
+func (r *Reader) readDirectory(f *fields) error {
 	table, n := f.integer("Table", true), f.integer("Records", true)
 	if f.err == nil && (table < 0 || table > 15) {
 		f.err = fmt.Errorf("field Table: %d is not from 0 to 15", table)
@@ -193,7 +199,7 @@
 		if err != nil {
 			return err
 		}
-		e := fieldsOf(text)
+		e := parseFields(text)
 		if e.verb != "TARGET" {
 			return fmt.Errorf("%q where TARGET was expected", e.verb)
 		}
@@ -217,11 +223,13 @@
 		}
 		targets = append(targets, t)
 	}
-	r.lists[table] = targets
+	r.directories[table] = targets
 	return nil
 }
 
-func (r *Reader) known(f *fields) decide.Event {
+// targetList converts a PEERS_KNOWN line into an endpoint list. The endpoints come
+// from a table that a DIRECTORY line has declared.
+func (r *Reader) targetList(f *fields) decide.Event {
 	var l decide.TargetList
 	switch scope := f.text("Scope", true); scope {
 	case "update":
@@ -238,37 +246,39 @@
 	}
 	f.integer("Revision", false)
 	table := f.integer("Table", true)
-	targets, ok := r.lists[table]
+	targets, ok := r.directories[table]
 	if !ok {
-		f.fail("Table", "a list never declared:", strconv.Itoa(table))
+		f.fail("Table", "undeclared list", strconv.Itoa(table))
 	}
 	l.Targets = targets
 	return l
 }
 
-// results names the endings of an attempt.
-var results = map[string]decide.Result{
+// resultsByName maps the protocol's names of attempt results to decide's values.
+var resultsByName = map[string]decide.Result{
 	"done": decide.Succeeded, "err": decide.Errored, "busy": decide.Overloaded,
 	"etimedout": decide.TimedOut, "econnrefused": decide.ConnectFailed,
 	"econnreset": decide.Reset, "ecanceled": decide.Cancelled, "skipped": decide.NotSent,
 }
 
-// fields are the parts of one line; the first error met is kept.
+// fields holds the verb and the name=value pairs of one line. The accessors record
+// only the first error.
 type fields struct {
 	verb  string
 	pairs map[string]string
 	err   error
 }
 
-func fieldsOf(text string) *fields {
+// parseFields splits a line into its verb and pairs.
+func parseFields(text string) *fields {
 	verb, rest, _ := strings.Cut(text, " ")
 	f := &fields{verb: verb, pairs: make(map[string]string, 12)}
 	for rest != "" {
-		var part string
-		part, rest, _ = strings.Cut(rest, " ")
-		name, value, ok := strings.Cut(part, "=")
+		var token string
+		token, rest, _ = strings.Cut(rest, " ")
+		name, value, ok := strings.Cut(token, "=")
 		if !ok || name == "" {
-			f.fail(part, "not a name=value pair:", part)
+			f.fail(token, "not a name=value pair:", token)
 			continue
 		}
 		f.pairs[name] = value
@@ -276,9 +286,9 @@
 	return f
 }
 
-func (f *fields) fail(field, what, value string) {
+func (f *fields) fail(field, problem, value string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("field %s: %s %q", field, what, value)
+		f.err = fmt.Errorf("field %s: %s %q", field, problem, value)
 	}
 }
 
@@ -315,6 +325,7 @@
 	return v
 }
 
+// duration reads a number of milliseconds, rounded to a microsecond.
 func (f *fields) duration(name string, required bool) time.Duration {
 	ms := f.number(name, required)
 	if math.Abs(ms) > 1e12 {
@@ -338,21 +349,23 @@
 
 func (f *fields) result(name string) decide.Result {
 	s := f.text(name, true)
-	v, ok := results[s]
+	v, ok := resultsByName[s]
 	if !ok {
-		f.fail(name, "unknown ending", s)
+		f.fail(name, "unknown result", s)
 	}
 	return v
 }
 
+// allowance reads an endpoint's load report: comma-separated KEY:NUMBER pairs, of
+// which x0 is the remaining allowance and x1 its rate. Other keys are ignored.
 func (f *fields) allowance(name string) decide.Allowance {
 	var a decide.Allowance
 	s := f.pairs[name]
 	if s == "" || s == "-" {
 		return a
 	}
-	for _, part := range strings.Split(s, ",") {
-		key, value, ok := strings.Cut(part, ":")
+	for _, entry := range strings.Split(s, ",") {
+		key, value, ok := strings.Cut(entry, ":")
 		v, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
 			f.fail(name, "bad load report", s)
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -10,44 +10,44 @@
 	"scaleroute/internal/decide"
 )
 
-// Writer writes replies.
+// Writer writes the replies to batches.
 type Writer struct{ out *bufio.Writer }
 
 // NewWriter returns a Writer on w.
 func NewWriter(w io.Writer) *Writer { return &Writer{bufio.NewWriterSize(w, 1<<16)} }
 
-// WriteAction writes one action of an instance.
+// WriteAction writes one action of a forwarder instance as a line.
 func (w *Writer) WriteAction(instance string, action decide.Action) error {
 	var verb string
-	var parts [3][2]string
+	var pairs [3][2]string
 	switch a := action.(type) {
 	case decide.Send:
 		verb = "SEND"
-		parts = [3][2]string{{"Tid", a.Message}, {"Target", a.Target}, {"MaxWait", millis(a.Timeout)}}
+		pairs = [3][2]string{{"Tid", a.Message}, {"Target", a.Target}, {"MaxWait", formatMillis(a.Timeout)}}
 	case decide.Refuse:
 		verb = "BOUNCE"
-		parts = [3][2]string{{"Tid", a.Message}, {"Pause", millis(a.RetryAfter)}}
+		pairs = [3][2]string{{"Tid", a.Message}, {"Pause", formatMillis(a.RetryAfter)}}
 	case decide.Fail:
 		verb = "ERROR"
-		parts = [3][2]string{{"Tid", a.Message}}
+		pairs = [3][2]string{{"Tid", a.Message}}
 	case decide.Cancel:
 		verb = "CANCEL"
-		parts = [3][2]string{{"Tid", a.Message}, {"Try", strconv.Itoa(a.Attempt)}}
+		pairs = [3][2]string{{"Tid", a.Message}, {"Try", strconv.Itoa(a.Attempt)}}
 	case decide.CloseIdle:
 		verb = "CLOSE_IDLE"
-		parts = [3][2]string{{"Target", a.Target}}
+		pairs = [3][2]string{{"Target", a.Target}}
 	case decide.Subscribe:
 		verb = "LISTEN"
-		parts = [3][2]string{{"On", "1"}}
+		pairs = [3][2]string{{"On", "1"}}
 	case decide.Wake:
-		verb = "DEFER" // the wire counts in microseconds: not before its time
-		parts = [3][2]string{{"Mark", "wake"}, {"FromNow", millis(a.After + time.Microsecond - 1)}}
+		verb = "DEFER" // rounded up to whole microseconds, so that the forwarder does not wake early
+		pairs = [3][2]string{{"Mark", "wake"}, {"FromNow", formatMillis(a.After + time.Microsecond - 1)}}
 	default:
-		return fmt.Errorf("no way to write an action of type %T", action)
+		return fmt.Errorf("the protocol has no line for an action of type %T", action)
 	}
 	w.out.WriteString(verb)
 	w.pair("ForwarderId", instance)
-	for _, p := range parts {
+	for _, p := range pairs {
 		if p[0] != "" {
 			w.pair(p[0], p[1])
 		}
@@ -55,7 +55,7 @@
 	return w.out.WriteByte('\n')
 }
 
-// EndBatch closes the reply to a batch and flushes it.
+// EndBatch writes the last line of the reply to a batch and flushes the reply.
 func (w *Writer) EndBatch(turn string) error {
 	fmt.Fprintf(w.out, "END turn=%s\n", turn)
 	if err := w.out.Flush(); err != nil {
@@ -64,6 +64,7 @@
 	return nil
 }
 
+// pair writes a space and name=value.
 func (w *Writer) pair(name, value string) {
 	w.out.WriteByte(' ')
 	w.out.WriteString(name)
@@ -71,6 +72,7 @@
 	w.out.WriteString(value)
 }
 
-func millis(d time.Duration) string {
+// formatMillis formats a duration as milliseconds with up to three decimals.
+func formatMillis(d time.Duration) string {
 	return strconv.FormatFloat(float64(d.Microseconds())/1000, 'f', -1, 64)
 }
