--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,9 +1,10 @@
-// Package ledger keeps, in the folder that lasts, under which version vector a forwarder made how many calls to which target. It answers
-// afterwards: was this target called under an older one, how often, when last?
+// Package ledger is a forwarder's audit log. It records in the state folder under which version vector the forwarder made how many calls to which
+// endpoint, and so answers later whether an endpoint was called under an older vector, how often, and when last.
 //
-// It is a few files of a fixed size, set aside before they are used and mapped into memory. Entries are appended and checked; the counts under
-// them are changed in place, each by two stores of eight bytes, so that neither a kill at any moment nor a disk without room loses a count that
-// was made, and a call costs no system call. What could not be kept, or was overwritten, is counted and told.
+// The log consists of a few segment files of a fixed size, which are allocated before use and mapped into memory. Records are appended with a
+// checksum. Their counts are changed in place, each by two stores of eight bytes, so that neither a kill at any moment nor a full disk loses a
+// call that was counted, and counting a call needs no system call. Calls and changes that could not be recorded, or were overwritten, are
+// counted and reported.
 package ledger
 
 import (
@@ -19,94 +20,95 @@
 	"scaleroute/internal/version"
 )
 
-// Clock is the machine's. A test has a process whose clock is wrong.
+// Clock returns the machine's time. Tests replace it to run a process whose clock is wrong.
 var Clock = time.Now
 
 const (
-	segments = 4 // the oldest makes room
-	// MinBytes and MostBytes bound what a ledger may take.
-	MinBytes = segments * 16 << 10
+	maxSegments = 4 // files; the oldest is then overwritten
+	// MinBytes and MaxBytes bound the size of a ledger.
+	MinBytes = maxSegments * 16 << 10
 	MaxBytes = 256 << 20
 
-	retryEvery = time.Second // after there was no room
-	mostOut    = 200         // targets with calls out that an entry names
-	longest    = 1 << 10     // a target's name; what is longer is cut
+	retryEvery         = time.Second // interval between attempts to allocate a segment on a full disk
+	maxInFlightTargets = 200         // endpoints with in-flight calls that a change names
+	maxTargetLength    = 1 << 10     // bytes of an endpoint's name; longer names are truncated
 )
 
-// FS is the folder. Its files must have descriptors; the journal's [journal.DirFS] does.
+// FS is the folder of the ledger. Its files must have file descriptors, as those of [journal.DirFS] do.
 type FS = journal.FS
 
-// Change is one step from one vector to the next.
+// Change is the transition from one version vector to the next.
 type Change struct {
-	Seq             uint64         `json:"seq"` // from 1 on, over all processes of this folder
+	Seq             uint64         `json:"seq"` // counts from 1, across all processes that use the folder
 	At              time.Time      `json:"at"`  // by this machine's clock
 	Cause           string         `json:"cause"`
 	By              string         `json:"by,omitempty"`
 	Vector          version.Vector `json:"vector"`
-	InFlight        []InFlight     `json:"out,omitempty"`  // calls that were out then
-	InFlightOmitted int            `json:"more,omitempty"` // calls out at targets that Out has no room for
+	InFlight        []InFlight     `json:"out,omitempty"`  // calls in flight at the change
+	InFlightOmitted int            `json:"more,omitempty"` // calls in flight at endpoints that InFlight has no room for
 }
 
-// InFlight is how many calls were out at a target.
+// InFlight is the number of calls in flight at an endpoint.
 type InFlight struct {
 	Target string `json:"target"`
 	Calls  int    `json:"calls"`
 }
 
-// Causes of changes. Others may come.
+// Causes of changes. Later versions may add others.
 const (
 	CauseStart          = "start"
-	CauseTakenOver      = "took over"
-	CauseStop           = "end"         // in order: what follows none was killed
-	CauseHandedOver     = "hand-over"   // to another process
-	CauseEndpointList   = "list"        // discovery has told it
-	CauseOperatorsFile  = "operators"   // their file was read
-	CauseManualOverride = "by hand"     // a target was left out or put back
-	CausePeerDrain      = "by peers"    // what drains by others' newer lists
-	CauseFenced         = "slept"       // fenced: no call begins
-	CauseConfirmed      = "confirmed"   // discovery was asked again: calls begin
-	CauseUnconfirmed    = "unconfirmed" // nobody answered in time: calls begin by what is known
+	CauseTakenOver      = "took over"   // serving taken over from another process
+	CauseStop           = "end"         // orderly stop; a start without one before it follows a kill
+	CauseHandedOver     = "hand-over"   // serving passed to another process
+	CauseEndpointList   = "list"        // discovery sent an endpoint list
+	CauseOperatorsFile  = "operators"   // the operators' settings file was read
+	CauseManualOverride = "by hand"     // an operator disabled or re-enabled an endpoint
+	CausePeerDrain      = "by peers"    // endpoints drain according to other members' newer lists
+	CauseFenced         = "slept"       // fenced: no call is started
+	CauseConfirmed      = "confirmed"   // discovery confirmed the list: calls are started again
+	CauseUnconfirmed    = "unconfirmed" // discovery did not answer in time: calls are started with the known list
 	CauseFencedOff      = "shut out"
 	CauseReadmitted     = "let in"
 )
 
-// Ledger is one that is written. A nil Ledger keeps nothing and costs nothing. It is not for several goroutines.
+// Ledger writes an audit log. A nil Ledger records nothing and costs nothing. It must not be used by several goroutines at a time.
 type Ledger struct {
-	fs      FS
-	each    int64 // bytes of a segment
-	name    version.Digest
-	list    []*segment // oldest first; the last is written to
-	current Change
-	slots   map[string]*CallCounter // under the current change
-	known   map[slotKey]*CallCounter
-	out     map[string]int
-	failed  time.Time // there was no room then
-	missed  missed    // while there is no segment to note it in
-	dropped dropped   // the same
+	fs               FS
+	segmentBytes     int64
+	name             version.Digest
+	segments         []*segment // oldest first; records are appended to the last
+	current          Change
+	counters         map[string]*CallCounter // under the current change
+	countersByKey    map[counterKey]*CallCounter
+	inFlight         map[string]int
+	allocationFailed time.Time         // time of the last failed allocation; zero if it succeeded since
+	unrecorded       unrecordedCounts  // counted while there is no segment to store it in
+	overwritten      overwrittenCounts // likewise
 }
 
-type slotKey struct {
+type counterKey struct {
 	seq    uint64
 	target string
 }
 
-type missed struct{ calls, changes uint64 }
+type unrecordedCounts struct{ calls, changes uint64 }
 
-// CallCounter is where the calls to one target under one change are counted.
+// CallCounter counts the calls to one endpoint under one change.
 type CallCounter struct {
-	l      *Ledger
+	ledger *Ledger
 	target string
 	seq    uint64
-	at     []byte // in a mapped segment; nil: there was no room, or it has been overwritten
+	data   []byte // counts in a mapped segment; nil if the disk was full or the segment has been overwritten
 }
 
-// Open opens the ledger of a forwarder in a folder, of so many bytes at most. One that another forwarder wrote, which its name tells, is set
-// aside: a folder that was swapped says nothing of this one. Disk trouble is no error: what can't be kept is counted.
+// Open opens the ledger of the named forwarder in a folder and limits its size to the given number of bytes. It ignores segments that a forwarder of
+// another name wrote, since after a swap of folders they say nothing about this forwarder. A full or failing disk is no error: calls and changes that
+// can't be recorded are counted.
 func Open(files FS, bytes int64, name string) (*Ledger, error) {
 	if bytes < MinBytes || bytes > MaxBytes {
-		return nil, fmt.Errorf("a ledger of %d bytes: from %d to %d", bytes, MinBytes, MaxBytes)
+		return nil, fmt.Errorf("ledger size of %d bytes is out of range: it must be from %d to %d", bytes, MinBytes, MaxBytes)
 	}
-	l := &Ledger{fs: files, each: bytes / segments / 4096 * 4096, name: version.DigestOf([]byte(name)), known: map[slotKey]*CallCounter{}, out: map[string]int{}}
+	l := &Ledger{fs: files, segmentBytes: bytes / maxSegments / 4096 * 4096, name: version.DigestOf([]byte(name)), countersByKey: map[counterKey]*CallCounter{}, inFlight: map[string]int{}}
 	names, err := files.List()
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
@@ -118,19 +120,19 @@
 			continue
 		}
 		if s := l.reopen(n, seq); s != nil {
-			l.list = append(l.list, s)
+			l.segments = append(l.segments, s)
 		}
 	}
 	return l, nil
 }
 
-// reopen maps a segment that is there. One that is another's, or can't be used, is not.
+// reopen maps an existing segment and loads its counters. It returns nil for a segment that another forwarder wrote or that can't be used.
 func (l *Ledger) reopen(name string, seq uint64) *segment {
 	s, err := mapFile(l.fs, name, seq)
 	if err != nil {
-		return nil // the audit tells of it: it is left as it is, until its number makes room
+		return nil // Read reports it; the file stays until it is the oldest and its space is needed
 	}
-	if h, ok := s.head(); !ok || h.name != l.name {
+	if h, ok := s.header(); !ok || h.name != l.name {
 		s.close()
 		return nil
 	}
@@ -142,19 +144,19 @@
 				s.entries++
 				l.current = c
 			}
-		case kindSlot:
-			slot := &CallCounter{l: l, target: string(r.target), seq: r.seq, at: r.counters}
-			l.known[slotKey{r.seq, slot.target}] = slot
-			s.slots = append(s.slots, slot)
+		case kindCounter:
+			slot := &CallCounter{ledger: l, target: string(r.target), seq: r.seq, data: r.counters}
+			l.countersByKey[counterKey{r.seq, slot.target}] = slot
+			s.counters = append(s.counters, slot)
 		}
 	})
-	if s.end = end; damage != "" { // nothing is appended behind what can't be read
+	if s.end = end; damage != "" { // no record is appended after unreadable data
 		s.end = int64(len(s.data))
 	}
 	return s
 }
 
-// LastChange is the change that was written last, also by a process before this one; its Seq is 0 if there is none.
+// LastChange returns the newest change, which an earlier process may have written. Its Seq is 0 if there is none.
 func (l *Ledger) LastChange() Change {
 	if l == nil {
 		return Change{}
@@ -162,14 +164,14 @@
 	return l.current
 }
 
-// RecordChange notes that the calls begun from now on are made under another vector.
+// RecordChange records that calls started from now on are made under another vector.
 func (l *Ledger) RecordChange(cause, by string, now time.Time, v version.Vector) {
 	if l == nil {
 		return
 	}
 	c := Change{Seq: l.current.Seq + 1, At: now, Cause: cause, By: by, Vector: v}
-	for target, n := range l.out {
-		if len(c.InFlight) < mostOut {
+	for target, n := range l.inFlight {
+		if len(c.InFlight) < maxInFlightTargets {
 			c.InFlight = append(c.InFlight, InFlight{target, n})
 		} else {
 			c.InFlightOmitted += n
@@ -181,18 +183,19 @@
 		}
 		return 1
 	})
-	l.current, l.slots = c, map[string]*CallCounter{}
-	if !l.append(kindChange, l.entry(), nil, now) {
-		l.miss(0, 1)
+	l.current, l.counters = c, map[string]*CallCounter{}
+	if !l.append(kindChange, l.encodeCurrent(), nil, now) {
+		l.countUnrecorded(0, 1)
 		return
 	}
-	l.list[len(l.list)-1].entries++
+	l.segments[len(l.segments)-1].entries++
 }
 
-func (l *Ledger) entry() []byte {
+// encodeCurrent returns the payload of the current change's record.
+func (l *Ledger) encodeCurrent() []byte {
 	text, err := json.Marshal(l.current)
 	if err != nil {
-		panic(err) // plain values: it can't be
+		panic(err) // can't happen: the fields have plain types
 	}
 	return text
 }
@@ -202,49 +205,49 @@
 	if l == nil {
 		return nil
 	}
-	if len(target) > longest {
-		target = target[:longest]
+	if len(target) > maxTargetLength {
+		target = target[:maxTargetLength]
 	}
-	s := l.slots[target]
-	if s == nil || s.at == nil && now.Sub(l.failed) >= retryEvery {
-		s = l.slot(target, now)
+	s := l.counters[target]
+	if s == nil || s.data == nil && now.Sub(l.allocationFailed) >= retryEvery {
+		s = l.newCounter(target, now)
 	}
-	l.out[target]++
-	if s.at == nil {
-		l.miss(1, 0)
+	l.inFlight[target]++
+	if s.data == nil {
+		l.countUnrecorded(1, 0)
 		return s
 	}
-	bump(s.at, begun)
-	raise(s.at, last, uint64(now.UnixNano()))
+	increment(s.data, indexBegun)
+	raiseTo(s.data, indexLast, uint64(now.UnixNano()))
 	return s
 }
 
-// slot makes room for a target's counts under the current change.
-func (l *Ledger) slot(target string, now time.Time) *CallCounter {
-	s := &CallCounter{l: l, target: target, seq: l.current.Seq}
-	if l.slots == nil {
-		l.slots = map[string]*CallCounter{}
+// newCounter appends a counter for an endpoint under the current change. The counter has no data if there is no room.
+func (l *Ledger) newCounter(target string, now time.Time) *CallCounter {
+	s := &CallCounter{ledger: l, target: target, seq: l.current.Seq}
+	if l.counters == nil {
+		l.counters = map[string]*CallCounter{}
 	}
-	l.slots[target] = s
-	if l.append(kindSlot, slotHead(s.seq, now, target), s, now) {
-		l.known[slotKey{s.seq, target}] = s
+	l.counters[target] = s
+	if l.append(kindCounter, counterPayload(s.seq, now, target), s, now) {
+		l.countersByKey[counterKey{s.seq, target}] = s
 	}
 	return s
 }
 
-// ResumeCall finds the counts of a call that another process began, under a change that it named.
+// ResumeCall returns the counter of a call that another process started under the change with the given sequence number.
 func (l *Ledger) ResumeCall(seq uint64, target string) *CallCounter {
 	if l == nil {
 		return nil
 	}
-	l.out[target]++
-	if s := l.known[slotKey{seq, target}]; s != nil {
+	l.inFlight[target]++
+	if s := l.countersByKey[counterKey{seq, target}]; s != nil {
 		return s
 	}
-	return &CallCounter{l: l, target: target, seq: seq}
+	return &CallCounter{ledger: l, target: target, seq: seq}
 }
 
-// ChangeSeq is the change that a call was begun under; 0 where nothing is kept.
+// ChangeSeq returns the sequence number of the change under which the call was started, or 0 without a ledger.
 func (s *CallCounter) ChangeSeq() uint64 {
 	if s == nil {
 		return 0
@@ -252,181 +255,182 @@
 	return s.seq
 }
 
-// Complete counts how a call ended: answered by the target, or never written whole, or neither.
+// Complete counts the outcome of a call: answered by the endpoint, never sent in full, or neither.
 func (s *CallCounter) Complete(answeredBy, neverSent bool) {
 	if s == nil {
 		return
 	}
-	s.leave()
-	if s.at == nil {
+	s.removeInFlight()
+	if s.data == nil {
 		return
 	}
 	if answeredBy {
-		bump(s.at, answered)
+		increment(s.data, indexAnswered)
 	}
 	if neverSent {
-		bump(s.at, unsent)
+		increment(s.data, indexUnsent)
 	}
-	bump(s.at, over)
+	increment(s.data, indexCompleted)
 }
 
-// leave takes a call off those that are out.
-func (s *CallCounter) leave() {
-	if s.l.out[s.target]--; s.l.out[s.target] <= 0 {
-		delete(s.l.out, s.target)
+// removeInFlight removes a call from those in flight.
+func (s *CallCounter) removeInFlight() {
+	if s.ledger.inFlight[s.target]--; s.ledger.inFlight[s.target] <= 0 {
+		delete(s.ledger.inFlight, s.target)
 	}
 }
 
-// HandOver tells that a call goes on in another process.
+// HandOver removes a call that continues in another process from those in flight.
 func (s *CallCounter) HandOver() {
 	if s != nil {
-		s.leave()
+		s.removeInFlight()
 	}
 }
 
-// miss counts what there was no room for.
-func (l *Ledger) miss(calls, changes uint64) {
-	if len(l.list) == 0 {
-		l.missed.calls += calls
-		l.missed.changes += changes
+// countUnrecorded counts calls and changes that there was no room to record.
+func (l *Ledger) countUnrecorded(calls, changes uint64) {
+	if len(l.segments) == 0 {
+		l.unrecorded.calls += calls
+		l.unrecorded.changes += changes
 		return
 	}
-	s := l.list[len(l.list)-1]
-	add(s.data[offMissedCalls:], calls)
-	add(s.data[offMissedChanges:], changes)
+	s := l.segments[len(l.segments)-1]
+	add(s.data[offUnrecordedCalls:], calls)
+	add(s.data[offUnrecordedChanges:], changes)
 }
 
-// append writes a record, in a new segment if the last one has no room. It tells whether it could.
+// append appends a record, to a new segment if the last one is full, and reports whether it could. After a failed allocation it waits for
+// retryEvery before it tries again.
 func (l *Ledger) append(kind byte, payload []byte, slot *CallCounter, now time.Time) bool {
-	if len(l.list) > 0 && l.list[len(l.list)-1].append(kind, payload, slot) {
+	if len(l.segments) > 0 && l.segments[len(l.segments)-1].append(kind, payload, slot) {
 		return true
 	}
-	if !l.failed.IsZero() && now.Sub(l.failed) < retryEvery && now.After(l.failed) {
+	if !l.allocationFailed.IsZero() && now.Sub(l.allocationFailed) < retryEvery && now.After(l.allocationFailed) {
 		return false
 	}
-	if err := l.grow(now); err != nil {
-		l.failed = now
+	if err := l.addSegment(now); err != nil {
+		l.allocationFailed = now
 		return false
 	}
-	l.failed = time.Time{}
-	s := l.list[len(l.list)-1]
+	l.allocationFailed = time.Time{}
+	s := l.segments[len(l.segments)-1]
 	if kind == kindChange {
 		return s.append(kind, payload, nil)
 	}
-	// A segment says itself under which vector its counts are.
-	if !s.append(kindChange, l.entry(), nil) {
+	// Each segment holds the change of its counters, so that it can be read on its own.
+	if !s.append(kindChange, l.encodeCurrent(), nil) {
 		return false
 	}
 	s.entries++
 	return s.append(kind, payload, slot)
 }
 
-// grow begins a segment: a new one, or the oldest anew where there are enough of them, or the disk has no room for another. So the bound holds
-// at every moment, and a full disk costs what is oldest.
-func (l *Ledger) grow(now time.Time) error {
+// addSegment adds an empty segment. It creates a file, or, if there are maxSegments files or the disk has no room for another, reuses the oldest.
+// So the size limit holds at every moment, and a full disk costs the oldest records.
+func (l *Ledger) addSegment(now time.Time) error {
 	names, err := l.fs.List()
 	if err != nil {
 		return err
 	}
 	seq := uint64(1)
-	var there []string
+	var existing []string
 	for _, n := range names {
 		if other, ok := parseName(n); ok {
-			there, seq = append(there, n), max(seq, other+1)
+			existing, seq = append(existing, n), max(seq, other+1)
 		}
 	}
-	slices.Sort(there)
-	h := head{name: l.name, created: now.UnixNano(), dropped: l.dropped, missed: l.missed}
-	if n := len(l.list); n > 0 {
-		newest := l.list[n-1]
-		was, _ := newest.head()
-		h.dropped.add(was.dropped)
-		h.missed.calls += was.missed.calls + read(newest.data[offMissedCalls:]).most
-		h.missed.changes += was.missed.changes + read(newest.data[offMissedChanges:]).most
+	slices.Sort(existing)
+	h := segmentHeader{name: l.name, created: now.UnixNano(), overwritten: l.overwritten, unrecorded: l.unrecorded}
+	if n := len(l.segments); n > 0 {
+		newest := l.segments[n-1]
+		previous, _ := newest.header()
+		h.overwritten.add(previous.overwritten)
+		h.unrecorded.calls += previous.unrecorded.calls + readCount(newest.data[offUnrecordedCalls:]).max
+		h.unrecorded.changes += previous.unrecorded.changes + readCount(newest.data[offUnrecordedChanges:]).max
 	}
 	var s *segment
 	for s == nil {
-		full := len(there) >= segments
+		full := len(existing) >= maxSegments
 		if !full {
-			s, err = create(l.fs, seq, l.each, h)
+			s, err = create(l.fs, seq, l.segmentBytes, h)
 		}
 		switch {
 		case s != nil:
-		case len(there) == 0 || !full && len(there) == 1 && len(l.list) == 1: // it is all there is
+		case len(existing) == 0 || !full && len(existing) == 1 && len(l.segments) == 1: // no older segment can be reused or removed
 			return err
 		default:
-			oldest := there[0]
-			there = there[1:]
-			i := slices.IndexFunc(l.list, func(s *segment) bool { return s.name == oldest })
-			if i < 0 || int64(len(l.list[i].data)) != l.each { // another's, unread, or of another size
+			oldest := existing[0]
+			existing = existing[1:]
+			i := slices.IndexFunc(l.segments, func(s *segment) bool { return s.name == oldest })
+			if i < 0 || int64(len(l.segments[i].data)) != l.segmentBytes { // another forwarder's, not readable, or of another size
 				if err := l.fs.Remove(oldest); err != nil && !errors.Is(err, fs.ErrNotExist) {
 					return err
 				}
-				d := dropped{unread: 1}
+				d := overwrittenCounts{unreadSegments: 1}
 				if i >= 0 {
-					d = l.drop(i)
+					d = l.closeSegment(i)
 				}
-				l.dropped.add(d) // also if there is no segment after all
-				h.dropped.add(d)
+				l.overwritten.add(d) // kept even if no segment can be added
+				h.overwritten.add(d)
 				continue
 			}
-			again := l.list[i]
+			reused := l.segments[i]
 			if err := l.fs.Rename(oldest, segmentName(seq)); err != nil {
 				return err
 			}
-			h.dropped.add(l.forget(i))
-			s = &segment{name: segmentName(seq), seq: seq, data: again.data}
-			s.begin(h)
+			h.overwritten.add(l.detachSegment(i))
+			s = &segment{name: segmentName(seq), seq: seq, data: reused.data}
+			s.initialize(h)
 		}
 	}
-	l.missed, l.dropped = missed{}, dropped{}
-	l.list = append(l.list, s)
+	l.unrecorded, l.overwritten = unrecordedCounts{}, overwrittenCounts{}
+	l.segments = append(l.segments, s)
 	return nil
 }
 
-// forget takes a segment out, and returns what is dropped with it.
-func (l *Ledger) forget(i int) (d dropped) {
-	s := l.list[i]
+// detachSegment removes a segment and its counters from the ledger, and returns the counts that are lost with it.
+func (l *Ledger) detachSegment(i int) (d overwrittenCounts) {
+	s := l.segments[i]
 	d.changes = uint64(s.entries)
-	for _, slot := range s.slots {
-		d.calls += read(slot.at[begun*16:]).most
-		d.until = max(d.until, readTime(slot.at[last*16:]).UnixNano())
-		slot.at = nil
-		if k := (slotKey{slot.seq, slot.target}); l.known[k] == slot {
-			delete(l.known, k)
+	for _, slot := range s.counters {
+		d.calls += readCount(slot.data[indexBegun*16:]).max
+		d.latest = max(d.latest, readTime(slot.data[indexLast*16:]).UnixNano())
+		slot.data = nil
+		if k := (counterKey{slot.seq, slot.target}); l.countersByKey[k] == slot {
+			delete(l.countersByKey, k)
 		}
-		if l.slots[slot.target] == slot {
-			delete(l.slots, slot.target)
+		if l.counters[slot.target] == slot {
+			delete(l.counters, slot.target)
 		}
 	}
-	l.list = slices.Delete(l.list, i, i+1)
+	l.segments = slices.Delete(l.segments, i, i+1)
 	return d
 }
 
-// drop forgets a segment whose file is gone.
-func (l *Ledger) drop(i int) dropped {
-	s := l.list[i]
-	d := l.forget(i)
+// closeSegment detaches and unmaps a segment whose file has been removed.
+func (l *Ledger) closeSegment(i int) overwrittenCounts {
+	s := l.segments[i]
+	d := l.detachSegment(i)
 	s.close()
 	return d
 }
 
-// Close ends it, with the change that says why: End or HandOver.
+// Close records a last change, whose cause is CauseStop or CauseHandedOver, and unmaps the segments.
 func (l *Ledger) Close(cause string, now time.Time) {
 	if l == nil {
 		return
 	}
 	l.RecordChange(cause, "", now, l.current.Vector)
-	for _, s := range l.list {
-		for _, slot := range s.slots {
-			slot.at = nil
+	for _, s := range l.segments {
+		for _, slot := range s.counters {
+			slot.data = nil
 		}
 		s.close()
 	}
-	l.list, l.known, l.slots, l.failed = nil, map[slotKey]*CallCounter{}, nil, now.Add(100*365*24*time.Hour)
+	l.segments, l.countersByKey, l.counters, l.allocationFailed = nil, map[counterKey]*CallCounter{}, nil, now.Add(100*365*24*time.Hour)
 }
 
-// close lets go of its memory; the file stays.
+// close unmaps the segment. The file stays.
 func (s *segment) close() {
 	if s.data != nil {
 		syscall.Munmap(s.data)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -22,6 +22,7 @@
 	"scaleroute/internal/version"
 )
 
+// TestMain runs writeUntilKilled instead of the tests in the processes that TestKillDuringWrites starts.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("SCALEROUTE_LEDGER_TEST"); dir != "" {
 		writeUntilKilled(dir)
@@ -29,15 +30,15 @@
 	os.Exit(m.Run())
 }
 
-var begin = time.Unix(1_800_000_000, 0)
+var testStart = time.Unix(1_800_000_000, 0)
 
-func vector(i int) version.Vector {
-	return version.Vector{Format: 1, List: version.List{Index: int64(i), Digest: version.Digest(i * 7)}, Started: begin.UTC()}
+func testVector(i int) version.Vector {
+	return version.Vector{Format: 1, List: version.List{Index: int64(i), Digest: version.Digest(i * 7)}, Started: testStart.UTC()}
 }
 
-func any(*Change) bool { return true }
+func anyChange(*Change) bool { return true }
 
-func open(t testing.TB, files FS, bytes int64) *Ledger {
+func openLedger(t testing.TB, files FS, bytes int64) *Ledger {
 	l, err := Open(files, bytes, "n1")
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +46,7 @@
 	return l
 }
 
-func load(t testing.TB, files FS) *Snapshot {
+func readSnapshot(t testing.TB, files FS) *Snapshot {
 	r, err := Read(files, "n1")
 	if err != nil {
 		t.Fatal(err)
@@ -53,57 +54,58 @@
 	return r
 }
 
-// full is a folder whose disk may have no room.
-type full struct {
+// limitedDisk is a folder whose disk can be set to be full.
+type limitedDisk struct {
 	FS
-	on bool
+	full bool
 }
 
-type fullFile struct {
+type limitedFile struct {
 	journal.File
-	disk *full
+	disk *limitedDisk
 }
 
-func (f fullFile) Fd() uintptr { return f.File.(descriptor).Fd() }
+func (f limitedFile) Fd() uintptr { return f.File.(descriptor).Fd() }
 
-func (f fullFile) Allocate(n int64) error {
-	if have, _ := f.Size(); f.disk.on && n > have {
-		f.File.Allocate(n / 2) // as a disk does that runs full on the way
+func (f limitedFile) Allocate(n int64) error {
+	if size, _ := f.Size(); f.disk.full && n > size {
+		f.File.Allocate(n / 2) // partly allocated, as by a disk that fills up during the allocation
 		return syscall.ENOSPC
 	}
 	return f.File.Allocate(n)
 }
 
-func (f *full) Open(name string, create bool) (journal.File, error) {
+func (f *limitedDisk) Open(name string, create bool) (journal.File, error) {
 	file, err := f.FS.Open(name, create)
 	if err != nil {
 		return nil, err
 	}
-	return fullFile{file, f}, nil
+	return limitedFile{file, f}, nil
 }
 
-// TestModel drives a ledger through changes, calls, restarts with and without an end, hand-overs of calls and a disk without room, beside a plain
-// count of what was done. What the ledger says is that, or less by just as much as it says itself that it has dropped or missed.
-func TestModel(t *testing.T) {
-	overwritten, without, carried := 0, 0, 0
+// TestAgainstModel drives a ledger through changes, calls, orderly restarts, kills, handovers of calls and a full disk, and compares it with a simple
+// model that counts the same operations. The ledger must report the model's counts, or fewer by exactly the number that it reports as overwritten or
+// unrecorded.
+func TestAgainstModel(t *testing.T) {
+	overwritten, unrecorded, handedOver := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
 		if err != nil {
 			rt.Fatal(err)
 		}
-		disk := &full{FS: journal.DirFS(dir)}
-		now := begin
-		l := open(t, disk, MinBytes)
+		disk := &limitedDisk{FS: journal.DirFS(dir)}
+		now := testStart
+		l := openLedger(t, disk, MinBytes)
 		type key struct {
 			seq    uint64
 			target string
 		}
-		type one struct{ begun, over, unsent, answered uint64 }
-		model := map[key]*one{}
+		type callCounts struct{ begun, completed, unsent, answered uint64 }
+		model := map[key]*callCounts{}
 		calls, changes := uint64(0), uint64(0)
-		var out []*CallCounter
+		var inFlight []*CallCounter
 		change := func(cause string) {
-			l.RecordChange(cause, "", now, vector(int(changes)))
+			l.RecordChange(cause, "", now, testVector(int(changes)))
 			changes++
 		}
 		change(CauseStart)
@@ -119,107 +121,108 @@
 				target := fmt.Sprintf("target-%d-%s", rapid.IntRange(0, n).Draw(rt, "target"), strings.Repeat("x", 60))
 				s := l.BeginCall(target, now)
 				if s.ChangeSeq() != l.LastChange().Seq {
-					rt.Fatalf("a call under %d while %d is in force", s.ChangeSeq(), l.LastChange().Seq)
+					rt.Fatalf("call counted under change %d while change %d is current", s.ChangeSeq(), l.LastChange().Seq)
 				}
-				if s.at != nil {
+				if s.data != nil {
 					m := model[key{s.seq, target}]
 					if m == nil {
-						m = &one{}
+						m = &callCounts{}
 						model[key{s.seq, target}] = m
 					}
 					m.begun++
 				}
 				calls++
-				out = append(out, s)
-			case k < 15 && len(out) > 0:
-				i := rapid.IntRange(0, len(out)-1).Draw(rt, "which")
-				s, yes, never := out[i], rapid.Bool().Draw(rt, "answered"), rapid.Bool().Draw(rt, "unsent")
-				out = slices.Delete(out, i, i+1)
-				if s.at != nil {
+				inFlight = append(inFlight, s)
+			case k < 15 && len(inFlight) > 0:
+				i := rapid.IntRange(0, len(inFlight)-1).Draw(rt, "which")
+				s, answered, unsent := inFlight[i], rapid.Bool().Draw(rt, "answered"), rapid.Bool().Draw(rt, "unsent")
+				inFlight = slices.Delete(inFlight, i, i+1)
+				if s.data != nil {
 					m := model[key{s.seq, s.target}]
-					if m.over++; yes {
+					if m.completed++; answered {
 						m.answered++
 					}
-					if never {
+					if unsent {
 						m.unsent++
 					}
 				}
-				s.Complete(yes, never)
+				s.Complete(answered, unsent)
 			case k < 17:
 				change(CauseEndpointList)
 			case k == 17:
-				disk.on = !disk.on
-			case k == 18: // killed: what is out stays out
-				out = nil
-				l = open(t, disk, MinBytes)
+				disk.full = !disk.full
+			case k == 18: // killed: in-flight calls never complete
+				inFlight = nil
+				l = openLedger(t, disk, MinBytes)
 				change(CauseStart)
-			default: // it hands over, with the calls
+			default: // hands over to the next process, with the in-flight calls
 				var keys []key
-				for _, s := range out {
+				for _, s := range inFlight {
 					s.HandOver()
 					keys = append(keys, key{s.seq, s.target})
 				}
 				l.Close(CauseHandedOver, now)
 				changes++
-				l = open(t, disk, MinBytes)
-				out = nil
+				l = openLedger(t, disk, MinBytes)
+				inFlight = nil
 				for _, k := range keys {
-					out = append(out, l.ResumeCall(k.seq, k.target))
-					carried++
+					inFlight = append(inFlight, l.ResumeCall(k.seq, k.target))
+					handedOver++
 				}
 				change(CauseTakenOver)
 			}
 			files, size := segmentsIn(dir)
-			if files > segments || size > MinBytes {
-				rt.Fatalf("%d files of %d bytes", files, size)
+			if files > maxSegments || size > MinBytes {
+				rt.Fatalf("ledger has %d files and %d bytes, which exceeds its limit", files, size)
 			}
 		}
-		r := load(t, disk)
+		r := readSnapshot(t, disk)
 		if len(r.Damage) > 0 {
 			rt.Fatal(r.Damage)
 		}
-		said := uint64(0)
+		recorded := uint64(0)
 		seqs := map[uint64]bool{}
 		for _, e := range r.Entries {
-			if e.Cause != "" { // of those without, the change was overwritten, and its counts go on
+			if e.Cause != "" { // an entry without a cause: the change was overwritten, some of its counters were not
 				seqs[e.Seq] = true
 			}
 			for _, c := range e.Calls {
-				said += c.Begun.Max
+				recorded += c.Begun.Max
 				m := model[key{e.Seq, c.Target}]
-				got := one{c.Begun.Max, c.Completed.Max, c.Unsent.Max, c.Answered.Max}
+				got := callCounts{c.Begun.Max, c.Completed.Max, c.Unsent.Max, c.Answered.Max}
 				if m == nil || c.Begun.Min != c.Begun.Max {
-					rt.Fatalf("%s under %d: %+v, and it was %+v", c.Target, e.Seq, c, m)
+					rt.Fatalf("%s under change %d: counts %+v, model %+v", c.Target, e.Seq, c, m)
 				}
 				if r.Overwritten.Calls == 0 && r.Unrecorded.Calls.Max == 0 && got != *m {
-					rt.Fatalf("%s under %d: %+v, and it was %+v", c.Target, e.Seq, got, *m)
+					rt.Fatalf("%s under change %d: counts %+v, model %+v", c.Target, e.Seq, got, *m)
 				}
-				if got.begun > m.begun || got.over > m.over {
-					rt.Fatalf("%s under %d: %+v, more than %+v", c.Target, e.Seq, got, *m)
+				if got.begun > m.begun || got.completed > m.completed {
+					rt.Fatalf("%s under change %d: counts %+v exceed the model's %+v", c.Target, e.Seq, got, *m)
 				}
 			}
 		}
-		// A process that is killed while there is no room for a first segment can't leave word of what it missed.
-		if have := said + r.Overwritten.Calls + r.Unrecorded.Calls.Max; have != calls && len(r.Entries) > 0 {
-			rt.Fatalf("%d calls were made, and it tells of %d, %d overwritten, %d missed", calls, said, r.Overwritten.Calls, r.Unrecorded.Calls.Max)
+		// A process that is killed before there was room for a first segment can't report what it did not record.
+		if total := recorded + r.Overwritten.Calls + r.Unrecorded.Calls.Max; total != calls && len(r.Entries) > 0 {
+			rt.Fatalf("%d calls were made, but the ledger reports %d recorded, %d overwritten, %d unrecorded", calls, recorded, r.Overwritten.Calls, r.Unrecorded.Calls.Max)
 		}
 		if r.Overwritten.Calls > 0 {
 			overwritten++
 		}
 		if r.Unrecorded.Calls.Max > 0 {
-			without++
+			unrecorded++
 		}
-		if whole := len(r.Caveats()) == 0; whole && uint64(len(seqs)) != changes {
-			rt.Fatalf("%d changes of %d, and no caveat", len(seqs), changes)
+		if complete := len(r.Caveats()) == 0; complete && uint64(len(seqs)) != changes {
+			rt.Fatalf("%d changes of %d recorded, but no caveat is reported", len(seqs), changes)
 		}
 	})
-	if overwritten == 0 || without == 0 || carried == 0 {
-		t.Errorf("histories that overwrite: %d, without room: %d, calls that were carried: %d: this test tests too little", overwritten, without, carried)
+	if overwritten == 0 || unrecorded == 0 || handedOver == 0 {
+		t.Errorf("too little coverage: histories with overwritten calls: %d, with unrecorded calls: %d, calls handed over: %d", overwritten, unrecorded, handedOver)
 	}
 }
 
+// segmentsIn returns the number of segment files in a folder and their total size.
 func segmentsIn(dir string) (files int, size int64) {
-	list, _ := filepath.Glob(filepath.Join(dir, nameBegin+"*")) // of a fixed pattern
+	list, _ := filepath.Glob(filepath.Join(dir, namePrefix+"*")) // the pattern is constant and valid
 	for _, n := range list {
 		if info, err := os.Stat(n); err == nil {
 			files, size = files+1, size+info.Size()
@@ -228,98 +231,98 @@
 	return files, size
 }
 
-// TestOut: a change names the calls that are out when it comes.
-func TestOut(t *testing.T) {
+// TestCallsInFlight checks that a change lists the calls in flight when it is recorded, and that calls are found by the list that they were made under.
+func TestCallsInFlight(t *testing.T) {
 	files := journal.DirFS(t.TempDir())
-	l := open(t, files, MinBytes)
-	l.RecordChange(CauseStart, "", begin, vector(1))
-	a, b := l.BeginCall("a", begin), l.BeginCall("b", begin)
-	l.BeginCall("a", begin)
+	l := openLedger(t, files, MinBytes)
+	l.RecordChange(CauseStart, "", testStart, testVector(1))
+	a, b := l.BeginCall("a", testStart), l.BeginCall("b", testStart)
+	l.BeginCall("a", testStart)
 	b.Complete(true, false)
-	l.RecordChange(CauseEndpointList, "", begin.Add(time.Second), vector(2))
+	l.RecordChange(CauseEndpointList, "", testStart.Add(time.Second), testVector(2))
 	a.Complete(true, false)
-	l.RecordChange(CauseFenced, "", begin.Add(2*time.Second), vector(2))
-	r := load(t, files)
+	l.RecordChange(CauseFenced, "", testStart.Add(2*time.Second), testVector(2))
+	r := readSnapshot(t, files)
 	if got := r.Entries[1].InFlight; !reflect.DeepEqual(got, []InFlight{{"a", 2}}) {
-		t.Errorf("out at the list: %+v", got)
+		t.Errorf("in flight at the list: %+v", got)
 	}
 	if got := r.Entries[2].InFlight; !reflect.DeepEqual(got, []InFlight{{"a", 1}}) {
-		t.Errorf("out later: %+v", got)
+		t.Errorf("in flight later: %+v", got)
 	}
 	got := r.CallsTo("a", func(c *Change) bool { return c.Vector.List.Index < 2 })
-	if want := (Count{2, 2}); got.Begun != want || got.Arrived != (Count{1, 2}) || len(got.Caveats) > 0 || !got.Last.Equal(begin) {
-		t.Errorf("a was called %+v", got)
+	if want := (Count{2, 2}); got.Begun != want || got.Arrived != (Count{1, 2}) || len(got.Caveats) > 0 || !got.Last.Equal(testStart) {
+		t.Errorf("calls to a under the old list: %+v", got)
 	}
 	if got := r.CallsTo("a", func(c *Change) bool { return c.Vector.List.Index >= 2 }); got.Begun.Max != 0 {
-		t.Errorf("a was called under the new list: %+v", got)
+		t.Errorf("calls to a under the new list: %+v", got)
 	}
 }
 
-// TestDamage cuts a ledger at each byte, and flips a bit of each: it never ends a process, never says more than was, and says of each count that
-// it has, or that may be missing, that it is so.
-func TestDamage(t *testing.T) {
+// TestCorruptLedger truncates a ledger at each byte, and flips a bit of each byte. A process must still start on it and record its calls, reading must
+// never report more calls than were made, and every loss must be reported as damage or as an unread file.
+func TestCorruptLedger(t *testing.T) {
 	dir := t.TempDir()
 	files := journal.DirFS(dir)
-	l := open(t, files, MinBytes)
+	l := openLedger(t, files, MinBytes)
 	for i := range 4 {
-		l.RecordChange(CauseEndpointList, "", begin, vector(i))
+		l.RecordChange(CauseEndpointList, "", testStart, testVector(i))
 		for j := range 3 {
 			for range i + 1 {
-				l.BeginCall(fmt.Sprint("t", j), begin).Complete(true, false)
+				l.BeginCall(fmt.Sprint("t", j), testStart).Complete(true, false)
 			}
 		}
 	}
-	end := l.list[0].end
+	end := l.segments[0].end
 	file := filepath.Join(dir, segmentName(1))
-	good, err := os.ReadFile(file)
+	valid, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := load(t, files)
-	check := func(what string, at int64) {
-		r := load(t, files)
-		if reflect.DeepEqual(r.Entries, whole.Entries) && reflect.DeepEqual(r.Overwritten, whole.Overwritten) && r.Unrecorded == whole.Unrecorded {
+	intact := readSnapshot(t, files)
+	check := func(damage string, at int64) {
+		r := readSnapshot(t, files)
+		if reflect.DeepEqual(r.Entries, intact.Entries) && reflect.DeepEqual(r.Overwritten, intact.Overwritten) && r.Unrecorded == intact.Unrecorded {
 			return
 		}
-		if len(r.Damage) == 0 && r.Overwritten.UnreadSegments == 0 && !(what == "cut" && at >= headed) { // one without a byte is told as gone unread
-			t.Fatalf("%s at %d: nothing is said of it, and it reads %+v", what, at, r)
+		if len(r.Damage) == 0 && r.Overwritten.UnreadSegments == 0 && !(damage == "cut" && at >= headerSize) { // an empty file is reported as lost unread
+			t.Fatalf("%s at %d: damage is not reported, snapshot %+v", damage, at, r)
 		}
-		again, err := Open(files, MinBytes, "n1") // and a process starts on it
+		next, err := Open(files, MinBytes, "n1") // a process must start on it
 		if err != nil {
-			t.Fatalf("%s at %d: %v", what, at, err)
+			t.Fatalf("%s at %d: %v", damage, at, err)
 		}
-		again.RecordChange(CauseStart, "", begin, vector(9))
-		again.BeginCall("t0", begin)
-		again.Close(CauseStop, begin)
-		after := load(t, files)
+		next.RecordChange(CauseStart, "", testStart, testVector(9))
+		next.BeginCall("t0", testStart)
+		next.Close(CauseStop, testStart)
+		after := readSnapshot(t, files)
 		if got := after.CallsTo("t0", func(c *Change) bool { return c.Cause == CauseStart && c.Vector.List.Index == 9 }); got.Begun.Max != 1 {
-			t.Fatalf("%s at %d: the next process's call is not there: %+v", what, at, got)
+			t.Fatalf("%s at %d: the next process's call is not recorded: %+v", damage, at, got)
 		}
 		names, _ := files.List()
 		for _, n := range names {
 			files.Remove(n)
 		}
 	}
-	for at := int64(0); at <= end+recordHead; at++ {
-		if err := os.WriteFile(file, good[:at], 0o600); err != nil {
+	for at := int64(0); at <= end+recordHeaderSize; at++ {
+		if err := os.WriteFile(file, valid[:at], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		check("cut", at)
 	}
 	for at := int64(0); at < end; at++ {
-		bad := slices.Clone(good)
-		bad[at] ^= 1 << (at % 8)
-		if err := os.WriteFile(file, bad, 0o600); err != nil {
+		corrupt := slices.Clone(valid)
+		corrupt[at] ^= 1 << (at % 8)
+		if err := os.WriteFile(file, corrupt, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		// The spare bytes of the head, padding, and the lowest bit of a count, which is what a kill may leave, or of a time say nothing.
-		r := load(t, files)
+		// Not detectable: unused bytes of the header, padding, the lowest bit of a count, since a kill may leave it so, and times.
+		r := readSnapshot(t, files)
 		if len(r.Damage) == 0 {
 			for i, e := range r.Entries {
 				for j, c := range e.Calls {
-					w := whole.Entries[i].Calls[j]
+					w := intact.Entries[i].Calls[j]
 					if c.Target != w.Target || c.Begun.Max+1 < w.Begun.Max || c.Begun.Min > w.Begun.Min+1 || c.Begun.Max-c.Begun.Min > 1 {
-						t.Fatalf("bit at %d: %+v, and it was %+v", at, c, w)
+						t.Fatalf("flipped bit at byte %d: %+v, originally %+v", at, c, w)
 					}
 				}
 			}
@@ -331,65 +334,65 @@
 	}
 }
 
-// TestAnothers: a folder that another forwarder wrote to says nothing of this one, and is not written over at once.
-func TestAnothers(t *testing.T) {
+// TestForeignLedger checks that segments of another forwarder in the folder are not counted as this one's, and are not overwritten at once.
+func TestForeignLedger(t *testing.T) {
 	files := journal.DirFS(t.TempDir())
 	l, err := Open(files, MinBytes, "n2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.RecordChange(CauseStart, "", begin, vector(1))
-	l.BeginCall("a", begin)
-	l.Close(CauseStop, begin)
-	l = open(t, files, MinBytes)
+	l.RecordChange(CauseStart, "", testStart, testVector(1))
+	l.BeginCall("a", testStart)
+	l.Close(CauseStop, testStart)
+	l = openLedger(t, files, MinBytes)
 	if l.LastChange().Seq != 0 {
-		t.Errorf("it goes on with another's: %+v", l.LastChange())
+		t.Errorf("continues another forwarder's ledger: %+v", l.LastChange())
 	}
-	l.RecordChange(CauseStart, "", begin, vector(2))
-	r := load(t, files)
-	if got := r.CallsTo("a", any); got.Begun.Max != 0 || len(r.Foreign) != 1 || len(r.Entries) != 1 {
-		t.Errorf("%+v, %+v", got, r)
+	l.RecordChange(CauseStart, "", testStart, testVector(2))
+	r := readSnapshot(t, files)
+	if got := r.CallsTo("a", anyChange); got.Begun.Max != 0 || len(r.Foreign) != 1 || len(r.Entries) != 1 {
+		t.Errorf("calls %+v, snapshot %+v", got, r)
 	}
 	other, err := Read(files, "n2")
-	if err != nil || other.CallsTo("a", any).Begun.Max != 1 {
-		t.Errorf("the other's: %+v (%v)", other, err)
+	if err != nil || other.CallsTo("a", anyChange).Begun.Max != 1 {
+		t.Errorf("other forwarder's ledger: %+v (%v)", other, err)
 	}
 }
 
-// TestOff: a ledger that is not there.
-func TestOff(t *testing.T) {
+// TestNilLedger checks that a nil ledger records and allocates nothing, and that Open rejects sizes out of range and a missing folder.
+func TestNilLedger(t *testing.T) {
 	var l *Ledger
-	l.RecordChange(CauseStart, "", begin, vector(1))
-	s := l.BeginCall("a", begin)
+	l.RecordChange(CauseStart, "", testStart, testVector(1))
+	s := l.BeginCall("a", testStart)
 	s.Complete(true, false)
 	s.HandOver()
 	l.ResumeCall(1, "a").Complete(true, false)
-	l.Close(CauseStop, begin)
+	l.Close(CauseStop, testStart)
 	if l.LastChange().Seq != 0 || s.ChangeSeq() != 0 {
-		t.Error("it keeps something")
+		t.Error("a nil ledger has a change")
 	}
-	if n := testing.AllocsPerRun(100, func() { l.BeginCall("a", begin).Complete(true, false) }); n != 0 {
-		t.Errorf("%v allocations", n)
+	if n := testing.AllocsPerRun(100, func() { l.BeginCall("a", testStart).Complete(true, false) }); n != 0 {
+		t.Errorf("%v allocations for a call, want none", n)
 	}
 	for _, n := range []int64{0, MinBytes - 1, MaxBytes + 1} {
 		if _, err := Open(journal.DirFS(t.TempDir()), n, "n1"); err == nil {
-			t.Errorf("a ledger of %d bytes", n)
+			t.Errorf("a ledger of %d bytes was opened", n)
 		}
 	}
 	if _, err := Open(journal.DirFS(filepath.Join(t.TempDir(), "none")), MinBytes, "n1"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no folder: %v", err)
+		t.Errorf("missing folder: %v", err)
 	}
 }
 
-// writeUntilKilled tells each call on its standard output before and after it is counted.
+// writeUntilKilled counts calls until the process is killed, and logs each call to the file calls.log before and after it is counted.
 func writeUntilKilled(dir string) {
 	l, err := Open(journal.DirFS(dir), MinBytes, "n1")
 	if err != nil {
 		panic(err)
 	}
-	l.RecordChange(CauseStart, "", time.Now(), vector(1))
+	l.RecordChange(CauseStart, "", time.Now(), testVector(1))
 	os.Stdout.WriteString("go\n")
-	f, err := os.OpenFile(filepath.Join(dir, "told"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(filepath.Join(dir, "calls.log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		panic(err)
 	}
@@ -401,17 +404,17 @@
 		s := l.BeginCall(target, time.Now())
 		fmt.Fprintln(f, "-", target)
 		if r.IntN(50) == 0 {
-			l.RecordChange(CauseEndpointList, "", time.Now(), vector(i))
+			l.RecordChange(CauseEndpointList, "", time.Now(), testVector(i))
 		}
 		s.Complete(true, false)
 	}
 }
 
-// TestKilled kills a process that counts at random moments, again and again in one folder: each call of which it had said that it is counted is, and none
-// that was not begun.
-func TestKilled(t *testing.T) {
+// TestKillDuringWrites kills a process that counts calls at random moments, several times in one folder. Each call that it had logged as counted must
+// be in the ledger, and no call that it had not logged as started.
+func TestKillDuringWrites(t *testing.T) {
 	dir := t.TempDir()
-	told := map[string][2]uint64{}
+	logged := map[string][2]uint64{}
 	r := rand.New(rand.NewPCG(7, 7))
 	for i := range 12 {
 		cmd := exec.Command(os.Args[0])
@@ -428,31 +431,31 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 	}
-	text, err := os.ReadFile(filepath.Join(dir, "told"))
+	text, err := os.ReadFile(filepath.Join(dir, "calls.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(text)) {
 		kind, target, ok := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
-		c := told[target]
+		c := logged[target]
 		switch {
 		case ok && kind == "+":
 			c[1]++
 		case ok && kind == "-":
 			c[0]++
 		}
-		told[target] = c
+		logged[target] = c
 	}
-	rec := load(t, journal.DirFS(dir))
+	rec := readSnapshot(t, journal.DirFS(dir))
 	if len(rec.Damage) > 0 {
 		t.Fatal(rec.Damage)
 	}
 	sum := Count{}
-	for _, target := range slices.Sorted(maps.Keys(told)) {
-		got := rec.CallsTo(target, any)
-		sum.add(Count{told[target][0], told[target][1]})
-		if rec.Overwritten.Calls == 0 && rec.Overwritten.UnreadSegments == 0 && (got.Begun.Max < told[target][0] || got.Begun.Min > told[target][1]) {
-			t.Errorf("%s: it says %+v, and %d to %d were begun", target, got.Begun, told[target][0], told[target][1])
+	for _, target := range slices.Sorted(maps.Keys(logged)) {
+		got := rec.CallsTo(target, anyChange)
+		sum.add(Count{logged[target][0], logged[target][1]})
+		if rec.Overwritten.Calls == 0 && rec.Overwritten.UnreadSegments == 0 && (got.Begun.Max < logged[target][0] || got.Begun.Min > logged[target][1]) {
+			t.Errorf("%s: ledger has %+v calls, but %d to %d were started", target, got.Begun, logged[target][0], logged[target][1])
 		}
 	}
 	all := rec.Overwritten.Calls
@@ -461,17 +464,18 @@
 			all += c.Begun.Max
 		}
 	}
-	if all < sum.Min && rec.Overwritten.UnreadSegments == 0 || all > sum.Max { // less only where it says that files are gone unread
-		t.Errorf("%d calls in all, and %+v were begun", all, sum)
+	if all < sum.Min && rec.Overwritten.UnreadSegments == 0 || all > sum.Max { // fewer only if it reports files that were lost unread
+		t.Errorf("ledger has %d calls in all, but %+v were started", all, sum)
 	}
 	if sum.Max < 100 {
-		t.Errorf("only %d calls: this test tests too little", sum.Max)
+		t.Errorf("too little coverage: only %d calls", sum.Max)
 	}
 }
 
+// BenchmarkCall measures counting the start and the completion of a call.
 func BenchmarkCall(b *testing.B) {
-	l := open(b, journal.DirFS(b.TempDir()), 1<<20)
-	l.RecordChange(CauseStart, "", begin, vector(1))
+	l := openLedger(b, journal.DirFS(b.TempDir()), 1<<20)
+	l.RecordChange(CauseStart, "", testStart, testVector(1))
 	targets := make([]string, 30)
 	for i := range targets {
 		targets[i] = fmt.Sprintf("s-%08x", i*7919)
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -10,58 +10,58 @@
 	"scaleroute/internal/version"
 )
 
-// Snapshot is a ledger as it is read, also one that is being written.
+// Snapshot holds the contents of a ledger, which may still be in use by its forwarder.
 type Snapshot struct {
-	Entries     []Entry     `json:"entries"`          // in order; numbers that lack were not kept
-	Overwritten Overwritten `json:"dropped"`          // overwritten since
-	Unrecorded  Unrecorded  `json:"missed"`           // there was no room for it
-	Damage      []string    `json:"damage,omitempty"` // what can't be read
+	Entries     []Entry     `json:"entries"`          // by sequence number; missing numbers were not recorded or have been overwritten
+	Overwritten Overwritten `json:"dropped"`          // changes and calls that have been overwritten
+	Unrecorded  Unrecorded  `json:"missed"`           // changes and calls that there was no room for
+	Damage      []string    `json:"damage,omitempty"` // descriptions of unreadable data
 	Foreign     []string    `json:"others,omitempty"` // files that another forwarder wrote
 }
 
-// Entry is a change, and the calls that were begun under it.
+// Entry is a change and the calls that were started under it.
 type Entry struct {
 	Change
 	Calls []CallCounts `json:"calls,omitempty"`
 }
 
-// CallCounts are those to one target under one change.
+// CallCounts counts the calls to one endpoint under one change.
 type CallCounts struct {
 	Target    string    `json:"target"`
 	First     time.Time `json:"first"`
 	Last      time.Time `json:"last"`
-	Begun     Count     `json:"begun"` // that were about to be made
+	Begun     Count     `json:"begun"` // counted just before they were started
 	Completed Count     `json:"over"`
-	Unsent    Count     `json:"unsent"`   // never written whole: they did not run
-	Answered  Count     `json:"answered"` // by the target
+	Unsent    Count     `json:"unsent"`   // never sent in full, so not executed
+	Answered  Count     `json:"answered"` // by the endpoint
 }
 
-// Count is how many: exactly, or within a kill's step.
+// Count is a number of calls or changes. Min and Max are equal unless a kill interrupted an update, which leaves a difference of one.
 type Count struct {
 	Min uint64 `json:"least"`
 	Max uint64 `json:"most"`
 }
 
-// Plus is both together.
+// Plus returns the sum of two counts.
 func (c Count) Plus(o Count) Count { return Count{c.Min + o.Min, c.Max + o.Max} }
 
 func (c *Count) add(o Count) { c.Min, c.Max = c.Min+o.Min, c.Max+o.Max }
 
-// Overwritten is what has been overwritten.
+// Overwritten counts the changes and calls whose records have been overwritten.
 type Overwritten struct {
 	Changes        uint64    `json:"changes"`
 	Calls          uint64    `json:"calls"`
-	Latest         time.Time `json:"until,omitzero"`   // the newest of the calls
-	UnreadSegments int       `json:"unread,omitempty"` // segments that were damaged or another's, and made room
+	Latest         time.Time `json:"until,omitzero"`   // time of the newest of these calls
+	UnreadSegments int       `json:"unread,omitempty"` // segments that were removed unread since they were damaged or another forwarder's
 }
 
-// Unrecorded is what there was no room for.
+// Unrecorded counts the calls and changes that there was no room to record.
 type Unrecorded struct {
 	Calls   Count `json:"calls"`
 	Changes Count `json:"changes"`
 }
 
-// Read reads the ledger of a forwarder in a folder; without its name, whoever's is newest.
+// Read reads the ledger of the named forwarder in a folder. If the name is empty it reads the ledger that the newest readable segment belongs to.
 func Read(files FS, name string) (*Snapshot, error) {
 	names, err := files.List()
 	if err != nil {
@@ -71,8 +71,8 @@
 	own := version.DigestOf([]byte(name))
 	entries := map[uint64]*Entry{}
 	slices.Sort(names)
-	slices.Reverse(names) // newest first: it says what is before it
-	newest, half := true, 0
+	slices.Reverse(names) // newest first: its header counts what was lost before it
+	newest, partial := true, 0
 	for _, n := range names {
 		seq, ok := parseName(n)
 		if !ok {
@@ -83,13 +83,13 @@
 			r.Damage = append(r.Damage, fmt.Sprintf("%s: %v", n, err))
 			continue
 		}
-		h, ok := readHead(text, seq)
-		if !ok && halfBegun(text, seq) {
-			half++
+		h, ok := parseHeader(text, seq)
+		if !ok && partlyInitialized(text, seq) {
+			partial++
 			continue
 		}
 		if !ok {
-			r.Damage = append(r.Damage, n+": its head does not check, or is of another format: read it by the program that wrote it")
+			r.Damage = append(r.Damage, n+": its header fails its checksum or has another format: read it with the version that wrote it")
 			continue
 		}
 		if name == "" {
@@ -101,18 +101,18 @@
 		}
 		if newest {
 			newest = false
-			r.Overwritten = Overwritten{Changes: h.dropped.changes, Calls: h.dropped.calls, UnreadSegments: int(h.dropped.unread)}
-			if h.dropped.until > 0 {
-				r.Overwritten.Latest = time.Unix(0, h.dropped.until)
+			r.Overwritten = Overwritten{Changes: h.overwritten.changes, Calls: h.overwritten.calls, UnreadSegments: int(h.overwritten.unreadSegments)}
+			if h.overwritten.latest > 0 {
+				r.Overwritten.Latest = time.Unix(0, h.overwritten.latest)
 			}
-			calls, changes := read(text[offMissedCalls:]), read(text[offMissedChanges:])
-			r.Unrecorded = Unrecorded{Count{h.missed.calls + calls.least, h.missed.calls + calls.most}, Count{h.missed.changes + changes.least, h.missed.changes + changes.most}}
+			calls, changes := readCount(text[offUnrecordedCalls:]), readCount(text[offUnrecordedChanges:])
+			r.Unrecorded = Unrecorded{Count{h.unrecorded.calls + calls.min, h.unrecorded.calls + calls.max}, Count{h.unrecorded.changes + changes.min, h.unrecorded.changes + changes.max}}
 		}
-		if _, damage := scan(text, func(one record) { r.take(one, entries, n) }); damage != "" {
+		if _, damage := scan(text, func(rec record) { r.addRecord(rec, entries, n) }); damage != "" {
 			r.Damage = append(r.Damage, n+": "+damage)
 		}
 	}
-	r.Overwritten.UnreadSegments += half
+	r.Overwritten.UnreadSegments += partial
 	for _, e := range entries {
 		slices.SortFunc(e.Calls, func(a, b CallCounts) int { return cmp.Compare(a.Target, b.Target) })
 		r.Entries = append(r.Entries, *e)
@@ -121,6 +121,7 @@
 	return r, nil
 }
 
+// readFile reads a segment file whole.
 func readFile(files FS, name string) ([]byte, error) {
 	f, err := files.Open(name, false)
 	if err != nil {
@@ -141,46 +142,47 @@
 	return text, nil
 }
 
-func (r *Snapshot) take(one record, entries map[uint64]*Entry, file string) {
-	switch one.kind {
+// addRecord adds one record of a segment file. The counts of one endpoint under one change may be spread over several segments and are added up.
+func (r *Snapshot) addRecord(rec record, entries map[uint64]*Entry, file string) {
+	switch rec.kind {
 	case kindChange:
 		e := Entry{}
-		if err := json.Unmarshal(one.payload, &e.Change); err != nil {
-			r.Damage = append(r.Damage, fmt.Sprintf("%s: a change that can't be read: %v", file, err))
+		if err := json.Unmarshal(rec.payload, &e.Change); err != nil {
+			r.Damage = append(r.Damage, fmt.Sprintf("%s: change can't be decoded: %v", file, err))
 			return
 		}
-		if have := entries[e.Seq]; have != nil { // it goes on in another segment
-			have.Change = e.Change
+		if existing := entries[e.Seq]; existing != nil { // another segment holds the change too
+			existing.Change = e.Change
 			return
 		}
 		entries[e.Seq] = &e
-	case kindSlot:
-		e := entries[one.seq]
-		if e == nil { // its change stands in a segment that is gone or damaged
-			e = &Entry{Change: Change{Seq: one.seq}}
-			entries[one.seq] = e
+	case kindCounter:
+		e := entries[rec.seq]
+		if e == nil { // the change itself was in a segment that is gone or damaged
+			e = &Entry{Change: Change{Seq: rec.seq}}
+			entries[rec.seq] = e
 		}
-		c := CallCounts{Target: string(one.target), First: time.Unix(0, one.first), Last: readTime(one.counters[last*16:])}
-		for i, to := range map[int]*Count{begun: &c.Begun, over: &c.Completed, unsent: &c.Unsent, answered: &c.Answered} {
-			b := read(one.counters[i*16:])
-			if *to = (Count{b.least, b.most}); b.damaged {
-				r.Damage = append(r.Damage, fmt.Sprintf("%s: a count of %s under change %d", file, c.Target, one.seq))
+		c := CallCounts{Target: string(rec.target), First: time.Unix(0, rec.first), Last: readTime(rec.counters[indexLast*16:])}
+		for i, to := range map[int]*Count{indexBegun: &c.Begun, indexCompleted: &c.Completed, indexUnsent: &c.Unsent, indexAnswered: &c.Answered} {
+			b := readCount(rec.counters[i*16:])
+			if *to = (Count{b.min, b.max}); b.damaged {
+				r.Damage = append(r.Damage, fmt.Sprintf("%s: damaged count of %s under change %d", file, c.Target, rec.seq))
 			}
 		}
 		if c.Last.IsZero() {
 			c.Last = c.First
 		}
 		for i := range e.Calls {
-			if have := &e.Calls[i]; have.Target == c.Target { // in an older segment, or a newer one
-				have.Begun.add(c.Begun)
-				have.Completed.add(c.Completed)
-				have.Unsent.add(c.Unsent)
-				have.Answered.add(c.Answered)
-				if c.First.Before(have.First) {
-					have.First = c.First
+			if existing := &e.Calls[i]; existing.Target == c.Target { // counted in another segment too
+				existing.Begun.add(c.Begun)
+				existing.Completed.add(c.Completed)
+				existing.Unsent.add(c.Unsent)
+				existing.Answered.add(c.Answered)
+				if c.First.Before(existing.First) {
+					existing.First = c.First
 				}
-				if c.Last.After(have.Last) {
-					have.Last = c.Last
+				if c.Last.After(existing.Last) {
+					existing.Last = c.Last
 				}
 				return
 			}
@@ -189,22 +191,22 @@
 	}
 }
 
-// CallSummary says how often a target was called.
+// CallSummary answers how often an endpoint was called.
 type CallSummary struct {
-	Begun   Count     `json:"begun"`   // calls that were decided and about to be made
-	Arrived Count     `json:"arrived"` // of those, how many the target can have got: at least those that it answered
+	Begun   Count     `json:"begun"`   // calls counted just before they were started
+	Arrived Count     `json:"arrived"` // calls that can have reached the endpoint: at least the answered ones, at most those not known to be unsent
 	First   time.Time `json:"first,omitzero"`
 	Last    time.Time `json:"last,omitzero"`
-	Changes []uint64  `json:"under,omitempty"`   // the changes under which
-	Caveats []string  `json:"caveats,omitempty"` // why there may be more
+	Changes []uint64  `json:"under,omitempty"`   // sequence numbers of the changes under which it was called
+	Caveats []string  `json:"caveats,omitempty"` // why there may have been more calls
 }
 
-// CallsTo answers how often a target was called under the changes that a question fits.
-func (r *Snapshot) CallsTo(target string, fits func(*Change) bool) (a CallSummary) {
+// CallsTo returns how often an endpoint was called under the changes for which matches returns true.
+func (r *Snapshot) CallsTo(target string, matches func(*Change) bool) (a CallSummary) {
 	for i := range r.Entries {
 		e := &r.Entries[i]
 		for _, c := range e.Calls {
-			if c.Target != target || !fits(&e.Change) {
+			if c.Target != target || !matches(&e.Change) {
 				continue
 			}
 			a.Begun.add(c.Begun)
@@ -222,23 +224,23 @@
 	return a
 }
 
-// Caveats lists what the record does not have, in words; none: it is whole.
+// Caveats describes what the snapshot lacks. A complete snapshot has no caveats.
 func (r *Snapshot) Caveats() (list []string) {
 	if r.Overwritten.Changes > 0 || r.Overwritten.Calls > 0 {
-		list = append(list, fmt.Sprintf("%d changes and %d calls, the last at %s, have been overwritten: give the ledger more bytes", r.Overwritten.Changes, r.Overwritten.Calls,
+		list = append(list, fmt.Sprintf("%d changes and %d calls, the last at %s, have been overwritten: increase the ledger's size", r.Overwritten.Changes, r.Overwritten.Calls,
 			r.Overwritten.Latest.UTC().Format(time.RFC3339Nano)))
 	}
 	if r.Overwritten.UnreadSegments > 0 {
-		list = append(list, fmt.Sprintf("%d files that were damaged, another forwarder's, or being written anew when the process was killed have made room, unread", r.Overwritten.UnreadSegments))
+		list = append(list, fmt.Sprintf("%d files have been lost unread: each was damaged, was another forwarder's, or was being reinitialized when the process was killed", r.Overwritten.UnreadSegments))
 	}
 	if r.Unrecorded.Calls.Max > 0 || r.Unrecorded.Changes.Max > 0 {
-		list = append(list, fmt.Sprintf("there was no room for %d calls and %d changes: make room on the disk of NODE_STATE", r.Unrecorded.Calls.Max, r.Unrecorded.Changes.Max))
+		list = append(list, fmt.Sprintf("the disk was too full to record %d calls and %d changes: free space on the disk of NODE_STATE", r.Unrecorded.Calls.Max, r.Unrecorded.Changes.Max))
 	}
 	for _, d := range r.Damage {
 		list = append(list, "damaged: "+d)
 	}
 	for _, o := range r.Foreign {
-		list = append(list, "another forwarder's: "+o)
+		list = append(list, "written by another forwarder: "+o)
 	}
 	return list
 }
