--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,5 +1,6 @@
-// Package audit says of a fleet who acted on which version, out of its members' ledgers. It merges them by cause, the list's index and the operators' digest, and not by
-// clocks, which it only estimates. audit.go judges what gather.go has gathered.
+// Package audit reports which members of a fleet acted on which version, from their audit logs (package ledger). It orders the logs by the index of the
+// endpoint list and the digest of the operators' settings, not by clocks, whose offsets it can only estimate. collect.go collects the members' data and
+// audit.go evaluates it.
 package audit
 
 import (
@@ -13,68 +14,68 @@
 	"scaleroute/internal/version"
 )
 
-// MemberData is what one member has said, or why it has not.
+// MemberData holds the data collected from one member, or the error that prevented it.
 type MemberData struct {
-	Source          string           `json:"source"` // its door, or its folder
+	Source          string           `json:"source"` // address of its admin API, or its folder
 	Name            string           `json:"name"`
-	Vector          *version.Vector  `json:"vector,omitempty"` // that it acts under now; nil: its process was not asked
+	Vector          *version.Vector  `json:"vector,omitempty"` // its current version vector; nil if its process was not queried
 	Fenced          bool             `json:"fenced,omitempty"`
 	FencedOffReason string           `json:"shut_out,omitempty"`
-	Offset          time.Duration    `json:"offset_ns"` // its clock less the auditor's
-	OffsetError     time.Duration    `json:"error_ns"`  // of that, at most
+	Offset          time.Duration    `json:"offset_ns"` // its clock minus the auditor's
+	OffsetError     time.Duration    `json:"error_ns"`  // largest possible error of Offset
 	Ledger          *ledger.Snapshot `json:"-"`
-	Err             string           `json:"err,omitempty"` // why nothing is known of it
+	Err             string           `json:"err,omitempty"` // why its data is missing
 }
 
-// Report is what the audit has found.
+// Report holds the findings of an audit.
 type Report struct {
 	Members       []Member    `json:"members"`
-	Lists         []Rollout   `json:"lists"`     // by index
-	OperatorFiles []Rollout   `json:"operators"` // by digest, in the order in which they were first acted on
+	Lists         []Rollout   `json:"lists"`     // ordered by index
+	OperatorFiles []Rollout   `json:"operators"` // one for each digest, ordered by the time of first use
 	Calls         *CallReport `json:"asked,omitempty"`
 	Caveats       []string    `json:"caveats,omitempty"`
 }
 
-// Member is how one stands.
+// Member holds a member's data and its evaluation.
 type Member struct {
 	MemberData
 	Verdict     straggler.Verdict  `json:"verdict"`
 	Mismatches  []version.Mismatch `json:"lacks,omitempty"`
 	Remedy      string             `json:"remedy,omitempty"`
-	Changes     int                `json:"changes"` // that its ledger has
-	FencedCount int                `json:"slept"`   // times that it was fenced
+	Changes     int                `json:"changes"` // in its ledger
+	FencedCount int                `json:"slept"`   // number of times that it was fenced
 }
 
-// Rollout is how a version went through the fleet.
+// Rollout describes how a version spread through the fleet.
 type Rollout struct {
 	Index   int64          `json:"index,omitempty"`
 	Digest  version.Digest `json:"digest"`
-	Digests int            `json:"digests"` // contents under this index: more than 1 is a fork
+	Digests int            `json:"digests"` // number of different contents under this index; more than 1 is a fork
 	First   time.Time      `json:"first"`   // by the auditor's clock
 	Half    time.Duration  `json:"half_ns,omitempty"`
-	P99     time.Duration  `json:"most_ns,omitempty"` // 99 of 100
-	All     time.Duration  `json:"all_ns,omitempty"`  // 0: not all have
-	Acted   int            `json:"acted"`             // members that acted on it, or on a later one
+	P99     time.Duration  `json:"most_ns,omitempty"` // until 99% of the members acted on it
+	All     time.Duration  `json:"all_ns,omitempty"`  // 0 if not all members have acted on it
+	Acted   int            `json:"acted"`             // members that acted on this list or a later one
 	Steps   []Step         `json:"steps"`
 }
 
-// Step is one member's.
+// Step is one member's first use of a version.
 type Step struct {
 	Name        string        `json:"name"`
-	After       time.Duration `json:"after_ns"` // the first
+	After       time.Duration `json:"after_ns"` // time since the fleet's first use
 	Cause       string        `json:"cause"`
 	Seq         uint64        `json:"seq"`
 	OffsetError time.Duration `json:"error_ns"`
 }
 
-// CallQuery is about calls to a target.
+// CallQuery selects the calls to one endpoint.
 type CallQuery struct {
 	Target          string
-	BelowIndex      int64          // under lists with a lower index; 0: under any
-	ExceptOperators version.Digest // under operators' settings other than these; 0: under any
+	BelowIndex      int64          // only calls under lists with a lower index; 0 for any list
+	ExceptOperators version.Digest // only calls under operators' settings with another digest; 0 for any settings
 }
 
-// CallReport is its answer.
+// CallReport is the answer to a CallQuery.
 type CallReport struct {
 	Target     string        `json:"target"`
 	BelowIndex int64         `json:"older_than,omitempty"`
@@ -82,24 +83,25 @@
 	Members    []MemberCalls `json:"by"`
 }
 
-// MemberCalls is one member's part.
+// MemberCalls holds one member's calls in a CallReport.
 type MemberCalls struct {
 	Name string `json:"name"`
 	ledger.CallSummary
-	LastCorrected time.Time      `json:"last_here"` // by the auditor's clock
-	LastVector    version.Vector `json:"acting"`    // the last of the vectors under which it was called
+	LastCorrected time.Time      `json:"last_here"` // time of the last call by the auditor's clock
+	LastVector    version.Vector `json:"acting"`    // newest vector under which the member called the endpoint
 	Cause         string         `json:"cause"`
 }
 
-// Merge judges what was gathered. want is what the fleet is to act under; empty: the newest list that anybody has.
-func Merge(all []MemberData, want version.Desired, q *CallQuery) *Report {
+// Merge evaluates the data of all members against the desired version, and answers the query if q is not nil. If desired is empty, the newest list that
+// any member reports is the desired one.
+func Merge(all []MemberData, desired version.Desired, q *CallQuery) *Report {
 	r := &Report{}
 	all = slices.Clone(all)
 	slices.SortFunc(all, func(a, b MemberData) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Source, b.Source)) })
-	if want.Empty() {
+	if desired.Empty() {
 		for _, g := range all {
 			if g.Vector != nil {
-				want.Index = max(want.Index, g.Vector.List.Index)
+				desired.Index = max(desired.Index, g.Vector.List.Index)
 			}
 		}
 	}
@@ -133,16 +135,16 @@
 			}
 		}
 		switch v := g.Vector; {
-		case v == nil && g.Ledger != nil && g.Err == "": // a folder: what its process acts under is not known
+		case v == nil && g.Ledger != nil && g.Err == "": // read from a folder: the process's current vector is unknown
 			if n := len(g.Ledger.Entries); n > 0 {
 				last := g.Ledger.Entries[n-1].Vector
-				m.Mismatches = last.Mismatches(want)
+				m.Mismatches = last.Mismatches(desired)
 			}
-			m.Verdict, m.Remedy = straggler.Silent, "its process was not asked: only its folder was read"
+			m.Verdict, m.Remedy = straggler.Silent, "its process was not queried: only its folder was read"
 		case v == nil:
-			m.Verdict, m.Remedy = straggler.Silent, "see whether its process runs and its door answers: "+g.Err
+			m.Verdict, m.Remedy = straggler.Silent, "check that its process runs and its admin API answers: "+g.Err
 		default:
-			m.Mismatches = v.Mismatches(want)
+			m.Mismatches = v.Mismatches(desired)
 			split := false
 			for d, n := range digests[v.List.Index] {
 				split = split || d != v.List.Digest && n >= digests[v.List.Index][v.List.Digest]
@@ -160,14 +162,14 @@
 		}
 		r.Members = append(r.Members, m)
 	}
-	r.rollOuts(all)
+	r.addRollouts(all)
 	if q != nil {
-		r.ask(all, q)
+		r.addCalls(all, q)
 	}
 	return r
 }
 
-// Worst is the worst verdict.
+// Worst returns the worst verdict of all members.
 func (r *Report) Worst() straggler.Verdict {
 	worst := straggler.Current
 	for _, m := range r.Members {
@@ -178,9 +180,10 @@
 	return worst
 }
 
-// rollOuts follows each list and each operators' file through the fleet. A member has acted on an index once it acts on that or a later one.
-func (r *Report) rollOuts(all []MemberData) {
-	type acted struct {
+// addRollouts adds the rollout of each endpoint list and of each version of the operators' settings. A member has acted on a list once it acts on that
+// list or a later one.
+func (r *Report) addRollouts(all []MemberData) {
+	type firstUse struct {
 		step Step
 		at   time.Time
 	}
@@ -193,7 +196,7 @@
 		}
 		members++
 		for _, e := range g.Ledger.Entries {
-			if e.At.IsZero() { // its change was overwritten
+			if e.At.IsZero() { // the change itself was overwritten
 				continue
 			}
 			l := e.Vector.List
@@ -206,20 +209,20 @@
 			}
 		}
 	}
-	follow := func(has func(*ledger.Entry) bool) (o Rollout) {
-		var steps []acted
+	rolloutOf := func(matches func(*ledger.Entry) bool) (o Rollout) {
+		var steps []firstUse
 		for _, g := range all {
 			if g.Ledger == nil {
 				continue
 			}
 			for i := range g.Ledger.Entries {
-				if e := &g.Ledger.Entries[i]; !e.At.IsZero() && has(e) {
-					steps = append(steps, acted{Step{Name: g.Name, Cause: e.Cause, Seq: e.Seq, OffsetError: g.OffsetError}, e.At.Add(-g.Offset)})
+				if e := &g.Ledger.Entries[i]; !e.At.IsZero() && matches(e) {
+					steps = append(steps, firstUse{Step{Name: g.Name, Cause: e.Cause, Seq: e.Seq, OffsetError: g.OffsetError}, e.At.Add(-g.Offset)})
 					break
 				}
 			}
 		}
-		slices.SortFunc(steps, func(a, b acted) int { return a.at.Compare(b.at) })
+		slices.SortFunc(steps, func(a, b firstUse) int { return a.at.Compare(b.at) })
 		if o.Acted = len(steps); o.Acted == 0 {
 			return o
 		}
@@ -228,39 +231,40 @@
 			steps[i].step.After = steps[i].at.Sub(o.First)
 			o.Steps = append(o.Steps, steps[i].step)
 		}
-		at := func(share float64) time.Duration {
-			if n := int(share*float64(members) + 0.999999); n >= 1 && n <= len(steps) {
+		timeUntil := func(fraction float64) time.Duration {
+			if n := int(fraction*float64(members) + 0.999999); n >= 1 && n <= len(steps) {
 				return max(1, o.Steps[n-1].After)
 			}
 			return 0
 		}
-		o.Half, o.P99, o.All = at(0.5), at(0.99), at(1)
+		o.Half, o.P99, o.All = timeUntil(0.5), timeUntil(0.99), timeUntil(1)
 		return o
 	}
-	for index, of := range indexes {
-		o := follow(func(e *ledger.Entry) bool { return e.Vector.List.Index >= index })
-		o.Index, o.Digest, o.Digests = index, contents[index], len(of)
+	for index, contentDigests := range indexes {
+		o := rolloutOf(func(e *ledger.Entry) bool { return e.Vector.List.Index >= index })
+		o.Index, o.Digest, o.Digests = index, contents[index], len(contentDigests)
 		r.Lists = append(r.Lists, o)
 	}
 	slices.SortFunc(r.Lists, func(a, b Rollout) int { return cmp.Compare(a.Index, b.Index) })
 	for digest := range files {
-		o := follow(func(e *ledger.Entry) bool { return e.Vector.Operators.Digest == digest })
+		o := rolloutOf(func(e *ledger.Entry) bool { return e.Vector.Operators.Digest == digest })
 		o.Digest, o.Digests = digest, 1
 		r.OperatorFiles = append(r.OperatorFiles, o)
 	}
 	slices.SortFunc(r.OperatorFiles, func(a, b Rollout) int { return a.First.Compare(b.First) })
 }
 
-func (r *Report) ask(all []MemberData, q *CallQuery) {
+// addCalls answers the query from all members' ledgers, the most recent caller first.
+func (r *Report) addCalls(all []MemberData, q *CallQuery) {
 	a := &CallReport{Target: q.Target, BelowIndex: q.BelowIndex}
 	for _, g := range all {
 		if g.Ledger == nil {
 			continue
 		}
-		fits := func(c *ledger.Change) bool {
+		matches := func(c *ledger.Change) bool {
 			return (q.BelowIndex == 0 || c.Vector.List.Index < q.BelowIndex) && (q.ExceptOperators == 0 || c.Vector.Operators.Digest != q.ExceptOperators)
 		}
-		got := g.Ledger.CallsTo(q.Target, fits)
+		got := g.Ledger.CallsTo(q.Target, matches)
 		if got.Begun.Max == 0 && len(got.Caveats) == 0 {
 			continue
 		}
@@ -280,7 +284,7 @@
 	r.Calls = a
 }
 
-// String is a roll-out in a line.
+// String describes a rollout in one line.
 func (o *Rollout) String() string {
 	name := o.Digest.String()
 	if o.Index != 0 {
@@ -296,7 +300,7 @@
 		}
 	}
 	if o.Digests > 1 {
-		times += fmt.Sprintf("; FORKED into %d contents", o.Digests)
+		times += fmt.Sprintf("; FORKED: %d different contents", o.Digests)
 	}
 	return fmt.Sprintf("%s: first at %s, %d acted on it%s", name, o.First.UTC().Format("15:04:05.000"), o.Acted, times)
 }
--- a/internal/audit/export.go
+++ b/internal/audit/export.go
@@ -11,12 +11,12 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Row is a line of the exported table: the calls of one member to one target under one change, or a change without calls.
+// Row is a row of the exported table: the calls of one member to one endpoint under one change, or a change without calls.
 type Row struct {
 	Member           string `parquet:"member,dict"`
 	Seq              int64  `parquet:"seq"`
 	At               int64  `parquet:"at,timestamp(nanosecond)"` // by the member's clock
-	OffsetNS         int64  `parquet:"offset_ns"`                // of that clock
+	OffsetNS         int64  `parquet:"offset_ns"`                // that clock minus the auditor's
 	ErrorNS          int64  `parquet:"error_ns"`
 	Cause            string `parquet:"cause,dict"`
 	By               string `parquet:"by,dict"`
@@ -36,10 +36,10 @@
 	BegunMax         int64  `parquet:"begun_most"`
 	Unsent           int64  `parquet:"unsent"`
 	Answered         int64  `parquet:"answered"`
-	InFlightAtChange int64  `parquet:"out_at_change"` // calls out at this target when the change came
+	InFlightAtChange int64  `parquet:"out_at_change"` // calls to this endpoint in flight at the change
 }
 
-// Rows are all of what was gathered, in order.
+// Rows returns the table rows of all members' ledgers, in order.
 func Rows(all []MemberData) (rows []Row) {
 	for _, g := range all {
 		if g.Ledger == nil {
@@ -56,26 +56,26 @@
 			if !v.Started.IsZero() {
 				base.Started = v.Started.UnixNano()
 			}
-			out := map[string]int{}
+			inFlight := map[string]int{}
 			for _, o := range e.InFlight {
-				out[o.Target] = o.Calls
+				inFlight[o.Target] = o.Calls
 			}
 			for _, c := range e.Calls {
 				row := base
 				row.Target, row.First, row.Last = c.Target, c.First.UnixNano(), c.Last.UnixNano()
 				row.Begun, row.BegunMax, row.Unsent, row.Answered = int64(c.Begun.Min), int64(c.Begun.Max), int64(c.Unsent.Min), int64(c.Answered.Min)
-				row.InFlightAtChange = int64(out[c.Target])
-				delete(out, c.Target)
+				row.InFlightAtChange = int64(inFlight[c.Target])
+				delete(inFlight, c.Target)
 				rows = append(rows, row)
 			}
-			for _, o := range e.InFlight { // that were not called again
-				if n, left := out[o.Target]; left {
+			for _, o := range e.InFlight { // endpoints without calls under this change
+				if n, ok := inFlight[o.Target]; ok {
 					row := base
 					row.Target, row.InFlightAtChange = o.Target, int64(n)
 					rows = append(rows, row)
 				}
 			}
-			if len(e.Calls)+len(out) == 0 {
+			if len(e.Calls)+len(inFlight) == 0 {
 				rows = append(rows, base)
 			}
 		}
@@ -83,26 +83,27 @@
 	return rows
 }
 
-// WriteParquet writes them as a table.
+// WriteParquet writes the rows as a Parquet table.
 func WriteParquet(w io.Writer, rows []Row) error {
 	t := parquet.NewGenericWriter[Row](w)
 	if _, err := t.Write(rows); err != nil {
-		return fmt.Errorf("writing the table: %w", err)
+		return fmt.Errorf("writing the Parquet table: %w", err)
 	}
 	return t.Close()
 }
 
-const mostLines = 12 // of a chart
+const maxChartLines = 12 // number of lists in a chart
 
-// WriteRolloutChart draws which share of the members acted on each list, by the time since the first did: the newest ones, as PNG.
+// WriteRolloutChart writes a PNG chart of the newest lists. It shows for each list the share of the members that acted on it, by the time since the
+// first member did.
 func WriteRolloutChart(w io.Writer, r *Report, members int) error {
 	p := plot.New()
-	p.Title.Text = "Roll-out: members that act on a list"
-	p.X.Label.Text = "seconds since the first"
+	p.Title.Text = "Rollout: members acting on a list"
+	p.X.Label.Text = "seconds since the first member"
 	p.Y.Label.Text = "share of the members"
 	p.Y.Min, p.Y.Max = 0, 1
 	lists := slices.Clone(r.Lists)
-	lists = lists[max(0, len(lists)-mostLines):]
+	lists = lists[max(0, len(lists)-maxChartLines):]
 	for i, o := range lists {
 		var points plotter.XYs
 		for n, s := range o.Steps {
@@ -112,7 +113,7 @@
 		if err != nil {
 			return fmt.Errorf("drawing list %d: %w", o.Index, err)
 		}
-		line.Color = colors[i%len(colors)]
+		line.Color = lineColors[i%len(lineColors)]
 		p.Add(line)
 		p.Legend.Add(fmt.Sprint("list ", o.Index), line)
 	}
--- a/internal/audit/load.go
+++ b/internal/audit/load.go
@@ -15,17 +15,17 @@
 	"scaleroute/internal/load"
 )
 
-// LoadRow is one second of one target in the table that WriteLoad writes.
+// LoadRow is a row of the table that WriteLoad writes: one second of one endpoint.
 type LoadRow struct {
 	Destination int64   `parquet:"destination"`
 	Target      string  `parquet:"target,dict"`
-	Share       float64 `parquet:"share"`  // of the calls of its destination; 0: it does not serve
+	Share       float64 `parquet:"share"`  // of the calls of its destination; 0 if the endpoint is not in service
 	Second      int64   `parquet:"second"` // Unix time in s
 	Calls       int64   `parquet:"calls"`
-	Members     int64   `parquet:"members"` // that have told, of the whole report
+	Members     int64   `parquet:"members"` // number of members that reported, the same in all rows
 }
 
-// WriteLoad writes what a report says of each second, as a Parquet table.
+// WriteLoad writes the calls of each second of a report as a Parquet table.
 func WriteLoad(w io.Writer, r *load.Report) error {
 	var rows []LoadRow
 	for _, d := range r.Destinations {
@@ -37,22 +37,22 @@
 	}
 	t := parquet.NewGenericWriter[LoadRow](w)
 	if _, err := t.Write(rows); err != nil {
-		return fmt.Errorf("writing the table: %w", err)
+		return fmt.Errorf("writing the Parquet table: %w", err)
 	}
 	return t.Close()
 }
 
-// mostRows bounds a table that is read: targets times seconds.
-const mostRows = 4 << 20
+// maxTableRows bounds the size of a table that is read: endpoints times seconds.
+const maxTableRows = 4 << 20
 
-// ReadLoad makes a report of such a table. What members hold and are connected to is not in it.
+// ReadLoad makes a report from a table that WriteLoad wrote. The report lacks the members' in-flight calls and connections, which the table does not have.
 func ReadLoad(file string) (r *load.Report, err error) {
-	bad := func(why string, args ...any) error {
-		return fmt.Errorf("%s: %s: name a table that scaleroutectl fleet load --parquet has written", file, fmt.Sprintf(why, args...))
+	invalid := func(problem string, args ...any) error {
+		return fmt.Errorf("%s: %s: specify a table written by scaleroutectl fleet load --parquet", file, fmt.Sprintf(problem, args...))
 	}
-	defer func() { // the library panics on some spoilt files
+	defer func() { // the Parquet library panics on some corrupt files
 		if p := recover(); p != nil {
-			r, err = nil, bad("it can't be read: %v", p)
+			r, err = nil, invalid("it can't be read: %v", p)
 		}
 	}()
 	f, err := os.Open(file)
@@ -66,29 +66,29 @@
 	}
 	opened, err := parquet.OpenFile(f, info.Size())
 	if err != nil {
-		return nil, bad("it is no table: %v", err)
+		return nil, invalid("it is not a Parquet table: %v", err)
 	}
 	rows := parquet.NewGenericReader[LoadRow](opened)
 	defer rows.Close()
-	if n := rows.NumRows(); n < 1 || n > mostRows {
-		return nil, bad("it has %d rows", n)
+	if n := rows.NumRows(); n < 1 || n > maxTableRows {
+		return nil, invalid("it has %d rows", n)
 	}
 	all := make([]LoadRow, rows.NumRows())
 	if n, err := rows.Read(all); n != len(all) || err != nil && !errors.Is(err, io.EOF) {
-		return nil, bad("row %d can't be read: %v", n, err)
+		return nil, invalid("row %d can't be read: %v", n, err)
 	}
 	first, last := all[0].Second, all[0].Second
 	for _, row := range all {
 		first, last = min(first, row.Second), max(last, row.Second)
 	}
 	if last-first >= load.Kept {
-		return nil, bad("it has %d seconds, and %d are kept at most", last-first+1, load.Kept)
+		return nil, invalid("it covers %d seconds, but at most %d are kept", last-first+1, load.Kept)
 	}
 	s := &load.Snapshot{Name: file, Began: first, Until: last}
 	at := map[string]int{}
 	for i, row := range all {
 		if row.Calls < 0 || row.Share < 0 || row.Share > 1 {
-			return nil, bad("row %d: %d calls, a share of %g", i, row.Calls, row.Share)
+			return nil, invalid("row %d is invalid: %d calls, a share of %g", i, row.Calls, row.Share)
 		}
 		key := fmt.Sprint(row.Destination, " ", row.Target)
 		j, known := at[key]
@@ -101,7 +101,7 @@
 	}
 	r = load.Merge([]load.Member{{Source: file, Snapshot: s}}, int(last-first+1))
 	r.Members = int(all[0].Members)
-	for i := range r.Destinations { // grounds and reasons are with the members
+	for i := range r.Destinations { // only the members know the reasons
 		d := &r.Destinations[i]
 		for j := range d.Herds {
 			d.Herds[j].Ground, d.Herds[j].Detail = load.Unknown, "a table has no grounds"
@@ -113,16 +113,17 @@
 	return r, nil
 }
 
-// WriteLoadChart draws for each target its part of the calls of ten seconds, in times its share, as PNG: of the destination with most calls, whose most and least loaded targets have names.
+// WriteLoadChart writes a PNG chart of the destination with the most calls. It shows for each endpoint its fraction of the calls within ten seconds,
+// relative to its share. The legend names the three most and the three least loaded endpoints.
 func WriteLoadChart(w io.Writer, r *load.Report) error {
 	if len(r.Destinations) == 0 {
-		return errors.New("no member has a target: there is nothing to draw")
+		return errors.New("no member reports an endpoint: there is nothing to draw")
 	}
 	d := slices.MaxFunc(r.Destinations, func(a, b load.Destination) int { return a.Calls - b.Calls })
 	const span = 10
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("Destination %d: calls of %d s, in times the share", d.Destination, span)
-	p.X.Label.Text, p.Y.Label.Text = "seconds before the last", "times its share"
+	p.Title.Text = fmt.Sprintf("Destination %d: calls in %d s relative to the share", d.Destination, span)
+	p.X.Label.Text, p.Y.Label.Text = "seconds before the last second", "calls relative to the share"
 	p.Y.Min = 0
 	var serving []load.Load
 	for _, t := range d.Targets {
@@ -133,18 +134,18 @@
 	slices.SortFunc(serving, func(a, b load.Load) int { return b.Calls - a.Calls })
 	for i, t := range serving {
 		var points plotter.XYs
-		for at := 0; at+span <= len(t.Seconds); at++ {
-			all, own := 0, 0
+		for start := 0; start+span <= len(t.Seconds); start++ {
+			total, own := 0, 0
 			for _, o := range serving {
-				for _, n := range o.Seconds[at : at+span] {
-					all += n
+				for _, n := range o.Seconds[start : start+span] {
+					total += n
 				}
 			}
-			for _, n := range t.Seconds[at : at+span] {
+			for _, n := range t.Seconds[start : start+span] {
 				own += n
 			}
-			if all > 0 {
-				points = append(points, plotter.XY{X: float64(at + span - len(t.Seconds)), Y: float64(own) / (float64(all) * t.Share)})
+			if total > 0 {
+				points = append(points, plotter.XY{X: float64(start + span - len(t.Seconds)), Y: float64(own) / (float64(total) * t.Share)})
 			}
 		}
 		if len(points) == 0 {
@@ -154,7 +155,7 @@
 		if err != nil {
 			return fmt.Errorf("drawing %s: %w", t.Name, err)
 		}
-		line.Color = colors[i%len(colors)]
+		line.Color = lineColors[i%len(lineColors)]
 		p.Add(line)
 		if i < 3 || i >= len(serving)-3 {
 			p.Legend.Add(t.Name, line)
