--- a/internal/steplog/count.go
+++ b/internal/steplog/count.go
@@ -12,26 +12,26 @@
 	"strings"
 )
 
-// Key is what is counted apart: one second of one destination.
+// Key identifies a group of counts: one second of one destination.
 type Key struct{ Second, Destination int }
 
-// Counts are counts by what happened: take, send, again (a further try), done, full, told (a wait), connect and the other
-// results, refuse, fail, close.
+// Counts holds the number of lines of each kind: take (a message was accepted), send (its first attempt), again (a retry),
+// done, full, connect and the other results of attempts, told (a full with a retry-after time), refuse, fail, close.
 type Counts map[string]int
 
-// Columns are the counts that are shown, in order.
+// Columns lists the counts that WriteTable shows, in this order.
 var Columns = []string{"take", "send", "again", "done", "full", "told", "connect", "reset", "timedout", "errored", "notsent", "refuse", "fail", "close"}
 
-var pair = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
+var keyValue = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
 
-// CountFolder counts over all logs (*.log) of a folder.
+// CountFolder counts the lines of all logs (*.log) of a folder.
 func CountFolder(dir string) (map[Key]Counts, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, err
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s: no *.log there: replay a day with --logs and a run line with -log-steps", dir)
+		return nil, fmt.Errorf("%s: no *.log files: replay a day with --logs and run the forwarders with -log-steps", dir)
 	}
 	all := map[Key]Counts{}
 	for _, name := range files {
@@ -39,7 +39,7 @@
 		if err != nil {
 			return nil, err
 		}
-		err = count(f, all)
+		err = countLines(f, all)
 		f.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
@@ -48,32 +48,32 @@
 	return all, nil
 }
 
-// count adds the lines of one log. A line that is none of ours, or that was cut off, is passed over.
-func count(from io.Reader, all map[Key]Counts) error {
+// countLines adds the lines of one log to counts. It skips lines that are not of a step log, and truncated lines.
+func countLines(from io.Reader, counts map[Key]Counts) error {
 	second := 0
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		before, text, ours := strings.Cut(lines.Text(), Mark+" ")
-		if at, err := strconv.ParseFloat(strings.TrimSpace(strings.SplitN(before, " ", 2)[0]), 64); err == nil && at >= 0 {
+		prefix, text, found := strings.Cut(lines.Text(), Mark+" ")
+		if at, err := strconv.ParseFloat(strings.TrimSpace(strings.SplitN(prefix, " ", 2)[0]), 64); err == nil && at >= 0 {
 			second = int(at)
 		}
-		if !ours {
+		if !found {
 			continue
 		}
 		word, rest, _ := strings.Cut(text, " ")
 		values := map[string]string{}
-		for _, p := range pair.FindAllStringSubmatch(rest, -1) {
+		for _, p := range keyValue.FindAllStringSubmatch(rest, -1) {
 			values[p[1]] = p[2]
 		}
 		dest, err := strconv.Atoi(values["dest"])
 		if err != nil {
 			continue
 		}
-		c := all[Key{second, dest}]
+		c := counts[Key{second, dest}]
 		if c == nil {
 			c = Counts{}
-			all[Key{second, dest}] = c
+			counts[Key{second, dest}] = c
 		}
 		switch word {
 		case "send":
@@ -91,7 +91,8 @@
 	return lines.Err()
 }
 
-// WriteTable writes the counts by destination, or by second; of one destination only, if it is not negative.
+// WriteTable writes a table of the counts with a row for each destination, or for each second if bySecond is set. If only
+// is not negative, it counts just this destination.
 func WriteTable(to io.Writer, all map[Key]Counts, bySecond bool, only int) {
 	rows := map[int]Counts{}
 	for k, c := range all {
--- a/internal/steplog/restarts.go
+++ b/internal/steplog/restarts.go
@@ -12,95 +12,96 @@
 	"strings"
 )
 
-// RestartCounts is what became of the messages that restarts took up from their journals, over the logs of a fleet.
+// RestartCounts counts the messages that forwarders recovered from their journals at a start, over the logs of a fleet,
+// and the outcomes of those without an attempt before the start.
 type RestartCounts struct {
-	Starts      int // starts that took something up
-	Found       int // messages taken up
-	Unattempted int // those of them with no call before
-	Sent        int // those of these that were sent
-	Refused     int // or were refused with no call,
-	Failed      int // or failed so,
-	Withdrawn   int // or were not wanted any more,
-	Pending     int // or had none when the process ended: the next start finds them again
-	Expired     int // of those refused or failed: their time was up
+	Starts      int // starts that recovered at least one message
+	Found       int // recovered messages
+	Unattempted int // recovered messages without an earlier attempt; the counts below are of these
+	Sent        int // sent
+	Refused     int // refused without an attempt
+	Failed      int // failed without an attempt
+	Withdrawn   int // withdrawn by the client before an attempt
+	Pending     int // none of these when the process ended; the next start recovers them again
+	Expired     int // those refused or failed whose deadline had passed
 }
 
-// found is a message that a start took up untried, until it is sent or ends.
-type found struct {
-	at, left float64 // seconds
+// recoveredMessage is a recovered message without an attempt that has not been sent, refused, failed or withdrawn yet.
+type recoveredMessage struct {
+	recoveredAt, timeLeft float64 // seconds
 }
 
-// CountRestarts counts over all logs (*.log) of a folder and of those in it.
+// CountRestarts counts the logs (*.log) of a folder and its subfolders, by the name of the folder that a log is in.
 func CountRestarts(dir string) (map[string]*RestartCounts, error) {
 	all := map[string]*RestartCounts{}
 	err := filepath.WalkDir(dir, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(path) != ".log" {
 			return err
 		}
-		day := filepath.Base(filepath.Dir(path))
-		if all[day] == nil {
-			all[day] = &RestartCounts{}
+		folder := filepath.Base(filepath.Dir(path))
+		if all[folder] == nil {
+			all[folder] = &RestartCounts{}
 		}
 		f, err := os.Open(path)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		if err := all[day].count(f); err != nil {
+		if err := all[folder].countLines(f); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
 		return nil
 	})
 	if err == nil && len(all) == 0 {
-		err = fmt.Errorf("%s: no *.log there: replay a day with --logs and a run line with -log-steps", dir)
+		err = fmt.Errorf("%s: no *.log files: replay a day with --logs and run the forwarders with -log-steps", dir)
 	}
 	return all, err
 }
 
-// count adds the lines of one log, of one forwarder's processes one after the other.
-func (r *RestartCounts) count(from io.Reader) error {
-	waiting := map[string]found{}
-	now, took := 0.0, false
+// countLines adds the lines of one log, which holds the successive processes of one forwarder.
+func (r *RestartCounts) countLines(from io.Reader) error {
+	pending := map[string]recoveredMessage{}
+	now, anyRecovered := 0.0, false
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		before, text, ours := strings.Cut(lines.Text(), Mark+" ")
-		if at, err := strconv.ParseFloat(strings.TrimSpace(strings.SplitN(before, " ", 2)[0]), 64); err == nil {
+		prefix, text, found := strings.Cut(lines.Text(), Mark+" ")
+		if at, err := strconv.ParseFloat(strings.TrimSpace(strings.SplitN(prefix, " ", 2)[0]), 64); err == nil {
 			now = at
 		}
-		if !ours {
+		if !found {
 			continue
 		}
 		word, rest, _ := strings.Cut(text, " ")
 		values := map[string]string{}
-		for _, p := range pair.FindAllStringSubmatch(rest, -1) {
+		for _, p := range keyValue.FindAllStringSubmatch(rest, -1) {
 			values[p[1]] = strings.Trim(p[2], `"`)
 		}
 		id := values["id"]
-		m, is := waiting[id]
+		m, isPending := pending[id]
 		switch word {
 		case "start":
-			r.Pending += len(waiting)
-			clear(waiting)
-			took = false
+			r.Pending += len(pending)
+			clear(pending)
+			anyRecovered = false
 		case "take":
 			if values["recovered"] != "true" {
 				continue
 			}
-			if !took {
-				took = true
+			if !anyRecovered {
+				anyRecovered = true
 				r.Starts++
 			}
 			if r.Found++; values["attempts"] == "0" {
 				r.Unattempted++
-				left, _ := strconv.ParseFloat(values["left"], 64)
-				waiting[id] = found{now, left / 1000}
+				timeLeft, _ := strconv.ParseFloat(values["left"], 64)
+				pending[id] = recoveredMessage{now, timeLeft / 1000}
 			}
 		case "send", "refuse", "fail", "withdrawn":
-			if !is {
+			if !isPending {
 				continue
 			}
-			delete(waiting, id)
+			delete(pending, id)
 			switch word {
 			case "send":
 				r.Sent++
@@ -113,20 +114,20 @@
 				r.Withdrawn++
 				continue
 			}
-			if now-m.at >= m.left-0.1 {
+			if now-m.recoveredAt >= m.timeLeft-0.1 {
 				r.Expired++
 			}
 		}
 	}
-	r.Pending += len(waiting)
+	r.Pending += len(pending)
 	return lines.Err()
 }
 
-// WriteRestartTable writes the counts, a row for each folder of logs.
+// WriteRestartTable writes the counts as a table with a row for each folder of logs.
 func WriteRestartTable(to io.Writer, all map[string]*RestartCounts) {
 	fmt.Fprintf(to, "%-28s %6s %7s %8s %6s %8s %7s %6s %10s %5s\n", "logs", "starts", "found", "untried", "tried", "refused", "failed", "late", "withdrawn", "left")
-	for _, day := range slices.Sorted(maps.Keys(all)) {
-		r := all[day]
-		fmt.Fprintf(to, "%-28s %6d %7d %8d %6d %8d %7d %6d %10d %5d\n", day, r.Starts, r.Found, r.Unattempted, r.Sent, r.Refused, r.Failed, r.Expired, r.Withdrawn, r.Pending)
+	for _, folder := range slices.Sorted(maps.Keys(all)) {
+		r := all[folder]
+		fmt.Fprintf(to, "%-28s %6d %7d %8d %6d %8d %7d %6d %10d %5d\n", folder, r.Starts, r.Found, r.Unattempted, r.Sent, r.Refused, r.Failed, r.Expired, r.Withdrawn, r.Pending)
 	}
 }
--- a/internal/steplog/restarts_test.go
+++ b/internal/steplog/restarts_test.go
@@ -10,10 +10,11 @@
 	"scaleroute/internal/decide"
 )
 
-// TestRestartsAreCounted: of what a start took up untried, each is counted once: sent, given up, not wanted, or left to the next start.
-func TestRestartsAreCounted(t *testing.T) {
+// TestCountRestarts checks that each message that was recovered without an earlier attempt is counted once: as sent,
+// refused, failed, withdrawn or left to the next start.
+func TestCountRestarts(t *testing.T) {
 	var log strings.Builder
-	taken := func(id string, attempts int, left time.Duration) decide.Event {
+	recovered := func(id string, attempts int, left time.Duration) decide.Event {
 		return decide.Message{ID: id, TimeLeft: left, Recovered: true, Attempts: attempts}
 	}
 	w := NewWriter(&log)
@@ -21,17 +22,17 @@
 	w.Step(0, []decide.Event{decide.Message{ID: "of a client"}}, []decide.Action{decide.Send{Message: "of a client"}})
 	w = NewWriter(&log) // the next process
 	log.WriteString("2.000 ")
-	w.Step(0, []decide.Event{taken("sent", 0, time.Minute), taken("soon", 0, time.Minute), taken("late", 0, time.Second), taken("failed", 0, time.Minute),
-		taken("unwanted", 0, time.Minute), taken("waits", 0, time.Minute), taken("tried", 2, time.Minute)}, []decide.Action{decide.Send{Message: "sent"}})
+	w.Step(0, []decide.Event{recovered("sent", 0, time.Minute), recovered("soon", 0, time.Minute), recovered("late", 0, time.Second), recovered("failed", 0, time.Minute),
+		recovered("withdrawn", 0, time.Minute), recovered("waits", 0, time.Minute), recovered("tried", 2, time.Minute)}, []decide.Action{decide.Send{Message: "sent"}})
 	log.WriteString("3.000 ")
-	w.Step(time.Second, []decide.Event{decide.Withdrawn{Message: "unwanted"}}, []decide.Action{decide.Refuse{Message: "soon"}, decide.Refuse{Message: "late"},
+	w.Step(time.Second, []decide.Event{decide.Withdrawn{Message: "withdrawn"}}, []decide.Action{decide.Refuse{Message: "soon"}, decide.Refuse{Message: "late"},
 		decide.Fail{Message: "failed"}, decide.Send{Message: "tried"}, decide.Refuse{Message: "sent"}})
 	w = NewWriter(&log)
 	log.WriteString("4.000 ")
-	w.Step(0, []decide.Event{taken("waits", 0, time.Minute)}, nil)
+	w.Step(0, []decide.Event{recovered("waits", 0, time.Minute)}, nil)
 	dir := filepath.Join(t.TempDir(), "day")
 	if _, err := CountRestarts(filepath.Dir(dir)); err == nil || !strings.Contains(err.Error(), "-log-steps") {
-		t.Errorf("no logs: %v", err)
+		t.Errorf("error without logs: %v", err)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -49,6 +50,6 @@
 	}
 	var table strings.Builder
 	if WriteRestartTable(&table, all); !strings.Contains(table.String(), "untried") || strings.Count(table.String(), "\n") != 2 {
-		t.Errorf("%s", table.String())
+		t.Errorf("table:\n%s", table.String())
 	}
 }
--- a/internal/steplog/steplog.go
+++ b/internal/steplog/steplog.go
@@ -1,8 +1,8 @@
-// Package steplog writes what passes between an engine and its decision module as lines of text, and counts over the
-// logs of a whole fleet: what is harmless in one forwarder shows only there.
+// Package steplog writes the events and actions that an engine and its decision module exchange as lines of text (the
+// step log), and counts them over the logs of a whole fleet, where effects show that are harmless in a single forwarder.
 //
-// A line is [Mark], a word and key=value pairs. Whatever stands before the mark in a log (the time, most likely, as
-// seconds) is its time where it is a number.
+// A line is [Mark], a word and key=value pairs. If the text before the mark begins with a number, as in a log with
+// timestamps in seconds, that number is the line's time.
 package steplog
 
 import (
@@ -14,87 +14,90 @@
 	"scaleroute/internal/decide"
 )
 
-// Mark stands before each line's own text.
+// Mark precedes the text of each line.
 const Mark = "step:"
 
-// Writer writes the lines. It may be used by one goroutine at a time.
+// Writer writes a step log. It must not be used by several goroutines at a time.
 type Writer struct {
-	out   *bufio.Writer
-	dests map[string]int // of each target that a list has named
-	msgs  map[string]*told
-	begun bool
+	out          *bufio.Writer
+	destinations map[string]int // by endpoint, for all endpoints of the lists so far
+	messages     map[string]*messageState
+	started      bool // the start line has been written
 }
 
-// told is what is known of a message that is held.
-type told struct{ dest, tries int }
+// messageState is what the Writer knows about a queued message.
+type messageState struct{ destination, attempts int }
 
-// NewWriter makes a Writer. What can't be written is lost: a log must not stop what it is of.
+// NewWriter returns a Writer. Lines that can't be written are lost, since a failing log must not stop the forwarder.
 func NewWriter(to io.Writer) *Writer {
-	return &Writer{out: bufio.NewWriter(to), dests: map[string]int{}, msgs: map[string]*told{}}
+	return &Writer{out: bufio.NewWriter(to), destinations: map[string]int{}, messages: map[string]*messageState{}}
 }
 
-// Step writes what was told to a module and what it decided.
+// Step writes the events that the decision module received in one step and the actions that it returned.
 func (w *Writer) Step(now time.Duration, events []decide.Event, actions []decide.Action) {
-	if !w.begun {
-		w.begun = true
-		w.line("start", "at=%d", now.Milliseconds())
+	if !w.started {
+		w.started = true
+		w.writeLine("start", "at=%d", now.Milliseconds())
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case decide.TargetList:
 			for _, t := range e.Targets {
-				w.dests[t.ID] = t.Destination
+				w.destinations[t.ID] = t.Destination
 			}
-			w.line("list", "scope=%d n=%d", e.Scope, len(e.Targets))
+			w.writeLine("list", "scope=%d n=%d", e.Scope, len(e.Targets))
 		case decide.Message:
-			w.msgs[e.ID] = &told{e.Destination, e.Attempts}
-			w.line("take", "dest=%d class=%q id=%q left=%d recovered=%t attempts=%d open=%t ran=%t", e.Destination, e.Class, e.ID, e.TimeLeft.Milliseconds(), e.Recovered,
+			w.messages[e.ID] = &messageState{e.Destination, e.Attempts}
+			w.writeLine("take", "dest=%d class=%q id=%q left=%d recovered=%t attempts=%d open=%t ran=%t", e.Destination, e.Class, e.ID, e.TimeLeft.Milliseconds(), e.Recovered,
 				e.Attempts, e.HasOpenAttempt, e.MayHaveRun)
 		case decide.Outcome:
-			w.line("outcome", "dest=%d target=%q id=%q result=%s took=%d wait=%d left=%.2f rate=%.2f", w.dests[e.Target], e.Target, e.Message,
+			w.writeLine("outcome", "dest=%d target=%q id=%q result=%s took=%d wait=%d left=%.2f rate=%.2f", w.destinations[e.Target], e.Target, e.Message,
 				resultName(e.Result), e.Latency.Milliseconds(), e.RetryAfter.Milliseconds(), e.Allowance.Remaining, e.Allowance.Rate)
 			if e.NoAnswerNeeded {
-				delete(w.msgs, e.Message)
+				delete(w.messages, e.Message)
 			}
 		case decide.Withdrawn:
-			w.line("withdrawn", "id=%q", e.Message)
-			delete(w.msgs, e.Message)
+			w.writeLine("withdrawn", "id=%q", e.Message)
+			delete(w.messages, e.Message)
 		}
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case decide.Send:
-			try := 0
-			if m := w.msgs[a.Message]; m != nil {
-				try = m.tries
-				m.tries++
+			attempt := 0
+			if m := w.messages[a.Message]; m != nil {
+				attempt = m.attempts
+				m.attempts++
 			}
-			w.line("send", "dest=%d target=%q id=%q try=%d timeout=%d", w.dests[a.Target], a.Target, a.Message, try, a.Timeout.Milliseconds())
+			w.writeLine("send", "dest=%d target=%q id=%q try=%d timeout=%d", w.destinations[a.Target], a.Target, a.Message, attempt, a.Timeout.Milliseconds())
 		case decide.Refuse:
-			w.end("refuse", a.Message, a.RetryAfter)
+			w.writeCompletion("refuse", a.Message, a.RetryAfter)
 		case decide.Fail:
-			w.end("fail", a.Message, 0)
+			w.writeCompletion("fail", a.Message, 0)
 		case decide.CloseIdle:
-			w.line("close", "dest=%d target=%q", w.dests[a.Target], a.Target)
+			w.writeLine("close", "dest=%d target=%q", w.destinations[a.Target], a.Target)
 		}
 	}
 	w.out.Flush()
 }
 
-func (w *Writer) end(how, id string, wait time.Duration) {
-	dest := -1
-	if m := w.msgs[id]; m != nil {
-		dest = m.dest
-		delete(w.msgs, id)
+// writeCompletion writes the line of a message that was refused or has failed, and forgets the message.
+func (w *Writer) writeCompletion(word, id string, wait time.Duration) {
+	destination := -1
+	if m := w.messages[id]; m != nil {
+		destination = m.destination
+		delete(w.messages, id)
 	}
-	w.line(how, "dest=%d id=%q wait=%d", dest, id, wait.Milliseconds())
+	w.writeLine(word, "dest=%d id=%q wait=%d", destination, id, wait.Milliseconds())
 }
 
-func (w *Writer) line(word, format string, args ...any) {
+// writeLine writes the mark, a word and the formatted key=value pairs.
+func (w *Writer) writeLine(word, format string, args ...any) {
 	fmt.Fprintf(w.out, "%s %s ", Mark, word)
 	fmt.Fprintf(w.out, format+"\n", args...)
 }
 
+// resultNames are the words for results. They are part of the format.
 var resultNames = [...]string{decide.Succeeded: "done", decide.Errored: "errored", decide.Overloaded: "full", decide.TimedOut: "timedout",
 	decide.ConnectFailed: "connect", decide.Reset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "notsent", decide.Rejected: "rejected"}
 
--- a/internal/steplog/steplog_test.go
+++ b/internal/steplog/steplog_test.go
@@ -10,9 +10,9 @@
 	"scaleroute/internal/decide"
 )
 
-// TestWrittenIsCounted: what a Writer writes, with a log's times before it and lines of others between, is counted by second
-// and destination; a line that was cut off is passed over.
-func TestWrittenIsCounted(t *testing.T) {
+// TestCountFolder checks that the lines of a Writer are counted by second and destination in a log that has timestamps
+// before them, unrelated lines between them and a truncated line at the end.
+func TestCountFolder(t *testing.T) {
 	var log strings.Builder
 	w := NewWriter(&log)
 	w.Step(0, []decide.Event{decide.TargetList{Targets: []decide.Target{{ID: "a", Destination: 4}}}}, nil)
@@ -26,7 +26,7 @@
 	log.WriteString("step: outcome dest=")
 	dir := t.TempDir()
 	if _, err := CountFolder(dir); err == nil || !strings.Contains(err.Error(), "-log-steps") {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("error for an empty folder: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "n0.log"), []byte(log.String()), 0o600); err != nil {
 		t.Fatal(err)
