--- a/internal/partial/answers.go
+++ b/internal/partial/answers.go
@@ -8,96 +8,97 @@
 	"scaleroute/internal/agent"
 )
 
-// NextWatch is what to ask for next. A destination that was looked up is asked for from the index of its look-up on, so that no change of it is missed.
+// NextWatch returns the next watch. It starts at the index of the oldest lookup among the destinations that no watch has covered yet, so that no change of
+// them is missed.
 func (s *State) NextWatch() Watch {
 	s.sequence++
-	w := Watch{From: s.watched, MinIndex: max(s.watched, s.scoped), sequence: s.sequence}
+	w := Watch{From: s.watchIndex, MinIndex: max(s.watchIndex, s.scopeIndex), sequence: s.sequence}
 	if w.From == NoIndex {
-		w.MinIndex = s.newest
+		w.MinIndex = s.newestIndex
 	}
-	w.Destinations = s.beside()
+	w.Destinations = s.watchedOutside()
 	for _, number := range w.Destinations {
 		d := s.destinations[number]
-		if !d.watched && w.From != NoIndex {
+		if !d.answered && w.From != NoIndex {
 			w.From = min(w.From, d.index)
 		}
-		d.requested = s.sequence
+		d.requestedBy = s.sequence
 	}
 	return w
 }
 
-// beside are the destinations outside the part that are watched, sorted. Of more than may be asked for those are that have waited longest for an answer; the others are from
-// their own indexes on when it is their turn.
-func (s *State) beside() []int {
-	var list []int
+// watchedOutside returns the destinations outside the owned part that the next watch requests, sorted. Where there are more than the limit it picks those with
+// the oldest indexes; each of the others is requested later, from its own index on.
+func (s *State) watchedOutside() []int {
+	var numbers []int
 	for number, d := range s.destinations {
 		if d.class == fetched || d.class == retained && s.references[number] > 0 {
-			list = append(list, number)
+			numbers = append(numbers, number)
 		}
 	}
-	if most := s.limits.MaxExtraWatched; len(list) > most {
-		slices.SortFunc(list, func(a, b int) int {
+	if limit := s.limits.MaxExtraWatched; len(numbers) > limit {
+		slices.SortFunc(numbers, func(a, b int) int {
 			return cmp.Or(cmp.Compare(s.destinations[a].index, s.destinations[b].index), cmp.Compare(a, b))
 		})
-		for _, number := range list[most:] {
-			s.destinations[number].watched = false
+		for _, number := range numbers[limit:] {
+			s.destinations[number].answered = false
 		}
-		list = list[:most]
+		numbers = numbers[:limit]
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(numbers)
+	return numbers
 }
 
-// ApplyWatch takes the answer to a watch.
+// ApplyWatch applies the answer to a watch. It returns ErrStaleAnswer, and changes nothing, if the answer is older than the watch allows.
 func (s *State) ApplyWatch(w Watch, a Answer) (Update, error) {
 	if w.IsIndexReset(a) {
-		s.restart(a.Index)
+		s.resetIndexes(a.Index)
 	} else if a.Index < w.MinIndex {
 		return Update{}, ErrStaleAnswer
 	}
 	asked := func(number int) bool {
 		d := s.destinations[number]
-		return s.owns(number) || d != nil && d.requested == w.sequence
+		return s.owns(number) || d != nil && d.requestedBy == w.sequence
 	}
 	u := Update{Index: a.Index}
 	s.apply(&u, a, asked)
-	s.watched, s.complete = a.Index, s.complete || a.Snapshot
-	s.newest = max(s.newest, a.Index)
-	if a.Index >= s.ceiling {
-		s.ceiling = 0
+	s.watchIndex, s.complete = a.Index, s.complete || a.Snapshot
+	s.newestIndex = max(s.newestIndex, a.Index)
+	if a.Index >= s.maxLookupIndex {
+		s.maxLookupIndex = 0
 	}
 	for number, d := range s.destinations {
 		if d.class != owned && asked(number) {
-			d.index, d.watched = max(d.index, a.Index), true
+			d.index, d.answered = max(d.index, a.Index), true
 		}
 	}
 	s.evictUnused(&u)
 	return u, nil
 }
 
-// IsIndexReset tells whether an answer says that discovery counts anew: a server that had an index itself answers to it with a snapshot of a lower one. A server that is
-// merely behind answers nothing.
+// IsIndexReset reports whether an answer shows that discovery has restarted its indexes at a lower value: a server that once had the requested index itself
+// answers with a snapshot that has a lower one. A server that is only out of date sends no list.
 func (w Watch) IsIndexReset(a Answer) bool {
 	return w.From != NoIndex && a.Snapshot && a.Index < w.From
 }
 
-// restart has indexes compare with those of a list that is counted anew.
-func (s *State) restart(index int64) {
-	s.ceiling = index + (s.newest-index)/2
-	s.watched, s.newest, s.scoped = index, index, NoIndex
+// resetIndexes lowers all stored indexes to that of a list whose indexes were restarted, so that they can be compared with its later ones.
+func (s *State) resetIndexes(index int64) {
+	s.maxLookupIndex = index + (s.newestIndex-index)/2
+	s.watchIndex, s.newestIndex, s.scopeIndex = index, index, NoIndex
 	for _, d := range s.destinations {
 		d.index = min(d.index, index)
 	}
 }
 
-// ApplyScope goes on with another part of the list. gained is the answer to a request for the partitions that came new, by isGained; nil where there are none, and where the next watch asks for everything.
-// Destinations of lost partitions leave, unless messages refer to them.
+// ApplyScope changes the owned part. gained is the answer to a request for the partitions that were gained, whose destinations isGained selects; it is nil where no
+// partition was gained and where the next watch requests a snapshot. Destinations of lost partitions are evicted, unless messages refer to them.
 func (s *State) ApplyScope(owns, isGained DestinationFilter, gained *Answer) (Update, error) {
-	if gained != nil && gained.Index < s.newest {
+	if gained != nil && gained.Index < s.newestIndex {
 		return Update{}, ErrStaleAnswer
 	}
 	s.owns = owns
-	u := Update{Index: s.newest}
+	u := Update{Index: s.newestIndex}
 	for number, d := range s.destinations {
 		s.reclassify(&u, number, d)
 	}
@@ -108,66 +109,66 @@
 				d.index = max(d.index, gained.Index)
 			}
 		}
-		s.newest, s.scoped, u.Index = gained.Index, gained.Index, gained.Index
+		s.newestIndex, s.scopeIndex, u.Index = gained.Index, gained.Index, gained.Index
 	}
 	return u, nil
 }
 
-// Reset has the next watch ask for everything. Until it is answered the part counts as not received.
-func (s *State) Reset() { s.watched, s.complete = NoIndex, false }
+// Reset makes the next watch request a snapshot. Until it is answered the owned part counts as not received.
+func (s *State) Reset() { s.watchIndex, s.complete = NoIndex, false }
 
-// reclassify notes why a destination is known after a change of the part.
+// reclassify updates the class of a destination after a change of the owned part, and evicts a lost one to which no message refers.
 func (s *State) reclassify(u *Update, number int, d *destination) {
 	switch isOwned := s.owns(number); {
 	case isOwned && d.class != owned:
 		if d.class == fetched {
 			s.fetched--
-			s.busy(d)
+			s.markInUse(d)
 		}
 		d.class = owned
 	case !isOwned && d.class == owned:
-		d.class, d.watched = retained, false
-		d.index = max(d.index, s.watched)
+		d.class, d.answered = retained, false
+		d.index = max(d.index, s.watchIndex)
 		if s.references[number] == 0 {
 			s.evict(u, number)
 		}
 	}
 }
 
-// apply takes what an answer says of the destinations that were asked for.
+// apply applies an answer to the destinations that were requested.
 func (s *State) apply(u *Update, a Answer, asked DestinationFilter) {
 	if a.Snapshot {
-		s.removeMissing(u, a, asked)
+		s.removeAbsent(u, a, asked)
 	}
 	for _, e := range a.Endpoints {
 		s.applyEndpoint(u, a.Index, e, asked)
 	}
 }
 
-// removeMissing withdraws the endpoints that a snapshot does not name any more.
-func (s *State) removeMissing(u *Update, a Answer, asked DestinationFilter) {
-	named := make(map[string]bool, len(a.Endpoints))
+// removeAbsent removes the endpoints that are missing from a snapshot.
+func (s *State) removeAbsent(u *Update, a Answer, asked DestinationFilter) {
+	present := make(map[string]bool, len(a.Endpoints))
 	for i := range a.Endpoints {
-		named[a.Endpoints[i].Name] = true
+		present[a.Endpoints[i].Name] = true
 	}
 	for number, d := range s.destinations {
 		if !asked(number) || d.index > a.Index {
 			continue
 		}
 		for _, e := range slices.Clone(d.endpoints) {
-			if !named[e.Name] {
-				s.remove(u, number, e.Name)
+			if !present[e.Name] {
+				s.removeEndpoint(u, number, e.Name)
 			}
 		}
 	}
 }
 
 func (s *State) applyEndpoint(u *Update, index int64, e agent.Endpoint, asked DestinationFilter) {
-	if at, known := s.byName[e.Name]; known && (at != e.Group || e.Status == agent.Deleted) {
-		if s.destinations[at].index > index {
+	if current, known := s.byName[e.Name]; known && (current != e.Group || e.Status == agent.Deleted) {
+		if s.destinations[current].index > index {
 			return
 		}
-		s.remove(u, at, e.Name)
+		s.removeEndpoint(u, current, e.Name)
 	}
 	if e.Status == agent.Deleted || !asked(e.Group) {
 		return
@@ -183,16 +184,16 @@
 	if d.index > index {
 		return
 	}
-	if s.put(d, e) {
+	if s.putEndpoint(d, e) {
 		u.Changed = append(u.Changed, e)
 	}
 }
 
-// put notes an endpoint, and tells whether that changed something.
-func (s *State) put(d *destination, e agent.Endpoint) bool {
+// putEndpoint adds or replaces an endpoint, and reports whether that changed anything.
+func (s *State) putEndpoint(d *destination, e agent.Endpoint) bool {
 	e.Zone, e.Type, e.Status = unique.Make(e.Zone).Value(), unique.Make(e.Type).Value(), unique.Make(e.Status).Value()
 	s.byName[e.Name] = e.Group
-	i := d.find(e.Name)
+	i := d.indexOf(e.Name)
 	switch {
 	case i < 0:
 		d.endpoints = append(d.endpoints, e)
@@ -204,10 +205,10 @@
 	return true
 }
 
-// remove takes an endpoint away that an answer has withdrawn.
-func (s *State) remove(u *Update, number int, name string) {
+// removeEndpoint removes an endpoint that an answer has withdrawn.
+func (s *State) removeEndpoint(u *Update, number int, name string) {
 	d := s.destinations[number]
-	i := d.find(name)
+	i := d.indexOf(name)
 	e := d.endpoints[i]
 	e.Status = agent.Deleted
 	u.Changed = append(u.Changed, e)
@@ -215,32 +216,33 @@
 	delete(s.byName, name)
 }
 
-// evict forgets a destination that is not needed any more. What was received for it is never undone by an older answer: from then on only
-// answers count that are as new as the newest received.
+// evict drops a destination that is not needed any more. Its own index raises the State's newest index, so that an answer older than the data that was
+// dropped can't be applied to the destination afterwards.
 func (s *State) evict(u *Update, number int) {
 	d := s.destinations[number]
-	gone := Eviction{Destination: number}
+	eviction := Eviction{Destination: number}
 	for _, e := range d.endpoints {
-		gone.Endpoints = append(gone.Endpoints, e.Name)
+		eviction.Endpoints = append(eviction.Endpoints, e.Name)
 		delete(s.byName, e.Name)
 	}
 	if d.class == fetched {
 		s.fetched--
-		s.busy(d)
+		s.markInUse(d)
 	}
-	s.newest = max(s.newest, d.index)
+	s.newestIndex = max(s.newestIndex, d.index)
 	delete(s.destinations, number)
 	u.Changed = slices.DeleteFunc(u.Changed, func(e agent.Endpoint) bool { return e.Group == number && e.Status != agent.Deleted })
-	u.Evicted = append(u.Evicted, gone)
+	u.Evicted = append(u.Evicted, eviction)
 }
 
-// evictUnused evicts what Start knew beside the part, once the part is known, and forgets owned destinations that have no endpoint.
+// evictUnused runs after the answer to a watch. It evicts retained destinations without messages, such as those that Initialize loaded and the forwarder does not
+// own, and drops owned destinations that have no endpoint.
 func (s *State) evictUnused(u *Update) {
 	for number, d := range s.destinations {
 		switch {
 		case d.class == retained && s.references[number] == 0:
 			s.evict(u, number)
-		case d.class == owned && len(d.endpoints) == 0 && d.index <= s.watched:
+		case d.class == owned && len(d.endpoints) == 0 && d.index <= s.watchIndex:
 			delete(s.destinations, number)
 		}
 	}
--- a/internal/partial/budget.go
+++ b/internal/partial/budget.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// budget is a token bucket of bytes. What turned out dearer than it was paid for is a debt.
+// budget is a token bucket of bytes. Its level is negative after lookups that cost more than was deducted for them in advance.
 type budget struct {
-	rate, burst float64 // bytes a second, and at once after a pause
+	rate, burst float64 // bytes per second, and the bucket's size in bytes
 	tokens      float64
-	filled      time.Duration
+	refilledAt  time.Duration
 }
 
-func (b *budget) fill(now time.Duration) {
-	b.tokens = min(b.burst, b.tokens+b.rate*max(0, now-b.filled).Seconds())
-	b.filled = max(b.filled, now)
+func (b *budget) refill(now time.Duration) {
+	b.tokens = min(b.burst, b.tokens+b.rate*max(0, now-b.refilledAt).Seconds())
+	b.refilledAt = max(b.refilledAt, now)
 }
 
-// spend takes bytes out, or puts some back.
+// spend deducts bytes, or returns them if the number is negative.
 func (b *budget) spend(now time.Duration, bytes float64) {
-	b.fill(now)
+	b.refill(now)
 	b.tokens = min(b.burst, b.tokens-bytes)
 }
 
-// delay is how long it takes until so many bytes may be spent. More than the burst are never there at once: then a full bucket counts as enough.
+// delay returns how long it takes until a number of bytes may be spent. The bucket never holds more than the burst, so a full bucket is enough for any number.
 func (b *budget) delay(now time.Duration, bytes float64) time.Duration {
-	b.fill(now)
-	lack := min(bytes, b.burst) - b.tokens
-	if lack <= 0 {
+	b.refill(now)
+	shortfall := min(bytes, b.burst) - b.tokens
+	if shortfall <= 0 {
 		return 0
 	}
-	return time.Duration(lack/b.rate*float64(time.Second)) + 1
+	return time.Duration(shortfall/b.rate*float64(time.Second)) + 1
 }
 
-// missing remembers destinations that do not exist, the newest of them, each for a short time.
-type missing struct {
-	until map[int]time.Duration
-	order []int // the oldest first; some may have been forgotten
+// missingCache remembers for a short time which destinations do not exist. It drops the oldest entry when it is full.
+type missingCache struct {
+	expiry map[int]time.Duration
+	order  []int // oldest first; the entries may have expired
 }
 
-func (m *missing) has(now time.Duration, number int) bool {
-	until, noted := m.until[number]
-	return noted && now < until
+func (m *missingCache) has(now time.Duration, number int) bool {
+	expiry, found := m.expiry[number]
+	return found && now < expiry
 }
 
-func (m *missing) add(now time.Duration, number int, l *Limits) {
+func (m *missingCache) add(now time.Duration, number int, l *Limits) {
 	if l.MaxMissing <= 0 {
 		return
 	}
-	if _, noted := m.until[number]; !noted {
+	if _, found := m.expiry[number]; !found {
 		if len(m.order) >= l.MaxMissing {
-			delete(m.until, m.order[0])
+			delete(m.expiry, m.order[0])
 			m.order = m.order[1:]
 		}
 		m.order = append(m.order, number)
 	}
-	m.until[number] = now + l.MissingTTL
+	m.expiry[number] = now + l.MissingTTL
 }
--- a/internal/partial/lookups.go
+++ b/internal/partial/lookups.go
@@ -8,26 +8,26 @@
 	"scaleroute/internal/agent"
 )
 
-// Action is what becomes of a message that has arrived.
+// Action says what to do with a message that a client has handed in.
 type Action int
 
-// The verdicts.
+// The actions.
 const (
-	Proceed Action = iota // to the engine, which knows its destination or that there is none
-	Wait                  // until the look-up of its destination is over
-	Reject                // with a retry-after
+	Proceed Action = iota // pass the message to the engine: its endpoints are known, or the destination does not exist and the engine rejects it
+	Wait                  // hold the message until the lookup of its destination is complete
+	Reject                // reject the message with a retry-after
 )
 
-// Decision is a verdict on a message. One that passes or waits refers to its destination until Release.
+// Decision is the action for one message. After Admit has returned Proceed or Wait, the message refers to its destination until Release.
 type Decision struct {
 	Action     Action
 	RetryAfter time.Duration
 }
 
-// Costs of a look-up on the wire, both ways, headers included, until it is known what it came to.
+// Estimated cost of a lookup on the wire, in both directions and with headers. It is corrected when the real cost is known.
 const (
-	lookupBase = 190 // bytes of one look-up
-	lookupEach = 140 // bytes of one destination in it
+	lookupBaseBytes           = 190 // bytes of a lookup without destinations
+	lookupBytesPerDestination = 140 // bytes that each destination adds
 )
 
 const (
@@ -35,53 +35,53 @@
 	maxRetryAfter = 3 * time.Second
 )
 
-// lookups are those that wait for their budget, and those that are under way.
+// lookups holds the lookups that wait for the budget and those in flight.
 type lookups struct {
-	pending  map[int]bool // destinations of both; true: under way
-	queue    []int
-	inFlight int
-	waiting  int // messages
-	budget   budget
+	pending         map[int]bool // queued destinations and those in flight; true: in flight
+	queue           []int
+	inFlight        int
+	waitingMessages int // messages that wait for a lookup
+	budget          budget
 }
 
 func newLookups(l Limits) lookups {
 	return lookups{pending: map[int]bool{}, budget: budget{rate: l.LookupBytesPerSecond, burst: l.Burst, tokens: l.Burst}}
 }
 
-// Admit decides on a message for a destination.
+// Admit decides what to do with a new message for a destination.
 func (s *State) Admit(now time.Duration, number int) Decision {
 	if number < 0 || number > math.MaxUint32 || s.Known(number) || s.missing.has(now, number) {
-		s.refer(number)
+		s.addReference(number)
 		return Decision{Action: Proceed}
 	}
-	if s.lookups.waiting >= s.limits.MaxWaiting {
+	if s.lookups.waitingMessages >= s.limits.MaxWaiting {
 		return Decision{Reject, s.retryAfter(now)}
 	}
-	if _, under := s.lookups.pending[number]; !under {
-		if s.room() <= 0 || s.budgetDelay(now) > s.limits.MaxBudgetDelay {
+	if _, pending := s.lookups.pending[number]; !pending {
+		if s.remainingCapacity() <= 0 || s.budgetDelay(now) > s.limits.MaxBudgetDelay {
 			return Decision{Reject, s.retryAfter(now)}
 		}
 		s.lookups.pending[number] = false
 		s.lookups.queue = append(s.lookups.queue, number)
 	}
-	s.lookups.waiting++
-	s.refer(number)
+	s.lookups.waitingMessages++
+	s.addReference(number)
 	return Decision{Action: Wait}
 }
 
-// Resume decides on a message whose look-up is over. It refers to its destination still, also where it is rejected.
+// Resume decides what to do with a waiting message whose lookup is complete. The message still refers to its destination, even if it is rejected.
 func (s *State) Resume(now time.Duration, number int) Decision {
-	s.lookups.waiting--
+	s.lookups.waitingMessages--
 	if s.Known(number) || s.missing.has(now, number) {
 		return Decision{Action: Proceed}
 	}
 	return Decision{Reject, s.retryAfter(now)}
 }
 
-// AddReference notes a message of the engine's for a destination: from its acceptance, or its recovery, until Release.
-func (s *State) AddReference(number int) { s.refer(number) }
+// AddReference adds a reference for a message that the engine has accepted or recovered. It lasts until Release.
+func (s *State) AddReference(number int) { s.addReference(number) }
 
-// Release ends what refers to a destination: a message that was handed in, or one of the engine's that is completed.
+// Release removes one reference to a destination: that of a message which has been handed to the engine, or of one that the engine has completed.
 func (s *State) Release(number int) (u Update) {
 	if s.references[number]--; s.references[number] > 0 {
 		return u
@@ -93,46 +93,46 @@
 	}
 	switch d.class {
 	case fetched:
-		d.idle = s.idle.PushFront(number)
+		d.unreferenced = s.unreferenced.PushFront(number)
 	case retained:
-		u.Index = s.newest
+		u.Index = s.newestIndex
 		s.evict(&u, number)
 	}
 	return u
 }
 
-func (s *State) refer(number int) {
+func (s *State) addReference(number int) {
 	s.references[number]++
 	if d := s.destinations[number]; d != nil {
-		s.busy(d)
+		s.markInUse(d)
 	}
 }
 
-// busy takes a destination off those that may be evicted.
-func (s *State) busy(d *destination) {
-	if d.idle != nil {
-		s.idle.Remove(d.idle)
-		d.idle = nil
+// markInUse removes a destination from the list of those that may be evicted.
+func (s *State) markInUse(d *destination) {
+	if d.unreferenced != nil {
+		s.unreferenced.Remove(d.unreferenced)
+		d.unreferenced = nil
 	}
 }
 
-// room is how many more destinations can be looked up: those whose look-up is pending will need theirs.
-func (s *State) room() int {
-	return s.limits.MaxFetched - s.fetched + s.idle.Len() - len(s.lookups.pending)
+// remainingCapacity returns how many more destinations can be looked up. Each pending lookup counts, since its destination will need a place.
+func (s *State) remainingCapacity() int {
+	return s.limits.MaxFetched - s.fetched + s.unreferenced.Len() - len(s.lookups.pending)
 }
 
-// budgetDelay is how long one more look-up would wait for its budget.
+// budgetDelay returns how long one more lookup would wait for the budget.
 func (s *State) budgetDelay(now time.Duration) time.Duration {
 	return s.lookups.budget.delay(now, lookupCost(len(s.lookups.queue)+1))
 }
 
-// RejectWaiting rejects a message that can't wait any longer. It refers to its destination still.
+// RejectWaiting rejects a message that can't wait for its lookup any longer. The message still refers to its destination.
 func (s *State) RejectWaiting(now time.Duration) Decision {
-	s.lookups.waiting--
+	s.lookups.waitingMessages--
 	return Decision{Reject, s.retryAfter(now)}
 }
 
-// RejectNotWaiting rejects a message that does not wait for a look-up.
+// RejectNotWaiting rejects a message that does not wait for a lookup, or no longer does: the endpoints of its destination have not reached the engine in time.
 func (s *State) RejectNotWaiting(now time.Duration) Decision {
 	return Decision{Reject, s.retryAfter(now)}
 }
@@ -142,11 +142,11 @@
 }
 
 func lookupCost(destinations int) float64 {
-	return float64(lookupBase + lookupEach*destinations)
+	return float64(lookupBaseBytes + lookupBytesPerDestination*destinations)
 }
 
-// NextLookup is the next batch to look up, sorted, as its cost permits. Where there is none now, wait is how long to ask again, and 0 where nothing is queued or
-// enough look-ups are in flight. Each batch is ended by ApplyLookup or FailLookup.
+// NextLookup returns the next batch of destinations to look up, sorted; the budget limits its size. If the budget permits none now, wait says after what time the
+// caller should try again; it is 0 if nothing is queued or the maximum of lookups is in flight. The caller completes each batch with ApplyLookup or FailLookup.
 func (s *State) NextLookup(now time.Duration) (batch []int, wait time.Duration) {
 	l := &s.lookups
 	if len(l.queue) == 0 || l.inFlight >= s.limits.MaxInFlight {
@@ -170,27 +170,27 @@
 	return batch, 0
 }
 
-// NewestIndex is the index that the answer to a look-up must have at least.
-func (s *State) NewestIndex() int64 { return s.newest }
+// NewestIndex returns the lowest index that the answer to a lookup may have.
+func (s *State) NewestIndex() int64 { return s.newestIndex }
 
-// ApplyLookup takes the answer for a batch: everything that there is of its destinations. spent is what it has cost on the wire. An answer that is older than
-// anything received is not applied; the batch is over all the same.
+// ApplyLookup applies the answer for a batch, which lists all endpoints of its destinations. spent is the number of bytes that the lookup took on the wire. An
+// answer that is older than anything received is not applied and returns ErrStaleAnswer; the batch is complete all the same.
 func (s *State) ApplyLookup(now time.Duration, batch []int, a Answer, spent int64) (Update, error) {
 	u := s.endLookup(now, batch, spent)
-	if a.Index < s.newest || s.ceiling > 0 && a.Index > s.ceiling {
+	if a.Index < s.newestIndex || s.maxLookupIndex > 0 && a.Index > s.maxLookupIndex {
 		return u, ErrStaleAnswer
 	}
-	s.newest, u.Index = a.Index, a.Index
-	has := map[int]bool{}
+	s.newestIndex, u.Index = a.Index, a.Index
+	exists := map[int]bool{}
 	for _, e := range a.Endpoints {
-		has[e.Group] = has[e.Group] || e.Status != agent.Deleted
+		exists[e.Group] = exists[e.Group] || e.Status != agent.Deleted
 	}
 	for _, number := range batch {
 		switch {
-		case s.destinations[number] != nil: // it became known by itself meanwhile
-		case s.owns(number): // also where it has no endpoints: a watch that is older must not bring them back
+		case s.destinations[number] != nil: // a watch or a change of the owned part has made it known in the meantime
+		case s.owns(number): // added even without endpoints, so that its index stops an older watch answer from bringing them back
 			s.destinations[number] = &destination{class: owned}
-		case !has[number]:
+		case !exists[number]:
 			s.missing.add(now, number, &s.limits)
 		case s.makeRoom(&u):
 			s.addFetched(number)
@@ -206,7 +206,7 @@
 	return u, nil
 }
 
-// FailLookup ends a batch without an answer.
+// FailLookup completes a batch that received no answer.
 func (s *State) FailLookup(now time.Duration, batch []int, spent int64) Update {
 	return s.endLookup(now, batch, spent)
 }
@@ -217,24 +217,25 @@
 	for _, number := range batch {
 		delete(s.lookups.pending, number)
 	}
-	return Update{Index: s.newest, CompletedLookups: batch}
+	return Update{Index: s.newestIndex, CompletedLookups: batch}
 }
 
 func (s *State) addFetched(number int) {
 	d := &destination{class: fetched}
 	s.destinations[number] = d
 	s.fetched++
-	if s.references[number] == 0 { // nobody waits any more
-		d.idle = s.idle.PushFront(number)
+	if s.references[number] == 0 { // no message waits for it any more
+		d.unreferenced = s.unreferenced.PushFront(number)
 	}
 }
 
-// makeRoom evicts the least recently used destination where the set is full, and tells whether there is room: each may have come into use since the look-up began.
+// makeRoom makes room for one fetched destination, if necessary by evicting the least recently used one without references. It reports false if there is none:
+// messages may have come to refer to all of them since the lookup began.
 func (s *State) makeRoom(u *Update) bool {
 	if s.fetched < s.limits.MaxFetched {
 		return true
 	}
-	oldest := s.idle.Back()
+	oldest := s.unreferenced.Back()
 	if oldest == nil {
 		return false
 	}
--- a/internal/partial/model_test.go
+++ b/internal/partial/model_test.go
@@ -14,11 +14,11 @@
 
 const (
 	modelDestinations = 8
-	modelEndpoints    = 2 // of each destination
+	modelEndpoints    = 2 // per destination
 )
 
-// history is the whole list at each index, as control servers have it that are more or less behind.
-type history []map[string]string // status by name; by index
+// history holds the whole list at each index. Control servers that are out of date answer from an older index.
+type history []map[string]string // for each index: status by endpoint name
 
 func endpointName(destination, n int) string { return fmt.Sprintf("%d-%d", destination, n) }
 
@@ -26,19 +26,19 @@
 	return agent.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Type: "std", Group: destination, Status: status, Weight: 1}
 }
 
-// at lists a destination as it was at an index.
+// at returns the endpoints of a destination at an index, as status by name.
 func (h history) at(destination int, index int64) map[string]string {
 	list := map[string]string{}
 	for n := range modelEndpoints {
 		name := endpointName(destination, n)
-		if status, there := h[index][name]; there {
+		if status, exists := h[index][name]; exists {
 			list[name] = status
 		}
 	}
 	return list
 }
 
-// changed tells whether an endpoint changed between two indexes, be it as it was again.
+// changed reports whether an endpoint changed between two indexes, even if it changed back.
 func (h history) changed(name string, from, to int64) bool {
 	for i := from; i < to; i++ {
 		if h[i][name] != h[i+1][name] {
@@ -48,7 +48,7 @@
 	return false
 }
 
-// answer is what a server at an index tells about what is asked for, since another index.
+// answer returns the answer of a server at an index: the changes of the requested destinations since another index, or a snapshot.
 func (h history) answer(asked DestinationFilter, from, index int64) Answer {
 	a := Answer{Index: index, Snapshot: from == NoIndex}
 	for d := range modelDestinations {
@@ -57,13 +57,13 @@
 		}
 		for n := range modelEndpoints {
 			name := endpointName(d, n)
-			now, there := h[index][name]
+			status, exists := h[index][name]
 			if from != NoIndex && !h.changed(name, from, index) {
 				continue
 			}
 			switch {
-			case there:
-				a.Endpoints = append(a.Endpoints, entry(d, name, now))
+			case exists:
+				a.Endpoints = append(a.Endpoints, entry(d, name, status))
 			case from != NoIndex:
 				a.Endpoints = append(a.Endpoints, entry(d, name, agent.Deleted))
 			}
@@ -72,33 +72,33 @@
 	return a
 }
 
-// model drives a State and knows what must come of it.
+// model drives a State and keeps what it must know.
 type model struct {
-	t        *rapid.T
-	limits   Limits
-	state    *State
-	history  history
-	now      time.Duration
-	part     map[int]bool
-	applied  map[int]int64 // the newest index received for each destination that is known
-	ever     map[int]int64 // the same, also of those that are not known any more
-	view     map[string]agent.Endpoint
-	messages []int // destinations that are referred to, one for each message
-	waiting  []int
-	batches  [][]int
-	spent    float64
-	excess   float64 // of look-ups that were dearer than they were paid for
-	visited  map[string]int
+	t                 *rapid.T
+	limits            Limits
+	state             *State
+	history           history
+	now               time.Duration
+	ownedDestinations map[int]bool
+	applied           map[int]int64 // newest index received for each known destination
+	newestEver        map[int]int64 // like applied, but evicted destinations stay
+	view              map[string]agent.Endpoint
+	messages          []int // destination of each message
+	waiting           []int
+	batches           [][]int
+	spent             float64
+	overrun           float64 // bytes by which lookups cost more than was deducted in advance
+	occurrences       map[string]int
 }
 
-func newModel(t *rapid.T, visited map[string]int) *model {
+func newModel(t *rapid.T, occurrences map[string]int) *model {
 	limits := Limits{MaxFetched: 2, MaxExtraWatched: 2, MaxWaiting: 6, MaxBatch: 2, MaxInFlight: 2, LookupBytesPerSecond: 1000, Burst: 1200, MaxBudgetDelay: 500 * time.Millisecond, MissingTTL: time.Second, MaxMissing: 2}
-	return &model{t: t, limits: limits, state: New(limits), history: history{{}}, part: map[int]bool{}, applied: map[int]int64{}, ever: map[int]int64{},
-		view: map[string]agent.Endpoint{}, visited: visited}
+	return &model{t: t, limits: limits, state: New(limits), history: history{{}}, ownedDestinations: map[int]bool{}, applied: map[int]int64{}, newestEver: map[int]int64{},
+		view: map[string]agent.Endpoint{}, occurrences: occurrences}
 }
 
-// expect has a State know of messages that were accepted before it was made.
-func (m *model) expect() {
+// recoverMessages adds messages that were accepted before the State was created.
+func (m *model) recoverMessages() {
 	for range rapid.IntRange(0, 2).Draw(m.t, "recovered") {
 		d := rapid.IntRange(0, modelDestinations-1).Draw(m.t, "recovered for")
 		m.state.AddRecoveredMessage(d)
@@ -106,17 +106,17 @@
 	}
 }
 
-// take does with an update what an engine would.
-func (m *model) take(u Update) {
+// applyUpdate applies an update as the engine does.
+func (m *model) applyUpdate(u Update) {
 	for _, e := range u.Evicted {
 		if slices.Contains(m.messages, e.Destination) {
-			m.t.Fatalf("destination %d is evicted, and has messages %v", e.Destination, m.messages)
+			m.t.Fatalf("destination %d is evicted although messages refer to it: %v", e.Destination, m.messages)
 		}
 		for _, name := range e.Endpoints {
 			delete(m.view, name)
 		}
 		delete(m.applied, e.Destination)
-		m.visited["evicted"]++
+		m.occurrences["evicted"]++
 	}
 	for _, e := range u.Changed {
 		if e.Status == agent.Deleted {
@@ -127,20 +127,20 @@
 	}
 }
 
-// received notes an answer that was applied.
+// received records the index of an answer that was applied.
 func (m *model) received(asked DestinationFilter, index int64) {
 	for d := range modelDestinations {
-		if asked(d) && (m.part[d] || m.state.destinations[d] != nil) {
+		if asked(d) && (m.ownedDestinations[d] || m.state.destinations[d] != nil) {
 			m.applied[d] = max(m.applied[d], index)
-			m.ever[d] = max(m.ever[d], index)
+			m.newestEver[d] = max(m.newestEver[d], index)
 		}
 	}
 }
 
-// change makes the next version of the list.
+// change appends a new version of the list.
 func (m *model) change() {
 	next := maps.Clone(m.history[len(m.history)-1])
-	d := rapid.IntRange(0, modelDestinations-2).Draw(m.t, "destination") // the last one never exists
+	d := rapid.IntRange(0, modelDestinations-2).Draw(m.t, "destination") // the last destination never exists
 	name := endpointName(d, rapid.IntRange(0, modelEndpoints-1).Draw(m.t, "endpoint"))
 	if status := rapid.SampledFrom([]string{agent.Serving, agent.Serving, agent.Draining, agent.Deleted}).Draw(m.t, "status"); status == agent.Deleted {
 		delete(next, name)
@@ -150,7 +150,7 @@
 	m.history = append(m.history, next)
 }
 
-// index is that of some control server.
+// index draws the index of the control server that answers.
 func (m *model) index() int64 {
 	newest := len(m.history) - 1
 	return int64(rapid.IntRange(max(0, newest-3), newest).Draw(m.t, "index"))
@@ -162,32 +162,32 @@
 		return
 	}
 	index := m.index()
-	if index < w.From { // a server that is behind says so
+	if index < w.From { // a server that is out of date sends no list
 		return
 	}
 	from := w.From
 	if rapid.IntRange(0, 3).Draw(m.t, "changes known") == 0 {
 		from = NoIndex
 	}
-	asked := func(d int) bool { return m.part[d] || slices.Contains(w.Destinations, d) }
-	meanwhile := rapid.IntRange(0, 2).Draw(m.t, "meanwhile")
+	asked := func(d int) bool { return m.ownedDestinations[d] || slices.Contains(w.Destinations, d) }
+	lookupsInBetween := rapid.IntRange(0, 2).Draw(m.t, "meanwhile")
 	answer := m.history.answer(asked, from, index)
-	for range meanwhile { // while it is held, look-ups are answered
+	for range lookupsInBetween { // the server holds the watch while lookups are answered
 		m.lookup()
 		m.arrive()
 	}
 	requested := func(d int) bool {
 		known := m.state.destinations[d]
-		return m.part[d] || known != nil && known.requested == w.sequence
+		return m.ownedDestinations[d] || known != nil && known.requestedBy == w.sequence
 	}
 	u, err := m.state.ApplyWatch(w, answer)
 	if err != nil {
-		m.visited["older watch"]++
+		m.occurrences["older watch"]++
 		return
 	}
 	m.received(requested, index)
-	m.take(u)
-	m.visited["watch"]++
+	m.applyUpdate(u)
+	m.occurrences["watch"]++
 }
 
 func (m *model) scope() {
@@ -197,7 +197,7 @@
 			next[d] = true
 		}
 	}
-	before := m.part
+	before := m.ownedDestinations
 	gained := func(d int) bool { return next[d] && !before[d] }
 	owns := func(d int) bool { return next[d] }
 	if !m.state.Complete() || rapid.IntRange(0, 3).Draw(m.t, "whole") == 0 {
@@ -206,47 +206,47 @@
 			m.t.Fatal(err)
 		}
 		m.state.Reset()
-		m.part = next
-		m.take(u)
+		m.ownedDestinations = next
+		m.applyUpdate(u)
 		return
 	}
 	index := m.index()
 	answer := m.history.answer(gained, NoIndex, index)
 	u, err := m.state.ApplyScope(owns, gained, &answer)
 	if err != nil {
-		m.visited["older scope"]++
+		m.occurrences["older scope"]++
 		return
 	}
-	m.part = next
+	m.ownedDestinations = next
 	m.received(gained, index)
-	m.take(u)
-	m.visited["scope"]++
+	m.applyUpdate(u)
+	m.occurrences["scope"]++
 }
 
 func (m *model) arrive() {
 	d := rapid.IntRange(0, modelDestinations-1).Draw(m.t, "for")
 	switch m.state.Admit(m.now, d).Action {
 	case Proceed:
-		if _, received := m.applied[d]; !received && !m.state.missing.has(m.now, d) && !(m.part[d] && m.state.Complete()) {
-			m.t.Fatalf("a message for %d passes, of which nothing was received", d)
+		if _, received := m.applied[d]; !received && !m.state.missing.has(m.now, d) && !(m.ownedDestinations[d] && m.state.Complete()) {
+			m.t.Fatalf("a message for destination %d proceeds although no answer for it was received", d)
 		}
 		m.messages = append(m.messages, d)
 	case Wait:
 		m.messages = append(m.messages, d)
 		m.waiting = append(m.waiting, d)
 	case Reject:
-		m.visited["rejected"]++
+		m.occurrences["rejected"]++
 	}
 }
 
-// release completes one message that does not wait.
+// release releases one message that does not wait.
 func (m *model) release() {
 	for i, d := range m.messages {
 		if slices.Contains(m.waiting, d) {
 			continue
 		}
 		m.messages = slices.Delete(m.messages, i, i+1)
-		m.take(m.state.Release(d))
+		m.applyUpdate(m.state.Release(d))
 		return
 	}
 }
@@ -262,18 +262,18 @@
 	m.batches = m.batches[1:]
 	bytes := int64(rapid.IntRange(100, 900).Draw(m.t, "bytes"))
 	m.spent += float64(bytes)
-	m.excess += max(0, float64(bytes)-lookupCost(len(batch)))
+	m.overrun += max(0, float64(bytes)-lookupCost(len(batch)))
 	asked := func(d int) bool { return slices.Contains(batch, d) }
 	if rapid.IntRange(0, 3).Draw(m.t, "failed") == 0 {
-		m.take(m.state.FailLookup(m.now, batch, bytes))
+		m.applyUpdate(m.state.FailLookup(m.now, batch, bytes))
 	} else {
 		index := m.index()
 		u, err := m.state.ApplyLookup(m.now, batch, m.history.answer(asked, NoIndex, index), bytes)
-		m.take(u)
+		m.applyUpdate(u)
 		if err == nil {
-			m.lookedUp(batch, index)
+			m.checkAppliedLookup(batch, index)
 		} else {
-			m.visited["older look-up"]++
+			m.occurrences["older lookup"]++
 		}
 	}
 	for len(m.waiting) > 0 {
@@ -284,71 +284,71 @@
 		d := m.waiting[i]
 		m.waiting = slices.Delete(m.waiting, i, i+1)
 		if m.state.Resume(m.now, d).Action == Reject {
-			m.drop(d)
+			m.releaseMessage(d)
 		}
 	}
 }
 
-// lookedUp checks that an answer which counts is not older than anything received of its destinations.
-func (m *model) lookedUp(batch []int, index int64) {
+// checkAppliedLookup checks that an applied lookup answer is not older than any answer received for its destinations, and records it.
+func (m *model) checkAppliedLookup(batch []int, index int64) {
 	for _, d := range batch {
-		if m.ever[d] > index {
-			m.t.Fatalf("destination %d was received at index %d, and an answer of index %d is applied", d, m.ever[d], index)
+		if m.newestEver[d] > index {
+			m.t.Fatalf("destination %d was received at index %d, but an answer of index %d was applied", d, m.newestEver[d], index)
 		}
 	}
 	m.received(func(d int) bool { return slices.Contains(batch, d) }, index)
-	m.visited["look-up"]++
+	m.occurrences["lookup"]++
 }
 
-// drop ends one message.
-func (m *model) drop(d int) {
+// releaseMessage removes one message for a destination and releases its reference.
+func (m *model) releaseMessage(d int) {
 	i := slices.Index(m.messages, d)
 	m.messages = slices.Delete(m.messages, i, i+1)
-	m.take(m.state.Release(d))
+	m.applyUpdate(m.state.Release(d))
 }
 
 func (m *model) check() {
-	if w := m.state.beside(); len(w) > m.limits.MaxExtraWatched {
-		m.t.Fatalf("%d destinations beside the part are watched", len(w))
+	if w := m.state.watchedOutside(); len(w) > m.limits.MaxExtraWatched {
+		m.t.Fatalf("%d destinations outside the owned part are watched, more than the limit", len(w))
 	}
-	if m.state.fetched > m.limits.MaxFetched || m.state.lookups.waiting > m.limits.MaxWaiting || m.state.lookups.waiting != len(m.waiting) ||
-		len(m.state.missing.until) > m.limits.MaxMissing || len(m.state.lookups.pending) > m.limits.MaxFetched {
-		m.t.Fatalf("bounds %+v: %+v, %d missing, %d pending, %d wait", m.limits, m.state.Counts(), len(m.state.missing.until), len(m.state.lookups.pending), len(m.waiting))
+	if m.state.fetched > m.limits.MaxFetched || m.state.lookups.waitingMessages > m.limits.MaxWaiting || m.state.lookups.waitingMessages != len(m.waiting) ||
+		len(m.state.missing.expiry) > m.limits.MaxMissing || len(m.state.lookups.pending) > m.limits.MaxFetched {
+		m.t.Fatalf("a limit of %+v is exceeded: %+v, %d missing, %d pending, %d messages wait", m.limits, m.state.Counts(), len(m.state.missing.expiry), len(m.state.lookups.pending), len(m.waiting))
 	}
-	if most := m.limits.Burst + m.limits.LookupBytesPerSecond*m.now.Seconds() + m.excess; m.spent > most {
-		m.t.Fatalf("look-ups have cost %.0f bytes in %v, and %.0f were allowed", m.spent, m.now, most)
+	if allowed := m.limits.Burst + m.limits.LookupBytesPerSecond*m.now.Seconds() + m.overrun; m.spent > allowed {
+		m.t.Fatalf("lookups cost %.0f bytes in %v, but the budget allows %.0f", m.spent, m.now, allowed)
 	}
 	for d := range modelDestinations {
 		known := m.state.destinations[d]
-		if known == nil && !m.part[d] {
+		if known == nil && !m.ownedDestinations[d] {
 			continue
 		}
 		want := map[string]string{}
 		if index, received := m.applied[d]; received {
 			want = m.history.at(d, index)
 		}
-		have := map[string]string{}
+		got := map[string]string{}
 		for _, e := range m.view {
 			if e.Group == d {
-				have[e.Name] = e.Status
+				got[e.Name] = e.Status
 			}
 		}
-		if !maps.Equal(have, want) {
-			m.t.Fatalf("destination %d: %v; by the newest answer, of index %d: %v", d, have, m.applied[d], want)
+		if !maps.Equal(got, want) {
+			m.t.Fatalf("destination %d has endpoints %v; the newest answer, of index %d, has %v", d, got, m.applied[d], want)
 		}
 	}
 	if len(m.view) != len(m.state.byName) {
-		m.t.Fatalf("the engine has %d endpoints, the state %d", len(m.view), len(m.state.byName))
+		m.t.Fatalf("the engine has %d endpoints, the State has %d", len(m.view), len(m.state.byName))
 	}
 }
 
-// TestModel: whatever control servers answer, late, behind each other or not at all, each destination is as the newest answer received for it says, none that has
-// messages is evicted, no bound is exceeded, and look-ups keep to their budget.
-func TestModel(t *testing.T) {
-	visited := map[string]int{}
+// TestStateAgainstModel runs random operations with control servers that answer late, with different indexes or not at all. After each operation every destination
+// must match the newest answer received for it, no destination with messages may be evicted, no limit may be exceeded, and lookups must stay within their budget.
+func TestStateAgainstModel(t *testing.T) {
+	occurrences := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(t, visited)
-		m.expect()
+		m := newModel(t, occurrences)
+		m.recoverMessages()
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
@@ -369,10 +369,10 @@
 			m.check()
 		}
 	})
-	for _, what := range []string{"watch", "older watch", "scope", "older scope", "look-up", "older look-up", "evicted", "rejected"} {
-		if visited[what] == 0 {
-			t.Errorf("%s never occurred: the test shows too little (%v)", what, visited)
+	for _, what := range []string{"watch", "older watch", "scope", "older scope", "lookup", "older lookup", "evicted", "rejected"} {
+		if occurrences[what] == 0 {
+			t.Errorf("%s never occurred, so the test did not cover it (%v)", what, occurrences)
 		}
 	}
-	t.Log(visited)
+	t.Log(occurrences)
 }
--- a/internal/partial/partial_test.go
+++ b/internal/partial/partial_test.go
@@ -9,10 +9,10 @@
 	"scaleroute/internal/agent"
 )
 
-func none(int) bool { return false }
+func ownsNone(int) bool { return false }
 
-// owning has a State know a snapshot of a part.
-func owning(t *testing.T, owns DestinationFilter, index int64, endpoints ...agent.Endpoint) *State {
+// newStateWithSnapshot creates a State that owns a part and has received a snapshot of it.
+func newStateWithSnapshot(t *testing.T, owns DestinationFilter, index int64, endpoints ...agent.Endpoint) *State {
 	t.Helper()
 	s := New(DefaultLimits())
 	if _, err := s.ApplyScope(owns, owns, nil); err != nil {
@@ -24,23 +24,24 @@
 	return s
 }
 
-// lookUp has a State look up one destination.
-func lookUp(t *testing.T, s *State, now time.Duration, number int, a Answer) (Update, error) {
+// lookUpDestination makes a State look up one destination and applies the answer.
+func lookUpDestination(t *testing.T, s *State, now time.Duration, number int, a Answer) (Update, error) {
 	t.Helper()
 	if d := s.Admit(now, number); d.Action != Wait {
 		t.Fatalf("%+v", d)
 	}
 	batch, wait := s.NextLookup(now)
 	if !slices.Equal(batch, []int{number}) {
-		t.Fatalf("looked up: %v, or in %v", batch, wait)
+		t.Fatalf("the next lookup is %v, wait %v", batch, wait)
 	}
 	return s.ApplyLookup(now, batch, a, 500)
 }
 
-// TestEndpointMoves: one that goes to another destination leaves the first one, be the second known here or not.
-func TestEndpointMoves(t *testing.T) {
+// TestEndpointChangesDestination checks that an endpoint which moves to another destination is removed from the first one, whether the second one is known here
+// or not.
+func TestEndpointChangesDestination(t *testing.T) {
 	owns := func(d int) bool { return d < 3 }
-	s := owning(t, owns, 5, entry(1, "a", agent.Serving), entry(2, "b", agent.Serving))
+	s := newStateWithSnapshot(t, owns, 5, entry(1, "a", agent.Serving), entry(2, "b", agent.Serving))
 	u, err := s.ApplyWatch(s.NextWatch(), Answer{Index: 6, Endpoints: []agent.Endpoint{entry(2, "a", agent.Serving)}})
 	if err != nil || len(u.Changed) != 2 || u.Changed[0].Status != agent.Deleted || u.Changed[0].Group != 1 || u.Changed[1].Group != 2 {
 		t.Fatalf("%+v %v", u, err)
@@ -50,17 +51,17 @@
 		t.Fatalf("%+v %v; %v", u, err, s.Endpoints())
 	}
 	if u, err = s.ApplyWatch(s.NextWatch(), Answer{Index: 8, Endpoints: []agent.Endpoint{{Name: "b", Status: agent.Deleted}}}); err != nil || len(u.Changed) != 1 || u.Changed[0].Group != 2 {
-		t.Fatalf("a deletion that names no destination: %+v %v", u, err)
+		t.Fatalf("deletion without a destination: %+v %v", u, err)
 	}
 }
 
-// TestLostPartition: a destination of a lost partition stays while a message refers to it, is watched as long, and leaves with the last one.
+// TestLostPartition checks that a destination of a lost partition stays and is watched while messages refer to it, and is evicted with the last of them.
 func TestLostPartition(t *testing.T) {
 	owns := func(d int) bool { return d < 3 }
-	s := owning(t, owns, 5, entry(1, "a", agent.Serving), entry(2, "b", agent.Serving))
+	s := newStateWithSnapshot(t, owns, 5, entry(1, "a", agent.Serving), entry(2, "b", agent.Serving))
 	s.AddReference(1)
 	s.AddReference(1)
-	u, err := s.ApplyScope(none, none, nil)
+	u, err := s.ApplyScope(ownsNone, ownsNone, nil)
 	if err != nil || len(u.Evicted) != 1 || u.Evicted[0].Destination != 2 {
 		t.Fatalf("%+v %v", u, err)
 	}
@@ -79,10 +80,10 @@
 	}
 }
 
-// TestOlderAfterEviction: what was received of a destination that was evicted is not undone by an older look-up.
-func TestOlderAfterEviction(t *testing.T) {
-	s := owning(t, none, 5)
-	if _, err := lookUp(t, s, 0, 9, Answer{Index: 8, Endpoints: []agent.Endpoint{entry(9, "a", agent.Draining)}}); err != nil {
+// TestStaleLookupAfterEviction checks that a lookup answer is not applied if it is older than the data that was evicted for its destination.
+func TestStaleLookupAfterEviction(t *testing.T) {
+	s := newStateWithSnapshot(t, ownsNone, 5)
+	if _, err := lookUpDestination(t, s, 0, 9, Answer{Index: 8, Endpoints: []agent.Endpoint{entry(9, "a", agent.Draining)}}); err != nil {
 		t.Fatal(err)
 	}
 	if d := s.Resume(0, 9); d.Action != Proceed {
@@ -91,7 +92,7 @@
 	s.Release(9)
 	var u Update
 	s.evict(&u, 9)
-	_, err := lookUp(t, s, time.Second, 9, Answer{Index: 7, Endpoints: []agent.Endpoint{entry(9, "a", agent.Serving)}})
+	_, err := lookUpDestination(t, s, time.Second, 9, Answer{Index: 7, Endpoints: []agent.Endpoint{entry(9, "a", agent.Serving)}})
 	if !errors.Is(err, ErrStaleAnswer) || len(s.Endpoints()) > 0 {
 		t.Fatalf("%v; %v", err, s.Endpoints())
 	}
@@ -100,10 +101,11 @@
 	}
 }
 
-// TestMissing: a destination that does not exist passes, as the engine rejects it, is remembered for a time, and looked up again after that.
-func TestMissing(t *testing.T) {
-	s := owning(t, none, 5)
-	if _, err := lookUp(t, s, 0, 9, Answer{Index: 5}); err != nil {
+// TestMissingDestination checks that messages for a destination that does not exist proceed, since the engine rejects them, and that the destination is looked up
+// again after MissingTTL.
+func TestMissingDestination(t *testing.T) {
+	s := newStateWithSnapshot(t, ownsNone, 5)
+	if _, err := lookUpDestination(t, s, 0, 9, Answer{Index: 5}); err != nil {
 		t.Fatal(err)
 	}
 	if d := s.Resume(0, 9); d.Action != Proceed {
@@ -118,32 +120,34 @@
 	}
 }
 
-// TestCountedAnew: a server that had the index itself answers with a snapshot of a lower one: it holds from then on, and look-ups of before that don't.
-func TestCountedAnew(t *testing.T) {
+// TestIndexReset checks that a State accepts a snapshot with a lower index from a server that once had the requested index, and from then on ignores lookup
+// answers from before the reset.
+func TestIndexReset(t *testing.T) {
 	owns := func(d int) bool { return d == 1 }
-	s := owning(t, owns, 1000, entry(1, "a", agent.Serving))
+	s := newStateWithSnapshot(t, owns, 1000, entry(1, "a", agent.Serving))
 	w := s.NextWatch()
 	if u, err := s.ApplyWatch(w, Answer{Index: 3, Snapshot: true, Endpoints: []agent.Endpoint{entry(1, "b", agent.Serving)}}); err != nil || len(u.Changed) != 2 {
 		t.Fatalf("%+v %v", u, err)
 	}
-	if _, err := lookUp(t, s, 0, 9, Answer{Index: 1000, Endpoints: []agent.Endpoint{entry(9, "c", agent.Serving)}}); !errors.Is(err, ErrStaleAnswer) {
+	if _, err := lookUpDestination(t, s, 0, 9, Answer{Index: 1000, Endpoints: []agent.Endpoint{entry(9, "c", agent.Serving)}}); !errors.Is(err, ErrStaleAnswer) {
 		t.Fatal(err)
 	}
 	s.Resume(0, 9)
 	s.Release(9)
-	if _, err := lookUp(t, s, 10*time.Second, 9, Answer{Index: 4, Endpoints: []agent.Endpoint{entry(9, "c", agent.Serving)}}); err != nil {
+	if _, err := lookUpDestination(t, s, 10*time.Second, 9, Answer{Index: 4, Endpoints: []agent.Endpoint{entry(9, "c", agent.Serving)}}); err != nil {
 		t.Fatal(err)
 	}
 	if w := s.NextWatch(); w.From != 3 {
 		t.Fatalf("%+v", w)
 	}
 	if _, err := s.ApplyWatch(s.NextWatch(), Answer{Index: 2}); !errors.Is(err, ErrStaleAnswer) {
-		t.Fatalf("changes of a lower index: %v", err)
+		t.Fatalf("changes with a lower index: %v", err)
 	}
 }
 
-// TestExpected: a destination of recovered messages is asked for with the next watch, and until then a message for it waits for its own look-up, or is rejected.
-func TestExpected(t *testing.T) {
+// TestDestinationOfRecoveredMessage checks that the next watch requests the destination of a recovered message, and that until its answer a new message for the
+// destination waits for a lookup or is rejected.
+func TestDestinationOfRecoveredMessage(t *testing.T) {
 	s := New(DefaultLimits())
 	s.AddRecoveredMessage(7)
 	if d := s.Admit(0, 7); d.Action != Wait {
