--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,7 +1,7 @@
-// Package ownership says which members of a fleet own which destinations: rendezvous hashing over a fixed number of partitions.
+// Package ownership determines which members of a fleet own which destinations, by rendezvous hashing over a fixed number of partitions.
 //
-// It is a function of the list of members alone, so that all who know the same members agree without talking to each other, and a member that
-// leaves moves only the partitions that it owned. The package does no I/O. docs/ownership.md has the reasons.
+// The result depends on the list of members alone, so that processes which know the same members agree without communicating, and a member that leaves
+// causes only the partitions that it owned to move. The package does no I/O. docs/ownership.md explains the design.
 package ownership
 
 import (
@@ -15,22 +15,22 @@
 )
 
 const (
-	// MaxPartitions bounds the partitions of a layout.
+	// MaxPartitions is the largest number of partitions that a layout may have.
 	MaxPartitions = 1 << 24
-	// MaxReplicas bounds the owners of a partition.
+	// MaxReplicas is the largest number of owners that a partition may have.
 	MaxReplicas = 16
 )
 
-// Partition is the number of a partition, from 0 on.
+// Partition is the number of a partition, starting at 0.
 type Partition = uint32
 
-// Layout is how the destinations of a fleet are split. It is the same for all members.
+// Layout describes how the destinations of a fleet are split into partitions. It is the same for all members.
 type Layout struct {
 	Partitions int // a power of two
-	Replicas   int // owners of each partition
+	Replicas   int // number of owners of each partition
 }
 
-// Validate reports what is wrong with a layout.
+// Validate returns an error if a number of the layout is out of range.
 func (l Layout) Validate() error {
 	if l.Partitions < 1 || l.Partitions > MaxPartitions || bits.OnesCount(uint(l.Partitions)) != 1 {
 		return fmt.Errorf("partitions %d: a power of two from 1 to %d", l.Partitions, MaxPartitions)
@@ -41,29 +41,29 @@
 	return nil
 }
 
-// PartitionOf is the partition of a destination: the hash of its number in eight bytes, the lowest first.
+// PartitionOf returns the partition of a destination: the xxHash of its number as eight little-endian bytes, modulo the number of partitions.
 func (l Layout) PartitionOf(destination int) Partition {
-	var number [8]byte
-	binary.LittleEndian.PutUint64(number[:], uint64(destination))
-	return Partition(xxhash.Sum64(number[:]) & uint64(l.Partitions-1))
+	var encoded [8]byte
+	binary.LittleEndian.PutUint64(encoded[:], uint64(destination))
+	return Partition(xxhash.Sum64(encoded[:]) & uint64(l.Partitions-1))
 }
 
-// Owners are the owners of a partition, the one with the highest weight first; fewer than Replicas where there are fewer members. The order
-// of members and names that occur twice make no difference.
+// Owners returns the owners of a partition, the one with the highest weight first. There are fewer than Replicas if there are fewer members. The order of
+// members and duplicate names make no difference.
 func (l Layout) Owners(p Partition, members []string) []string {
 	return l.Members(members).Owners(p)
 }
 
-// OwnedPartitions are the partitions that self owns. It is counted as a member whether it is among them or not.
+// OwnedPartitions returns the partitions that self owns. It counts as a member even if the list lacks it.
 func (l Layout) OwnedPartitions(self string, members []string) Set {
 	return l.Members(members).OwnedPartitions(self)
 }
 
-// Members is a list of members made ready for many questions.
+// Members is a list of members, hashed and sorted once for many queries.
 type Members struct {
 	layout  Layout
-	members []member // by hash, then name; each once
-	hashes  []uint64 // theirs, side by side for the loop that goes over them for each partition
+	members []member // sorted by hash, then name; no duplicates
+	hashes  []uint64 // hashes of members, stored contiguously for the loop that visits all of them for each partition
 }
 
 type member struct {
@@ -71,7 +71,7 @@
 	name string
 }
 
-// Members makes a list of members ready.
+// Members prepares a list of members for queries.
 func (l Layout) Members(names []string) *Members {
 	m := &Members{layout: l, members: make([]member, len(names))}
 	for i, name := range names {
@@ -95,34 +95,34 @@
 	return cmp.Compare(a.name, b.name)
 }
 
-// candidate is a member with its weight for one partition.
+// candidate is a member and its weight for one partition.
 type candidate struct {
 	weight uint64
 	member
 }
 
-// outranks is the order of candidates: by weight, and where that is the same by name.
+// outranks reports whether a candidate comes before another one: the higher weight first, and among equal weights the smaller name.
 func (c candidate) outranks(other candidate) bool {
 	return c.weight > other.weight || c.weight == other.weight && c.name < other.name
 }
 
-// Owners are the owners of a partition, the one with the highest weight first.
+// Owners returns the owners of a partition, the one with the highest weight first.
 func (m *Members) Owners(p Partition) []string {
 	best := make([]candidate, 0, m.layout.Replicas+1)
 	for i, hash := range m.hashes {
-		own := weight(hash, p)
-		if len(best) == m.layout.Replicas && own < best[len(best)-1].weight {
+		memberWeight := weight(hash, p)
+		if len(best) == m.layout.Replicas && memberWeight < best[len(best)-1].weight {
 			continue
 		}
-		next := candidate{weight: own, member: m.members[i]}
+		next := candidate{weight: memberWeight, member: m.members[i]}
 		if len(best) == m.layout.Replicas && !next.outranks(best[len(best)-1]) {
 			continue
 		}
-		at := len(best)
-		for at > 0 && next.outranks(best[at-1]) {
-			at--
+		position := len(best)
+		for position > 0 && next.outranks(best[position-1]) {
+			position--
 		}
-		best = slices.Insert(best, at, next)
+		best = slices.Insert(best, position, next)
 		best = best[:min(len(best), m.layout.Replicas)]
 	}
 	names := make([]string, len(best))
@@ -132,8 +132,8 @@
 	return names
 }
 
-// OwnedPartitions are the partitions that a member owns, whether the list has it or not. Each partition takes some thirty hashes, however many members
-// there are: it is decided by the first Replicas of them that outrank self.
+// OwnedPartitions returns the partitions that a member owns, whether the list has it or not. Each partition takes about thirty hashes, however many members
+// there are, since the loop stops at the Replicas-th member that outranks this one.
 func (m *Members) OwnedPartitions(name string) Set {
 	self := newMember(name)
 	var owned []Partition
@@ -145,26 +145,27 @@
 	return Set{numbers: owned}
 }
 
+// owns reports whether fewer than Replicas members outrank self for a partition.
 func (m *Members) owns(self member, p Partition) bool {
-	own := weight(self.hash, p)
-	ahead := 0
+	selfWeight := weight(self.hash, p)
+	higherRanked := 0
 	for i, hash := range m.hashes {
-		theirs := weight(hash, p)
-		if theirs < own {
+		otherWeight := weight(hash, p)
+		if otherWeight < selfWeight {
 			continue
 		}
-		if theirs == own && m.members[i].name >= self.name { // self, or one with the same hash that comes later
+		if otherWeight == selfWeight && m.members[i].name >= self.name { // self, or a member with the same hash and a larger name
 			continue
 		}
-		if ahead++; ahead == m.layout.Replicas {
+		if higherRanked++; higherRanked == m.layout.Replicas {
 			return false
 		}
 	}
 	return true
 }
 
-// weight mixes a member's hash with a partition: the finalizer of SplitMix64, in which each bit of the input changes each bit of the
-// outcome with a chance of a half.
+// weight mixes a member's hash with a partition by the finalizer of SplitMix64, in which a change of any input bit flips each output bit with a probability of
+// one half.
 func weight(member uint64, p Partition) uint64 {
 	const golden = 0x9e3779b97f4a7c15
 	mixed := member + golden*(uint64(p)+1)
--- a/internal/ownership/set.go
+++ b/internal/ownership/set.go
@@ -13,19 +13,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Set is a set of numbers, of partitions or of destinations. Its zero value is empty; a set does not change.
+// Set is an immutable set of numbers, of partitions or of destinations. The zero value is the empty set.
 type Set struct {
-	numbers []uint32 // ascending, each once
+	numbers []uint32 // ascending, no duplicates
 }
 
-// NewSet makes a set of numbers in any order.
+// NewSet creates a set from numbers in any order; duplicates count once.
 func NewSet(numbers ...uint32) Set {
 	sorted := slices.Clone(numbers)
 	slices.Sort(sorted)
 	return Set{numbers: slices.Compact(sorted)}
 }
 
-// Len is how many numbers there are.
+// Len returns how many numbers the set has.
 func (s Set) Len() int { return len(s.numbers) }
 
 // Contains reports whether a number is in the set.
@@ -34,13 +34,13 @@
 	return found
 }
 
-// All are the numbers, ascending.
+// All returns the numbers in ascending order.
 func (s Set) All() iter.Seq[uint32] { return slices.Values(s.numbers) }
 
-// Equal reports whether two sets have the same numbers.
+// Equal reports whether two sets contain the same numbers.
 func (s Set) Equal(other Set) bool { return slices.Equal(s.numbers, other.numbers) }
 
-// Union is the set of the numbers that are in one of the two.
+// Union returns the numbers that are in at least one of the two sets.
 func (s Set) Union(other Set) Set {
 	merged := make([]uint32, 0, len(s.numbers)+len(other.numbers))
 	a, b := s.numbers, other.numbers
@@ -58,13 +58,13 @@
 	return Set{numbers: append(merged, b...)}
 }
 
-// Split is the set of the first count numbers, and that of the others.
+// Split returns the set of the count smallest numbers, and the set of the others.
 func (s Set) Split(count int) (first, rest Set) {
 	count = min(count, len(s.numbers))
 	return Set{numbers: s.numbers[:count:count]}, Set{numbers: s.numbers[count:]}
 }
 
-// Difference is the set of the numbers that are not in the other.
+// Difference returns the numbers of s that are not in other.
 func (s Set) Difference(other Set) Set {
 	var rest []uint32
 	b := other.numbers
@@ -79,8 +79,8 @@
 	return Set{numbers: rest}
 }
 
-// String is the set's text: the first number and then the differences as unsigned varints, in base64url without padding. A set has exactly
-// one text; that of the empty set is empty.
+// String encodes the set as text: the first number and then the differences between neighbours as unsigned varints, in base64url without padding. Each set has
+// exactly one encoding; that of the empty set is the empty string.
 func (s Set) String() string {
 	packed := make([]byte, 0, 2*len(s.numbers))
 	var last uint32
@@ -91,13 +91,14 @@
 	return base64.RawURLEncoding.EncodeToString(packed)
 }
 
-// ParseSet reads a set's text. It may have so many numbers at most, each below the limit; a text that String would not write is refused.
+// ParseSet decodes the text form of a set. The set may have up to maxLen numbers, each below limit. ParseSet returns an error for a text that String would not
+// produce.
 func ParseSet(text string, maxLen int, limit uint64) (Set, error) {
-	if most := int64(maxLen) * binary.MaxVarintLen32; int64(base64.RawURLEncoding.DecodedLen(len(text))) > most {
+	if maxBytes := int64(maxLen) * binary.MaxVarintLen32; int64(base64.RawURLEncoding.DecodedLen(len(text))) > maxBytes {
 		return Set{}, fmt.Errorf("a set of %d characters: at most %d numbers are read", len(text), maxLen)
 	}
-	if at := strings.IndexAny(text, "\r\n"); at >= 0 { // which the decoder would skip
-		return Set{}, fmt.Errorf("byte %d of a set is a line break", at)
+	if position := strings.IndexAny(text, "\r\n"); position >= 0 { // the decoder would ignore line breaks
+		return Set{}, fmt.Errorf("byte %d of a set is a line break", position)
 	}
 	packed, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if err != nil {
@@ -107,26 +108,26 @@
 	numbers := make([]uint32, 0, min(len(packed), maxLen))
 	var last uint64
 	for rest := packed; len(rest) > 0; {
-		step, size, err := canonicalUvarint(rest)
+		difference, size, err := canonicalUvarint(rest)
 		if err != nil {
 			return Set{}, fmt.Errorf("byte %d of a set: %w", len(packed)-len(rest), err)
 		}
-		if step == 0 && len(numbers) > 0 {
+		if difference == 0 && len(numbers) > 0 {
 			return Set{}, fmt.Errorf("byte %d of a set: number %d occurs twice", len(packed)-len(rest), last)
 		}
-		if step >= limit || last+step >= limit {
+		if difference >= limit || last+difference >= limit {
 			return Set{}, fmt.Errorf("byte %d of a set: a number beyond %d", len(packed)-len(rest), limit-1)
 		}
 		if len(numbers) == maxLen {
 			return Set{}, fmt.Errorf("a set of more than %d numbers", maxLen)
 		}
-		last += step
+		last += difference
 		numbers, rest = append(numbers, uint32(last)), rest[size:]
 	}
 	return Set{numbers: numbers}, nil
 }
 
-// canonicalUvarint reads a number as binary.AppendUvarint writes it: a longer form of the same number is refused.
+// canonicalUvarint decodes a number that binary.AppendUvarint has encoded. A longer encoding of the same number is an error.
 func canonicalUvarint(from []byte) (number uint64, size int, err error) {
 	number, size = binary.Uvarint(from)
 	switch {
@@ -140,10 +141,10 @@
 	return number, size, nil
 }
 
-// Digest names a scope: 16 hexadecimal digits of the hash of the number of partitions, a colon, and the set's text.
+// Digest returns the identifier of a scope: the hash of the number of partitions, a colon and the set's text, as 16 hexadecimal digits.
 func (l Layout) Digest(s Set) string { return Digest(l.Partitions, s.String()) }
 
-// Digest is the digest of a set's text.
+// Digest returns the identifier of the scope that a set's text describes, as Layout.Digest does.
 func Digest(partitions int, text string) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d:%s", partitions, text)))
 }
--- a/internal/ownership/tracker.go
+++ b/internal/ownership/tracker.go
@@ -1,23 +1,24 @@
 package ownership
 
-// Tracker keeps the partitions of one member as the members change, and looks only at those whose owners a change can touch. What it
-// returns is what Layout.Owned would. It is not safe for use by several goroutines.
+// Tracker maintains the owned partitions of one member while the members change. It recomputes only those whose owners a change can affect. Its
+// result equals that of Layout.OwnedPartitions. A Tracker is not safe for concurrent use.
 type Tracker struct {
 	layout  Layout
 	self    member
-	members *Members // nil: none yet
+	members *Members // nil: Update has not been called yet
 	owned   Set
 }
 
-// maxLeftShare is the part of the members that may have left for their ranks to be looked at one by one: beyond it all is worked out anew.
-const maxLeftShare = 0.02
+// maxIncrementalLeft is the largest share of the members that may leave in one update for an incremental computation. If more leave, Update recomputes all
+// partitions, since the incremental way compares this member's weight with that of each member that left.
+const maxIncrementalLeft = 0.02
 
-// NewTracker makes a Tracker for a member.
+// NewTracker creates a Tracker for the member self.
 func NewTracker(l Layout, self string) *Tracker {
 	return &Tracker{layout: l, self: newMember(self)}
 }
 
-// Update is the partitions that the member owns among the members as they are now.
+// Update replaces the list of members and returns the partitions that the tracked member owns.
 func (t *Tracker) Update(names []string) Set {
 	before, next := t.members, t.layout.Members(names)
 	t.members = next
@@ -27,18 +28,18 @@
 	}
 	joined, left := changedMembers(before.members, next.members)
 	switch {
-	case float64(len(left)) > maxLeftShare*float64(len(before.members)):
+	case float64(len(left)) > maxIncrementalLeft*float64(len(before.members)):
 		t.owned = next.OwnedPartitions(t.self.name)
 	case len(left) > 0:
 		t.owned = t.ownedAfterLeaving(next, joined, left)
 	case len(joined) > 0:
-		t.owned = t.stillOwned(next)
+		t.owned = t.ownedAfterJoining(next)
 	}
 	return t.owned
 }
 
-// stillOwned is what is left of the present part: a member that joins takes partitions, and gives none.
-func (t *Tracker) stillOwned(next *Members) Set {
+// ownedAfterJoining returns the partitions that the member still owns after others have joined. A member that joins can only take partitions from it.
+func (t *Tracker) ownedAfterJoining(next *Members) Set {
 	var kept []Partition
 	for p := range t.owned.All() {
 		if next.owns(t.self, p) {
@@ -48,14 +49,15 @@
 	return Set{numbers: kept}
 }
 
-// ownedAfterLeaving is the part after members have left: a partition is new only where one of them had outranked this member.
+// ownedAfterLeaving returns the owned partitions after members have left and others may have joined. The member can gain a partition only if a member that left
+// had outranked it there.
 func (t *Tracker) ownedAfterLeaving(next *Members, joined, left []member) Set {
 	var owned []Partition
-	former := t.owned.numbers
+	previous := t.owned.numbers
 	for p := range Partition(t.layout.Partitions) {
-		isOwned := len(former) > 0 && former[0] == p
+		isOwned := len(previous) > 0 && previous[0] == p
 		if isOwned {
-			former = former[1:]
+			previous = previous[1:]
 		}
 		switch {
 		case isOwned && len(joined) == 0:
@@ -69,19 +71,19 @@
 	return Set{numbers: owned}
 }
 
-// isOutrankedBy reports whether one of some members has a higher weight for a partition.
+// isOutrankedBy reports whether at least one of the given members outranks the tracked member for a partition.
 func (t *Tracker) isOutrankedBy(members []member, p Partition) bool {
-	own := weight(t.self.hash, p)
+	selfWeight := weight(t.self.hash, p)
 	for i := range members {
-		theirs := weight(members[i].hash, p)
-		if theirs > own || theirs == own && members[i].name < t.self.name {
+		otherWeight := weight(members[i].hash, p)
+		if otherWeight > selfWeight || otherWeight == selfWeight && members[i].name < t.self.name {
 			return true
 		}
 	}
 	return false
 }
 
-// changedMembers compares two lists in their order.
+// changedMembers compares two sorted lists and returns the members that only one of them has.
 func changedMembers(before, next []member) (joined, left []member) {
 	for len(before) > 0 || len(next) > 0 {
 		switch {
--- a/internal/ownership/tracker_test.go
+++ b/internal/ownership/tracker_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTracker: however members come and go, by ones or by many, the tracked part is the one that is worked out anew.
-func TestTracker(t *testing.T) {
+// TestTrackerMatchesOwnedPartitions lets members join and leave, singly or many at a time, and checks that the Tracker's result equals a full computation.
+func TestTrackerMatchesOwnedPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layout := Layout{Partitions: 1 << rapid.IntRange(0, 9).Draw(t, "partitions"), Replicas: rapid.IntRange(1, 4).Draw(t, "replicas")}
 		tracker := NewTracker(layout, "m-0")
@@ -27,14 +27,14 @@
 			}
 			got, want := tracker.Update(names), layout.OwnedPartitions("m-0", names)
 			if !slices.Equal(got.numbers, want.numbers) {
-				t.Fatalf("among %v: tracked %v, anew %v", names, got.numbers, want.numbers)
+				t.Fatalf("members %v: the Tracker returns %v, a full computation %v", names, got.numbers, want.numbers)
 			}
 		}
 	})
 }
 
-// BenchmarkChange is what a change of the members costs one of 6,800, by the kind of change.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkTrackerUpdate measures what one of 6,800 members spends on a change of the members, by the kind of change.
+func BenchmarkTrackerUpdate(b *testing.B) {
 	layout := Layout{Partitions: 1 << 21, Replicas: 3}
 	names := make([]string, 6_800)
 	for i := range names {
@@ -51,7 +51,7 @@
 			}
 		})
 	}
-	b.Run("anew", func(b *testing.B) {
+	b.Run("full computation", func(b *testing.B) {
 		for b.Loop() {
 			layout.OwnedPartitions(names[0], names)
 		}
