--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,7 @@
-// Package catalog holds the whole list of endpoints in a compact form, by partition, with a bounded log of changes, for the control servers.
+// Package catalog stores the whole list of endpoints for a control server: compactly, indexed by partition, and with a bounded log of changes.
 //
-// It is a plain data structure: no I/O, no clock, no lock. Its caller keeps writers apart from readers; readers may run beside each other.
+// It is a plain data structure without I/O, clock or locks. The caller must keep a writer from running at the same time as readers or another writer; readers may
+// run concurrently.
 package catalog
 
 import (
@@ -12,91 +13,91 @@
 	"scaleroute/internal/ownership"
 )
 
-// Limits bound a catalog.
+// Limits bound the size of a catalog.
 type Limits struct {
-	Entries int // endpoints
-	Changes int // entries of the change log
+	Entries int // number of endpoints
+	Changes int // number of entries in the change log
 }
 
-// DefaultLimits are several times the size that is planned for.
+// DefaultLimits allow several times the planned size of the list.
 var DefaultLimits = Limits{Entries: 8 << 20, Changes: 128 << 10}
 
-// What one entry may be at most; what is longer is refused.
+// Limits of one entry. Put returns an error for an entry that exceeds one.
 const (
 	maxNameLen    = 1 << 10
 	maxAddressLen = 1 << 10
 	maxGroup      = math.MaxUint32
 )
 
-// Errors of Begin and Since.
+// Errors that Begin and the methods that read changes return.
 var (
 	ErrNoList         = errors.New("no list yet")
-	ErrCatalogBehind  = errors.New("the list here is older than the one asked from")
-	ErrSnapshotNeeded = errors.New("what has changed since then is not known any more")
-	ErrStaleChanges   = errors.New("changes with an older index than the list's")
+	ErrCatalogBehind  = errors.New("the list here is older than the requested index")
+	ErrSnapshotNeeded = errors.New("the changes since the requested index are no longer known")
+	ErrStaleChanges   = errors.New("the changes have an older index than the list")
 )
 
-// Catalog is the whole list.
+// Catalog is the whole list of endpoints, its index and the log of its last changes.
 type Catalog struct {
-	layout  ownership.Layout
-	limits  Limits
-	entries *store
-	log     changeLog
-	index   int64 // of the list; -1: none yet
-	highest int64 // the highest index before it went back; -1: it never did
-	update  update
+	layout       ownership.Layout
+	limits       Limits
+	entries      *store
+	log          changeLog
+	index        int64 // index of the list; -1: there is no list yet
+	highestIndex int64 // highest index that the list had before an index reset; -1: there was no reset
+	pending      pendingList
 }
 
-// update is a list that is being taken over.
-type update struct {
+// pendingList describes a list between Begin and Commit.
+type pendingList struct {
 	open     bool
 	index    int64
 	snapshot bool
-	seen     bitmap // the entries that a snapshot has named
+	seen     bitmap // slots of the entries that a snapshot has named so far
 }
 
-// New makes an empty catalog.
+// New creates an empty catalog.
 func New(layout ownership.Layout, limits Limits) *Catalog {
-	return &Catalog{layout: layout, limits: limits, entries: newStore(layout), log: newChangeLog(limits.Changes), index: -1, highest: -1}
+	return &Catalog{layout: layout, limits: limits, entries: newStore(layout), log: newChangeLog(limits.Changes), index: -1, highestIndex: -1}
 }
 
-// Index is the index of the list, -1 where there is none yet.
+// Index returns the index of the list, or -1 if there is no list yet.
 func (c *Catalog) Index() int64 { return c.index }
 
-// HighestIndex is the highest index that the list had before discovery counted anew, -1 where it never did.
-func (c *Catalog) HighestIndex() int64 { return c.highest }
+// HighestIndex returns the highest index that the list had before discovery restarted its indexes at a lower value, or -1 if that has never happened.
+func (c *Catalog) HighestIndex() int64 { return c.highestIndex }
 
-// Len is how many endpoints there are.
+// Len returns the number of endpoints.
 func (c *Catalog) Len() int { return c.entries.len() }
 
-// Layout is how the destinations are split.
+// Layout returns how the destinations are split into partitions.
 func (c *Catalog) Layout() ownership.Layout { return c.layout }
 
-// ChangedDestinations says whose part a list has changed.
+// ChangedDestinations tells which destinations a list has changed.
 type ChangedDestinations struct {
-	All          bool     // there are too many to name
-	Destinations []uint32 // destinations, some more than once
+	All          bool     // any destination may have changed: the log can't hold all changes, or the list is the first one or has a lower index
+	Destinations []uint32 // may contain duplicates
 }
 
-// Begin starts to take over a list: a snapshot, or what changed. Entries follow with Put, and Commit ends it. A list that was begun before and not
-// committed was cut off: what it has put stays, as it is newer than what was there, and the next list repeats it. A snapshot with an older index
-// is believed: whether it is to be is the caller's decision.
+// Begin starts to apply a list, which is either a snapshot or a set of changes. The caller passes its entries to Put and then calls Commit. If the previous list was
+// not committed, its transfer was cut off: entries that it has put stay, since they are newer than what was there, and the next list repeats them. Begin accepts a
+// snapshot with an older index; the caller decides whether to trust it.
 func (c *Catalog) Begin(index int64, snapshot bool) error {
-	c.update = update{}
+	c.pending = pendingList{}
 	if c.index < 0 && !snapshot {
 		return ErrNoList
 	}
 	if index < c.index && !snapshot {
 		return ErrStaleChanges
 	}
-	c.update = update{open: true, index: index, snapshot: snapshot}
+	c.pending = pendingList{open: true, index: index, snapshot: snapshot}
 	return nil
 }
 
-// Put takes over one entry. One that can't be right is refused alone, with an error that names it.
+// Put applies one entry of the list. It returns an error that names the entry if the entry is invalid; the other entries are not affected.
 func (c *Catalog) Put(e agent.Endpoint) error {
-	if !c.update.open {
-		return errors.New("no list is being taken over")
+	if !c.pending.open {
+		return errors.New("an entry was put before a list was begun")
 	}
 	if err := c.put(e); err != nil {
 		return fmt.Errorf("endpoint %.80q: %w", e.Name, err)
@@ -104,17 +105,17 @@
 	return nil
 }
 
-// KeepExisting is for an entry that could not be read: what is known under its name stays, also where the list is a snapshot.
+// KeepExisting handles an entry of the list that could not be read: an existing entry with this name stays, even if the list is a snapshot.
 func (c *Catalog) KeepExisting(name string) {
-	if slot, known := c.entries.find(name); known && c.update.open {
-		c.see(slot)
+	if slot, known := c.entries.find(name); known && c.pending.open {
+		c.markSeen(slot)
 	}
 }
 
 func (c *Catalog) put(e agent.Endpoint) error {
 	slot, known := c.entries.find(e.Name)
 	if known && e.Status != agent.Deleted {
-		c.see(slot) // also where its new state is refused: then it stays as it was
+		c.markSeen(slot) // even if the new state is invalid: the entry then stays as it was
 	}
 	if err := e.Validate(); err != nil {
 		return err
@@ -126,7 +127,7 @@
 		return nil
 	}
 	if known {
-		e = c.complete(slot, e)
+		e = c.fillIn(slot, e)
 	}
 	if err := c.checkSize(e); err != nil {
 		return err
@@ -137,8 +138,8 @@
 	return c.replace(slot, e)
 }
 
-// complete fills in what an entry that drains may lack.
-func (c *Catalog) complete(slot slot, e agent.Endpoint) agent.Endpoint {
+// fillIn completes a draining entry that has no address: the other fields come from the existing entry.
+func (c *Catalog) fillIn(slot slot, e agent.Endpoint) agent.Endpoint {
 	if e.Status != agent.Draining || e.Address != "" {
 		return e
 	}
@@ -161,14 +162,14 @@
 
 func (c *Catalog) add(e agent.Endpoint) error {
 	if c.entries.len() >= c.limits.Entries {
-		return fmt.Errorf("there are %d endpoints already, as many as are kept", c.limits.Entries)
+		return fmt.Errorf("the catalog has its maximum of %d endpoints already", c.limits.Entries)
 	}
 	slot, err := c.entries.add(e)
 	if err != nil {
 		return err
 	}
-	c.see(slot)
-	c.record(slot)
+	c.markSeen(slot)
+	c.logChange(slot)
 	return nil
 }
 
@@ -177,52 +178,53 @@
 	if before == e {
 		return nil
 	}
-	if before.Group != e.Group { // a scope with only the former destination must see it leave
-		c.record(slot)
+	if before.Group != e.Group { // clients whose scope has only the former destination must learn that the endpoint has left it
+		c.logChange(slot)
 	}
 	if err := c.entries.replace(slot, e); err != nil {
 		return err
 	}
-	c.record(slot)
+	c.logChange(slot)
 	return nil
 }
 
 func (c *Catalog) delete(slot slot) {
-	c.record(slot)
+	c.logChange(slot)
 	c.entries.delete(slot)
 }
 
-// record notes in the log that an entry changes. The first list changes nothing: nobody had another.
-func (c *Catalog) record(slot slot) {
+// logChange adds a change of an entry to the log. It logs nothing for the first list, since no client has an older one.
+func (c *Catalog) logChange(slot slot) {
 	if c.index >= 0 {
 		record := c.entries.at(slot)
-		c.log.add(change{name: record.name(), group: record.group})
+		c.log.add(changeEntry{name: record.name(), group: record.group})
 	}
 }
 
-func (c *Catalog) see(slot slot) {
-	if c.update.snapshot {
-		c.update.seen.set(slot)
+// markSeen records that the pending snapshot contains an entry.
+func (c *Catalog) markSeen(slot slot) {
+	if c.pending.snapshot {
+		c.pending.seen.set(slot)
 	}
 }
 
-// Commit ends a list that was begun: what a snapshot has not named is gone, and the list has its index.
+// Commit completes the pending list and sets its index. If the list is a snapshot, Commit first deletes the entries that it did not contain.
 func (c *Catalog) Commit() (ChangedDestinations, error) {
-	if !c.update.open {
-		return ChangedDestinations{}, errors.New("no list is being taken over")
+	if !c.pending.open {
+		return ChangedDestinations{}, errors.New("a list was committed before it was begun")
 	}
-	if c.update.snapshot {
+	if c.pending.snapshot {
 		c.deleteUnseen()
 	}
-	index := c.update.index
-	c.update = update{}
+	index := c.pending.index
+	c.pending = pendingList{}
 	if c.index < 0 || index < c.index {
-		c.highest = max(c.highest, c.index)
+		c.highestIndex = max(c.highestIndex, c.index)
 		c.index = index
-		c.log.restart(index)
+		c.log.reset(index)
 		return ChangedDestinations{All: true}, nil
 	}
-	if index == c.index { // changes without a new index wait for one: who has this index could not be sent them
+	if index == c.index { // changes without a new index stay in the log until the next one: clients that have this index could not request them
 		return ChangedDestinations{}, nil
 	}
 	c.index = index
@@ -231,14 +233,14 @@
 
 func (c *Catalog) deleteUnseen() {
 	for slot := range c.entries.slots() {
-		if c.entries.at(slot).used() && !c.update.seen.has(slot) {
+		if c.entries.at(slot).used() && !c.pending.seen.has(slot) {
 			c.delete(slot)
 		}
 	}
 }
 
-// Apply takes over a list at once. The entries that were refused are the second result; the first error is about the list as a whole.
-func (c *Catalog) Apply(list *agent.List) (touched ChangedDestinations, refused []error, err error) {
+// Apply applies a complete list. refused has one error for each invalid entry; err concerns the list as a whole.
+func (c *Catalog) Apply(list *agent.List) (changed ChangedDestinations, refused []error, err error) {
 	if err := c.Begin(list.Index, list.Snapshot); err != nil {
 		return ChangedDestinations{}, nil, err
 	}
@@ -247,15 +249,15 @@
 			refused = append(refused, err)
 		}
 	}
-	touched, err = c.Commit()
-	return touched, refused, err
+	changed, err = c.Commit()
+	return changed, refused, err
 }
 
-// Restore gives an empty catalog the index of a list that was saved; its entries follow with Put, and Commit ends it.
+// Restore begins to load a saved list into an empty catalog. The caller passes the entries to Put and then calls Commit, as after Begin.
 func (c *Catalog) Restore(index, highest int64) error {
 	if c.index >= 0 || c.Len() > 0 {
-		return errors.New("only an empty catalog is restored")
+		return errors.New("a list can be restored only into an empty catalog")
 	}
-	c.highest = highest
+	c.highestIndex = highest
 	return c.Begin(index, true)
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -21,24 +21,24 @@
 	return agent.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Type: "std", Group: group, Status: agent.Serving, Weight: 1}
 }
 
-// view is what a client knows: the endpoints of its scope by name, as of an index.
-type view struct {
+// clientView holds what a client knows: the endpoints of its scope by name, at an index.
+type clientView struct {
 	scope     Scope
 	index     int64
 	endpoints map[string]agent.Endpoint
 }
 
-func (v *view) visit(e agent.Endpoint) {
+func (v *clientView) apply(e agent.Endpoint) {
 	if v.endpoints[e.Name] = e; e.Status == agent.Deleted {
 		delete(v.endpoints, e.Name)
 	}
 }
 
-// catchUp asks as a client does: for what has changed, and for a snapshot where that is not known.
-func (v *view) catchUp(c *Catalog) error {
+// catchUp updates the view as a client does: it requests the changes, and a snapshot if the catalog no longer has them.
+func (v *clientView) catchUp(c *Catalog) error {
 	err := ErrSnapshotNeeded
 	if v.index >= 0 {
-		err = c.VisitChanges(&v.scope, v.index, v.visit)
+		err = c.VisitChanges(&v.scope, v.index, v.apply)
 	}
 	if errors.Is(err, ErrSnapshotNeeded) {
 		clear(v.endpoints)
@@ -50,17 +50,17 @@
 	return err
 }
 
-func (v *view) snapshot(c *Catalog) error {
+func (v *clientView) snapshot(c *Catalog) error {
 	if !v.scope.Whole {
-		return c.VisitScope(&v.scope, v.visit)
+		return c.VisitScope(&v.scope, v.apply)
 	}
 	for begin, more := 0, true; more; {
-		begin, more = c.VisitSlots(begin, 3, v.visit)
+		begin, more = c.VisitSlots(begin, 3, v.apply)
 	}
 	return nil
 }
 
-// model is the list as a plain map.
+// model holds the list as a plain map.
 type model struct {
 	index     int64
 	endpoints map[string]agent.Endpoint
@@ -74,7 +74,7 @@
 	return e
 }
 
-// deliver has the model and the catalog take over the same list, or only a beginning of it.
+// deliver applies a list to the model and to the catalog. If cut is true, the catalog receives the entries without a Commit, and the model nothing.
 func (m *model) deliver(t *rapid.T, c *Catalog, l *agent.List, cut bool) {
 	if cut {
 		if err := c.Begin(l.Index, l.Snapshot); err != nil {
@@ -101,13 +101,13 @@
 	}
 }
 
-// TestAgainstMap: lists come whole and as changes, some cut off, with the index going back at times; clients with scopes of all kinds miss some of
-// them. Whoever catches up has what a plain map has for its scope, and so has one that has only now begun.
-func TestAgainstMap(t *testing.T) {
+// TestCatalogAgainstMap applies random snapshots and changes, some of them cut off before the commit, some with a lower index. Clients with scopes of all kinds
+// skip some of the lists. A client that catches up must have the endpoints that a plain map has for its scope, and so must a new client.
+func TestCatalogAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(testLayout, Limits{Entries: 100, Changes: rapid.IntRange(0, 12).Draw(t, "log")})
 		m := model{index: -1, endpoints: map[string]agent.Endpoint{}}
-		views := []*view{{scope: Scope{Whole: true}}, {scope: Scope{Partitions: ownership.NewSet(0, 3, 4)}},
+		views := []*clientView{{scope: Scope{Whole: true}}, {scope: Scope{Partitions: ownership.NewSet(0, 3, 4)}},
 			{scope: Scope{Destinations: ownership.NewSet(1, 5, 6)}}, {scope: Scope{Partitions: ownership.NewSet(1, 2), Destinations: ownership.NewSet(0, 1, 2, 3)}}, {}}
 		for _, v := range views {
 			v.index, v.endpoints = -1, map[string]agent.Endpoint{}
@@ -118,14 +118,14 @@
 			cut := rapid.IntRange(0, 5).Draw(t, "cut") == 0
 			if back := rapid.IntRange(0, 9).Draw(t, "back") == 0; back && m.index > 0 && !cut {
 				l.Index, l.Snapshot = int64(rapid.IntRange(0, int(m.index)-1).Draw(t, "index")), true
-				for _, v := range views { // who is away while discovery counts anew can't tell the old count from the new one
+				for _, v := range views { // a client that misses an index reset can't tell old indexes from new ones, so each has the current index first
 					v.index = max(v.index, c.Index())
 				}
 			}
-			if m.deliver(t, c, l, cut); cut { // what was cut off comes again
+			if m.deliver(t, c, l, cut); cut { // a list that was cut off is sent again
 				m.deliver(t, c, l, false)
 			}
-			for i, v := range append(views, &view{scope: views[1].scope, index: -1, endpoints: map[string]agent.Endpoint{}}) {
+			for i, v := range append(views, &clientView{scope: views[1].scope, index: -1, endpoints: map[string]agent.Endpoint{}}) {
 				if v.index <= c.Index() && i < len(views) && rapid.Bool().Draw(t, "misses it") {
 					continue
 				}
@@ -135,7 +135,7 @@
 	})
 }
 
-func (m *model) compare(t *rapid.T, c *Catalog, v *view) {
+func (m *model) compare(t *rapid.T, c *Catalog, v *clientView) {
 	if err := v.catchUp(c); err != nil {
 		t.Fatal(err)
 	}
@@ -146,48 +146,49 @@
 	}
 }
 
-// TestRefused: entries that can't be right are refused alone, each with an error that names it, and what was there before stays.
-func TestRefused(t *testing.T) {
+// TestInvalidEntries checks that Apply rejects only the invalid entries of a list, each with an error that names it, and that an existing entry stays if its new
+// state is invalid.
+func TestInvalidEntries(t *testing.T) {
 	c := New(testLayout, Limits{Entries: 4, Changes: 10})
 	long := strings.Repeat("x", 2000)
-	spoilt := func(change func(e *agent.Endpoint)) agent.Endpoint {
-		e := serving("spoilt", 1)
+	malformed := func(change func(e *agent.Endpoint)) agent.Endpoint {
+		e := serving("malformed", 1)
 		change(&e)
 		return e
 	}
 	list := &agent.List{Index: 1, Snapshot: true, Endpoints: []agent.Endpoint{serving("good", 1),
-		spoilt(func(e *agent.Endpoint) { e.Address = "nowhere" }), spoilt(func(e *agent.Endpoint) { e.Address = long + ":1" }),
-		spoilt(func(e *agent.Endpoint) { e.Group = -1 }), spoilt(func(e *agent.Endpoint) { e.Group, e.Status = -1, agent.Draining }),
-		spoilt(func(e *agent.Endpoint) { e.Group = 1 << 32 }), spoilt(func(e *agent.Endpoint) { e.Status = "?" }), spoilt(func(e *agent.Endpoint) { e.Weight = -1 }),
-		spoilt(func(e *agent.Endpoint) { e.Name += long }), spoilt(func(e *agent.Endpoint) { e.Zone = long }), spoilt(func(e *agent.Endpoint) { e.Name = "" })}}
+		malformed(func(e *agent.Endpoint) { e.Address = "nowhere" }), malformed(func(e *agent.Endpoint) { e.Address = long + ":1" }),
+		malformed(func(e *agent.Endpoint) { e.Group = -1 }), malformed(func(e *agent.Endpoint) { e.Group, e.Status = -1, agent.Draining }),
+		malformed(func(e *agent.Endpoint) { e.Group = 1 << 32 }), malformed(func(e *agent.Endpoint) { e.Status = "?" }), malformed(func(e *agent.Endpoint) { e.Weight = -1 }),
+		malformed(func(e *agent.Endpoint) { e.Name += long }), malformed(func(e *agent.Endpoint) { e.Zone = long }), malformed(func(e *agent.Endpoint) { e.Name = "" })}}
 	_, refused, err := c.Apply(list)
 	if err != nil || len(refused) != len(list.Endpoints)-1 || c.Len() != 1 {
 		t.Fatalf("%v, %d refused, %d kept", err, len(refused), c.Len())
 	}
 	for _, err := range refused {
-		if !strings.Contains(err.Error(), `"spoilt`) && !strings.Contains(err.Error(), `name`) {
-			t.Errorf("does not name its entry: %v", err)
+		if !strings.Contains(err.Error(), `"malformed`) && !strings.Contains(err.Error(), `name`) {
+			t.Errorf("the error does not name its entry: %v", err)
 		}
 	}
-	spoiltGood := serving("good", 1)
-	spoiltGood.Address = "nowhere"
-	if _, refused, _ := c.Apply(&agent.List{Index: 2, Snapshot: true, Endpoints: []agent.Endpoint{spoiltGood}}); len(refused) != 1 || c.Len() != 1 {
-		t.Errorf("an entry that was right before: %v, %d kept", refused, c.Len())
+	malformedGood := serving("good", 1)
+	malformedGood.Address = "nowhere"
+	if _, refused, _ := c.Apply(&agent.List{Index: 2, Snapshot: true, Endpoints: []agent.Endpoint{malformedGood}}); len(refused) != 1 || c.Len() != 1 {
+		t.Errorf("an invalid new state of a valid entry: %v, %d kept", refused, c.Len())
 	}
 	many := &agent.List{Index: 3, Snapshot: true}
 	for i := range 6 {
 		many.Endpoints = append(many.Endpoints, serving(fmt.Sprint("s-", i), i))
 	}
-	if _, refused, _ := c.Apply(many); len(refused) != 3 || c.Len() != 3 { // "good" has its place until the snapshot ends
+	if _, refused, _ := c.Apply(many); len(refused) != 3 || c.Len() != 3 { // "good" counts until the snapshot is committed
 		t.Errorf("over the limit: %v, %d kept", refused, c.Len())
 	}
 }
 
-// TestZonesAreBounded: there are so many different zones at most, and one more is refused.
-func TestZonesAreBounded(t *testing.T) {
+// TestZoneLimit checks that entries with a new zone are rejected once the maximum number of different zones is reached.
+func TestZoneLimit(t *testing.T) {
 	c := New(testLayout, DefaultLimits)
 	list := &agent.List{Index: 1, Snapshot: true}
-	for i := range maxNames + 2 {
+	for i := range maxStrings + 2 {
 		e := serving(fmt.Sprint("s-", i), i)
 		e.Zone = fmt.Sprint("zone-", i)
 		list.Endpoints = append(list.Endpoints, e)
@@ -197,8 +198,8 @@
 	}
 }
 
-// TestDrainingInShort: an entry that drains need not repeat what is known of it.
-func TestDrainingInShort(t *testing.T) {
+// TestDrainingEntryWithNameOnly checks that a draining entry may consist of name and status: the catalog keeps the other fields.
+func TestDrainingEntryWithNameOnly(t *testing.T) {
 	c := New(testLayout, DefaultLimits)
 	c.Apply(&agent.List{Index: 1, Snapshot: true, Endpoints: []agent.Endpoint{serving("a", 5)}})
 	c.Apply(&agent.List{Index: 2, Endpoints: []agent.Endpoint{{Name: "a", Status: agent.Draining}}})
@@ -211,22 +212,24 @@
 	})
 }
 
-// TestTouched: a list says which destinations it touches, the former one of an endpoint that moves included; too many are all.
-func TestTouched(t *testing.T) {
+// TestChangedDestinations checks that Apply reports the destinations that a list has changed, including the former destination of an endpoint that moves, and All
+// if there are more changes than the log holds.
+func TestChangedDestinations(t *testing.T) {
 	c := New(testLayout, Limits{Entries: 100, Changes: 3})
 	c.Apply(&agent.List{Index: 1, Snapshot: true, Endpoints: []agent.Endpoint{serving("a", 5), serving("b", 6), serving("c", 7), serving("d", 8)}})
-	touched, _, _ := c.Apply(&agent.List{Index: 2, Endpoints: []agent.Endpoint{serving("a", 9), serving("b", 6)}})
-	if touched.All || !slices.Equal(touched.Destinations, []uint32{5, 9}) {
-		t.Errorf("%+v", touched)
+	changed, _, _ := c.Apply(&agent.List{Index: 2, Endpoints: []agent.Endpoint{serving("a", 9), serving("b", 6)}})
+	if changed.All || !slices.Equal(changed.Destinations, []uint32{5, 9}) {
+		t.Errorf("%+v", changed)
 	}
-	touched, _, _ = c.Apply(&agent.List{Index: 3, Snapshot: true})
-	if !touched.All || c.Len() != 0 {
-		t.Errorf("%+v, %d left", touched, c.Len())
+	changed, _, _ = c.Apply(&agent.List{Index: 3, Snapshot: true})
+	if !changed.All || c.Len() != 0 {
+		t.Errorf("%+v, %d left", changed, c.Len())
 	}
 }
 
-// TestSince: a client that is ahead gets ErrBehind, one that is older than the log needs a snapshot, and an index that went back is no reason to refuse.
-func TestSince(t *testing.T) {
+// TestVisitChanges checks that a client with a newer index gets ErrCatalogBehind and one with an index older than the log ErrSnapshotNeeded, and that after an index
+// reset a client with an index from before the reset gets ErrSnapshotNeeded too.
+func TestVisitChanges(t *testing.T) {
 	c, scope := New(testLayout, Limits{Entries: 100, Changes: 2}), &Scope{Whole: true}
 	ask := func(index int64) error { return c.VisitChanges(scope, index, func(agent.Endpoint) {}) }
 	if err := ask(0); err != ErrNoList {
@@ -241,7 +244,7 @@
 	}
 	for index, want := range map[int64]error{15: ErrCatalogBehind, 14: nil, 13: nil, 12: ErrSnapshotNeeded, 3: ErrSnapshotNeeded} {
 		if err := ask(index); err != want {
-			t.Errorf("since %d: %v", index, err)
+			t.Errorf("changes since %d: %v", index, err)
 		}
 	}
 	if _, _, err := c.Apply(&agent.List{Index: 13}); err != ErrStaleChanges {
@@ -250,36 +253,36 @@
 	c.Apply(&agent.List{Index: 5, Snapshot: true})
 	for index, want := range map[int64]error{15: ErrCatalogBehind, 14: ErrSnapshotNeeded, 6: ErrSnapshotNeeded, 5: nil, 4: ErrSnapshotNeeded} {
 		if err := ask(index); err != want {
-			t.Errorf("since %d, after the index went back: %v", index, err)
+			t.Errorf("changes since %d, after an index reset: %v", index, err)
 		}
 	}
 }
 
-// TestNameIndex: names come and go, and each that is there is found in its slot, and no other.
+// TestNameIndex adds and deletes random names, and checks that the index finds exactly the present ones, each in its slot.
 func TestNameIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := make([]string, 400)
 		for i := range names {
 			names[i] = fmt.Sprint("name-", i)
 		}
-		x, there := newNameIndex(func(at slot) string { return names[at] }), map[int]bool{}
+		x, present := newNameIndex(func(at slot) string { return names[at] }), map[int]bool{}
 		for _, i := range rapid.SliceOfN(rapid.IntRange(0, len(names)-1), 0, 2000).Draw(t, "toggled") {
-			if there[i] {
+			if present[i] {
 				x.delete(names[i])
 			} else {
 				x.add(slot(i))
 			}
-			there[i] = !there[i]
+			present[i] = !present[i]
 		}
 		for i, name := range names {
-			if at, found := x.find(name); found != there[i] || found && at != slot(i) {
-				t.Fatalf("%s: slot %d, %t; there: %t", name, at, found, there[i])
+			if at, found := x.find(name); found != present[i] || found && at != slot(i) {
+				t.Fatalf("%s: found in slot %d: %t; present: %t", name, at, found, present[i])
 			}
 		}
 	})
 }
 
-// BenchmarkLoad fills a catalog of the plan's size and says what memory an entry takes.
+// BenchmarkLoad fills a catalog of the planned size and reports the memory per entry.
 func BenchmarkLoad(b *testing.B) {
 	const entries = 2_200_000
 	heap := func() float64 {
--- a/internal/catalog/log.go
+++ b/internal/catalog/log.go
@@ -2,80 +2,82 @@
 
 import "sort"
 
-// change is that an endpoint of a destination has changed; how it is now is in the store.
-type change struct {
+// changeEntry records that an endpoint of a destination has changed. The store has its present state.
+type changeEntry struct {
 	name  string
 	group uint32
 }
 
-// changeLog is the last changes, in order. Its places are counted from the first change ever.
+// changeLog holds the last changes in order. The position of a change is the number of changes before it since the last reset.
 type changeLog struct {
-	changes []change // a ring, by place
-	max     int
-	end     uint64 // the place of the next change
-	marks   []mark // ascending
+	changes     []changeEntry // ring buffer: a change is at its position modulo capacity
+	capacity    int
+	endPosition uint64      // position of the next change
+	indexMarks  []indexMark // in ascending order
 }
 
-// mark is how far the log had come when the list had an index.
-type mark struct {
+// indexMark maps an index of the list to the end of the log at that index.
+type indexMark struct {
 	index int64
 	end   uint64
 }
 
-func newChangeLog(max int) changeLog { return changeLog{max: max} }
+func newChangeLog(capacity int) changeLog { return changeLog{capacity: capacity} }
 
-// first is the place of the oldest change that is kept.
-func (l *changeLog) first() uint64 { return l.end - uint64(len(l.changes)) }
+// firstPosition returns the position of the oldest change that the log still has.
+func (l *changeLog) firstPosition() uint64 { return l.endPosition - uint64(len(l.changes)) }
 
-func (l *changeLog) add(c change) {
-	if l.max == 0 {
-		l.end++
+func (l *changeLog) add(c changeEntry) {
+	if l.capacity == 0 {
+		l.endPosition++
 		return
 	}
-	if len(l.changes) < l.max {
+	if len(l.changes) < l.capacity {
 		l.changes = append(l.changes, c)
 	} else {
-		l.changes[l.end%uint64(l.max)] = c
+		l.changes[l.endPosition%uint64(l.capacity)] = c
 	}
-	l.end++
+	l.endPosition++
 }
 
-func (l *changeLog) at(place uint64) change { return l.changes[place%uint64(l.max)] }
+func (l *changeLog) entryAt(position uint64) changeEntry {
+	return l.changes[position%uint64(l.capacity)]
+}
 
-// restart forgets everything: the list is a new one, with an index.
-func (l *changeLog) restart(index int64) {
-	l.changes, l.end = nil, 0
-	l.marks = []mark{{index: index}}
+// reset empties the log for a new list with the given index.
+func (l *changeLog) reset(index int64) {
+	l.changes, l.endPosition = nil, 0
+	l.indexMarks = []indexMark{{index: index}}
 }
 
-// committed is the place behind the last change that the list's index includes.
-func (l *changeLog) committed() uint64 { return l.marks[len(l.marks)-1].end }
+// committedEnd returns the position after the last change that the list's index includes.
+func (l *changeLog) committedEnd() uint64 { return l.indexMarks[len(l.indexMarks)-1].end }
 
-// commit gives the changes since the last commit an index, and says which destinations they touch. It is greater than the last one.
+// commit assigns an index, which must be greater than the last one, to the changes since the last commit, and returns their destinations.
 func (l *changeLog) commit(index int64) ChangedDestinations {
-	since := l.committed()
-	if l.end == since {
+	since := l.committedEnd()
+	if l.endPosition == since {
 		return ChangedDestinations{}
 	}
-	l.marks = append(l.marks, mark{index: index, end: l.end})
-	forgotten := sort.Search(len(l.marks)-1, func(i int) bool { return l.marks[i].end >= l.first() })
-	l.marks = append(l.marks[:0], l.marks[forgotten:]...)
-	if since < l.first() {
+	l.indexMarks = append(l.indexMarks, indexMark{index: index, end: l.endPosition})
+	firstKept := sort.Search(len(l.indexMarks)-1, func(i int) bool { return l.indexMarks[i].end >= l.firstPosition() })
+	l.indexMarks = append(l.indexMarks[:0], l.indexMarks[firstKept:]...)
+	if since < l.firstPosition() {
 		return ChangedDestinations{All: true}
 	}
-	touched := ChangedDestinations{Destinations: make([]uint32, 0, l.end-since)}
-	for place := since; place < l.end; place++ {
-		touched.Destinations = append(touched.Destinations, l.at(place).group)
+	changed := ChangedDestinations{Destinations: make([]uint32, 0, l.endPosition-since)}
+	for position := since; position < l.endPosition; position++ {
+		changed.Destinations = append(changed.Destinations, l.entryAt(position).group)
 	}
-	return touched
+	return changed
 }
 
-// since is the span of the changes after an index.
-func (l *changeLog) since(index int64) (begin, end uint64, known bool) {
-	after := sort.Search(len(l.marks), func(i int) bool { return l.marks[i].index > index })
+// rangeSince returns the positions of the changes after an index; known is false if the log does not have all of them.
+func (l *changeLog) rangeSince(index int64) (begin, end uint64, known bool) {
+	after := sort.Search(len(l.indexMarks), func(i int) bool { return l.indexMarks[i].index > index })
 	if after == 0 {
 		return 0, 0, false
 	}
-	begin, end = l.marks[after-1].end, l.committed()
-	return begin, end, begin >= l.first() || begin == end
+	begin, end = l.indexMarks[after-1].end, l.committedEnd()
+	return begin, end, begin >= l.firstPosition() || begin == end
 }
--- a/internal/catalog/scope.go
+++ b/internal/catalog/scope.go
@@ -5,11 +5,11 @@
 	"scaleroute/internal/ownership"
 )
 
-// Scope is which destinations somebody wants to know.
+// Scope selects the destinations that a client wants to know.
 type Scope struct {
-	Whole        bool          // all of them
-	Partitions   ownership.Set // those in these partitions
-	Destinations ownership.Set // and these, wherever they are
+	Whole        bool          // all destinations
+	Partitions   ownership.Set // the destinations in these partitions
+	Destinations ownership.Set // these destinations in addition, in whatever partition
 }
 
 // Contains reports whether a destination is in the scope.
@@ -18,7 +18,7 @@
 		s.Partitions.Len() > 0 && s.Partitions.Contains(layout.PartitionOf(int(destination)))
 }
 
-// DestinationsOutsidePartitions are the scope's destinations that are in none of its partitions.
+// DestinationsOutsidePartitions returns the scope's destinations that are in none of its partitions.
 func (s *Scope) DestinationsOutsidePartitions(layout ownership.Layout) ownership.Set {
 	var outside []uint32
 	for destination := range s.Destinations.All() {
@@ -29,18 +29,19 @@
 	return ownership.NewSet(outside...)
 }
 
-// EndpointVisitor is called with one endpoint after another; it must not call the catalog.
+// EndpointVisitor is called for each endpoint. It must not call the catalog.
 type EndpointVisitor func(agent.Endpoint)
 
-// VisitChanges visits what has changed in a scope since an index: each endpoint that did as it is now, and as deleted where it is not in the scope any more.
+// VisitChanges visits the endpoints of a scope that have changed since an index, each once, in its present state. An endpoint that is not in the scope any more is
+// visited with the status agent.Deleted.
 func (c *Catalog) VisitChanges(scope *Scope, index int64, visit EndpointVisitor) error {
-	begin, end, err := c.span(index)
+	begin, end, err := c.changeRange(index)
 	if err != nil {
 		return err
 	}
 	var visited map[string]bool
-	for place := begin; place < end; place++ {
-		changed := c.log.at(place)
+	for position := begin; position < end; position++ {
+		changed := c.log.entryAt(position)
 		if !scope.Contains(c.layout, changed.group) || visited[changed.name] {
 			continue
 		}
@@ -53,44 +54,44 @@
 	return nil
 }
 
-// HasChanged reports whether something in a scope has changed since an index.
+// HasChanged reports whether an endpoint of a scope has changed since an index.
 func (c *Catalog) HasChanged(scope *Scope, index int64) (bool, error) {
-	begin, end, err := c.span(index)
-	for place := begin; place < end; place++ {
-		if scope.Contains(c.layout, c.log.at(place).group) {
+	begin, end, err := c.changeRange(index)
+	for position := begin; position < end; position++ {
+		if scope.Contains(c.layout, c.log.entryAt(position).group) {
 			return true, nil
 		}
 	}
 	return false, err
 }
 
-// span is where in the log the changes after an index are.
-func (c *Catalog) span(index int64) (begin, end uint64, err error) {
+// changeRange returns the range of positions in the log that the changes after an index have.
+func (c *Catalog) changeRange(index int64) (begin, end uint64, err error) {
 	switch {
 	case c.index < 0:
 		return 0, 0, ErrNoList
 	case index == c.index:
 		return 0, 0, nil
-	case index > c.index && index > c.highest:
+	case index > c.index && index > c.highestIndex:
 		return 0, 0, ErrCatalogBehind
-	case index > c.index: // discovery has counted anew since
+	case index > c.index: // discovery has restarted its indexes since then
 		return 0, 0, ErrSnapshotNeeded
 	}
-	begin, end, known := c.log.since(index)
+	begin, end, known := c.log.rangeSince(index)
 	if !known {
 		return 0, 0, ErrSnapshotNeeded
 	}
 	return begin, end, nil
 }
 
-func (c *Catalog) currentState(scope *Scope, changed change) agent.Endpoint {
+func (c *Catalog) currentState(scope *Scope, changed changeEntry) agent.Endpoint {
 	if slot, found := c.entries.find(changed.name); found && scope.Contains(c.layout, c.entries.at(slot).group) {
 		return c.entries.endpoint(slot)
 	}
 	return agent.Endpoint{Name: changed.name, Group: int(changed.group), Status: agent.Deleted}
 }
 
-// VisitScope visits all endpoints of a scope that names partitions and destinations. For the whole list there is Slots.
+// VisitScope visits all endpoints of a scope that names partitions or destinations. VisitSlots visits the whole list.
 func (c *Catalog) VisitScope(scope *Scope, visit EndpointVisitor) error {
 	if c.index < 0 {
 		return ErrNoList
@@ -106,22 +107,22 @@
 	return nil
 }
 
-func (c *Catalog) visitPartition(p ownership.Partition, wanted func(group uint32) bool, visit EndpointVisitor) {
-	for at := c.entries.first[p]; at != noSlot; at = c.entries.at(at).next {
-		if wanted(c.entries.at(at).group) {
+func (c *Catalog) visitPartition(p ownership.Partition, matches func(group uint32) bool, visit EndpointVisitor) {
+	for at := c.entries.firstInPartition[p]; at != noSlot; at = c.entries.at(at).next {
+		if matches(c.entries.at(at).group) {
 			visit(c.entries.endpoint(at))
 		}
 	}
 }
 
-// VisitDestinations visits the endpoints of some destinations.
+// VisitDestinations visits all endpoints of a set of destinations.
 func (c *Catalog) VisitDestinations(set ownership.Set, visit EndpointVisitor) error {
 	return c.VisitScope(&Scope{Destinations: set}, visit)
 }
 
-// VisitSlots visits the endpoints in the next count places from begin on, and says where to go on; more is false at the end. The catalog may change
-// between two calls: an endpoint that is there all the time is visited once, and whatever else happens comes after the index that the list had
-// at the first call.
+// VisitSlots visits the endpoints in count slots from begin on, and returns the slot at which the next call begins; more is false after the last slot. The catalog may
+// change between two calls: an endpoint that exists during all of them is visited once, and all other differences are changes after the index that the list
+// had at the first call, which VisitChanges reports.
 func (c *Catalog) VisitSlots(begin, count int, visit EndpointVisitor) (next int, more bool) {
 	end := min(begin+count, int(c.entries.slots()))
 	for at := begin; at < end; at++ {
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -7,18 +7,18 @@
 	"scaleroute/internal/ownership"
 )
 
-// slot is the place of an entry, which it keeps as long as it is there.
+// slot is the number of the record that holds an entry. An entry keeps its slot until it is deleted.
 type slot uint32
 
-// noSlot ends a chain.
+// noSlot marks the end of a chain.
 const noSlot slot = 1<<32 - 1
 
-// record is an entry as it is kept: 48 bytes, and the text.
+// record is the stored form of an entry: 48 bytes, and the text.
 type record struct {
 	text       string // name and address; empty: the slot is free
 	weight     float64
 	group      uint32
-	next, prev slot // in the chain of its partition, or next in that of free slots
+	next, prev slot // in the chain of the partition's records; for a free slot, next is the next free one
 	nameLen    uint16
 	zone, kind uint16
 	status     uint8
@@ -28,34 +28,34 @@
 func (r *record) name() string    { return r.text[:r.nameLen] }
 func (r *record) address() string { return r.text[r.nameLen:] }
 
-// pageLen is how many records are allocated at a time, so that a growing list is not copied.
+// pageLen is the number of records in one allocation. Pages avoid copying all records when the list grows.
 const pageLen = 4096
 
-// store is the entries: records in pages, chained by partition, found by name.
+// store holds the entries as records in pages. A chain links the records of each partition, and an index finds a record by name.
 type store struct {
-	layout       ownership.Layout
-	pages        [][]record
-	end          slot // of the slots that were ever used
-	free         slot // the first free one below end
-	byName       nameIndex
-	first        []slot // by partition
-	zones, kinds names
-	statuses     names
+	layout           ownership.Layout
+	pages            [][]record
+	end              slot // number of slots that were ever used
+	firstFree        slot // head of the chain of free slots below end
+	byName           nameIndex
+	firstInPartition []slot // head of each partition's chain
+	zones, kinds     stringTable
+	statuses         stringTable
 }
 
 func newStore(layout ownership.Layout) *store {
-	s := &store{layout: layout, free: noSlot, first: make([]slot, layout.Partitions)}
+	s := &store{layout: layout, firstFree: noSlot, firstInPartition: make([]slot, layout.Partitions)}
 	s.byName = newNameIndex(func(at slot) string { return s.at(at).name() })
-	for p := range s.first {
-		s.first[p] = noSlot
+	for p := range s.firstInPartition {
+		s.firstInPartition[p] = noSlot
 	}
-	s.zones, s.kinds, s.statuses = newNames("zones"), newNames("types"), newNames("states")
+	s.zones, s.kinds, s.statuses = newStringTable("zones"), newStringTable("types"), newStringTable("states")
 	return s
 }
 
 func (s *store) len() int { return s.byName.count }
 
-// slots are the slots that were ever used, from 0 on.
+// slots returns the number of slots that were ever used; they start at 0.
 func (s *store) slots() slot { return s.end }
 
 func (s *store) at(at slot) *record { return &s.pages[at/pageLen][at%pageLen] }
@@ -68,17 +68,17 @@
 		Status: s.statuses.text(uint16(r.status)), Weight: r.weight}
 }
 
-// pack is an entry as a record, in no chain yet.
-func (s *store) pack(e agent.Endpoint) (record, error) {
-	zone, err := s.zones.number(e.Zone)
+// newRecord converts an entry to a record, which is in no chain yet.
+func (s *store) newRecord(e agent.Endpoint) (record, error) {
+	zone, err := s.zones.numberOf(e.Zone)
 	if err != nil {
 		return record{}, err
 	}
-	kind, err := s.kinds.number(e.Type)
+	kind, err := s.kinds.numberOf(e.Type)
 	if err != nil {
 		return record{}, err
 	}
-	status, err := s.statuses.number(e.Status)
+	status, err := s.statuses.numberOf(e.Status)
 	if err != nil {
 		return record{}, err
 	}
@@ -87,20 +87,20 @@
 }
 
 func (s *store) add(e agent.Endpoint) (slot, error) {
-	packed, err := s.pack(e)
+	packed, err := s.newRecord(e)
 	if err != nil {
 		return 0, err
 	}
-	at := s.takeSlot()
+	at := s.allocateSlot()
 	*s.at(at) = packed
 	s.byName.add(at)
 	s.link(at)
 	return at, nil
 }
 
-func (s *store) takeSlot() slot {
-	if at := s.free; at != noSlot {
-		s.free = s.at(at).next
+func (s *store) allocateSlot() slot {
+	if at := s.firstFree; at != noSlot {
+		s.firstFree = s.at(at).next
 		return at
 	}
 	if int(s.end) == len(s.pages)*pageLen {
@@ -111,13 +111,13 @@
 }
 
 func (s *store) replace(at slot, e agent.Endpoint) error {
-	packed, err := s.pack(e)
+	packed, err := s.newRecord(e)
 	if err != nil {
 		return err
 	}
 	s.unlink(at)
 	r := s.at(at)
-	if packed.text == r.text { // one text is enough: the log may have a part of the former
+	if packed.text == r.text { // keep the former string: the log may refer to a part of it, and a second copy would take more memory
 		packed.text = r.text
 	}
 	*r = packed
@@ -129,14 +129,14 @@
 	s.unlink(at)
 	r := s.at(at)
 	s.byName.delete(r.name())
-	*r = record{next: s.free}
-	s.free = at
+	*r = record{next: s.firstFree}
+	s.firstFree = at
 }
 
-// link puts a record at the head of its partition's chain.
+// link inserts a record at the head of its partition's chain.
 func (s *store) link(at slot) {
 	r := s.at(at)
-	head := &s.first[s.layout.PartitionOf(int(r.group))]
+	head := &s.firstInPartition[s.layout.PartitionOf(int(r.group))]
 	if r.next = *head; r.next != noSlot {
 		s.at(r.next).prev = at
 	}
@@ -151,38 +151,40 @@
 	if r.prev != noSlot {
 		s.at(r.prev).next = r.next
 	} else {
-		s.first[s.layout.PartitionOf(int(r.group))] = r.next
+		s.firstInPartition[s.layout.PartitionOf(int(r.group))] = r.next
 	}
 }
 
-// names are texts that occur in many entries, each kept once and for good.
-type names struct {
+// stringTable stores strings that occur in many entries, each once, and never removes one.
+type stringTable struct {
 	what    string
 	numbers map[string]uint16
 	texts   []string
 }
 
-// maxNames bounds how many different ones there are, maxInterned their length.
+// Limits of a stringTable: the number of different strings, and the length of one in bytes.
 const (
-	maxNames    = 4096
-	maxInterned = 256
+	maxStrings   = 4096
+	maxStringLen = 256
 )
 
-func newNames(what string) names { return names{what: what, numbers: map[string]uint16{}} }
+func newStringTable(what string) stringTable {
+	return stringTable{what: what, numbers: map[string]uint16{}}
+}
 
-func (n *names) text(number uint16) string { return n.texts[number] }
+func (n *stringTable) text(number uint16) string { return n.texts[number] }
 
-func (n *names) number(text string) (uint16, error) {
+func (n *stringTable) numberOf(text string) (uint16, error) {
 	if number, known := n.numbers[text]; known {
 		return number, nil
 	}
-	if len(n.texts) == maxNames || len(text) > maxInterned {
-		return 0, fmt.Errorf("%.40q: at most %d different %s of %d bytes each are kept", text, maxNames, n.what, maxInterned)
+	if len(n.texts) == maxStrings || len(text) > maxStringLen {
+		return 0, fmt.Errorf("%.40q: at most %d different %s of up to %d bytes each are stored", text, maxStrings, n.what, maxStringLen)
 	}
-	own := string(append([]byte(nil), text...)) // not a piece of something larger
-	n.numbers[own] = uint16(len(n.texts))
-	n.texts = append(n.texts, own)
-	return n.numbers[own], nil
+	copied := string(append([]byte(nil), text...)) // a substring would keep a larger string in memory
+	n.numbers[copied] = uint16(len(n.texts))
+	n.texts = append(n.texts, copied)
+	return n.numbers[copied], nil
 }
 
 // bitmap is a set of slots.
