--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what the platform tells a forwarder at its start.
+// Package config reads the configuration that the platform gives a forwarder at startup: a JSON file and environment variables.
 package config
 
 import (
@@ -15,27 +15,27 @@
 	"scaleroute/internal/wire"
 )
 
-// Config is what a forwarder is told at its start.
+// Config is the startup configuration of a forwarder.
 type Config struct {
 	Name        string     `json:"name"`
 	Listen      string     `json:"listen"`
 	Discovery   string     `json:"discovery"`
-	AdminListen string     `json:"ops"` // the operators' door; empty: there is none
+	AdminListen string     `json:"ops"` // address of the admin API; empty disables it
 	Seed        string     `json:"seed"`
 	Limits      Limits     `json:"limits"`
 	InitialList agent.List `json:"known"`
 
-	File            string          `json:"-"` // where it was read
-	StateDir        string          `json:"-"` // the folder that lasts
-	TempDir         string          `json:"-"` // the folder for what need not last
-	GossipAdvertise string          `json:"-"` // where they reach it, if that is elsewhere
-	GossipListen    string          `json:"-"` // where other forwarders tell what they act under, in place of what operators have set
-	Digest          version.Digest  `json:"-"` // of the settings and limits as they were read
-	SocketFD        int             `json:"-"` // the clients' listening socket, where the platform holds it; else 0
+	File            string          `json:"-"` // path that the configuration was read from
+	StateDir        string          `json:"-"` // directory whose contents survive a restart
+	TempDir         string          `json:"-"` // directory for temporary files
+	GossipAdvertise string          `json:"-"` // address at which other forwarders reach GossipListen, if it differs
+	GossipListen    string          `json:"-"` // address that receives status reports of other forwarders; overrides the operators' setting
+	Digest          version.Digest  `json:"-"` // digest of the settings and limits as read
+	SocketFD        int             `json:"-"` // descriptor of the clients' listening socket if the platform passes it in; otherwise 0
 	Settings        decide.Settings `json:"-"`
 }
 
-// Limits are those of the machine.
+// Limits are the resources of the machine that the forwarder may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -43,24 +43,25 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// connectPrice is what a new connection costs, in calls, where the settings don't tell: a round trip and some CPU.
-const connectPrice = "0.06"
+// defaultHandshakeCost is the cost of a new connection, expressed in calls, if the settings have none: it covers a round trip and some CPU.
+const defaultHandshakeCost = "0.06"
 
-// Of the descriptors clients get two fifths (they use a third for requests), calls and idle
-// connections to targets the rest, but for these: the listener, the journal and its successor,
-// discovery, notices, the runtime's own, and a client that waits for room.
-const ownDescriptors = 24
+// reservedDescriptors is the number of descriptors kept for other uses: the listener, the journal and
+// its successor, discovery, completion notices, the Go runtime, and a client that waits until there is room for its
+// connection. Client connections get two fifths of all descriptors (a third of all carry requests);
+// calls and idle connections to endpoints get the rest.
+const reservedDescriptors = 24
 
-// MaxClientConnections is how many connections clients may hold together.
+// MaxClientConnections returns the maximum number of connections from all clients together.
 func (l Limits) MaxClientConnections() int { return l.Sockets * 2 / 5 }
 
-// MaxEndpointConnections is how many connections to endpoints there may be, idle ones counted.
+// MaxEndpointConnections returns the maximum number of connections to endpoints, including idle ones.
 func (l Limits) MaxEndpointConnections() int {
-	return l.Sockets - l.MaxClientConnections() - ownDescriptors
+	return l.Sockets - l.MaxClientConnections() - reservedDescriptors
 }
 
-// Load reads the file that NODE_CONFIG names. The other variables, where
-// set, go before what the file says.
+// Load reads the file that NODE_CONFIG names. The other environment variables,
+// if set, override the values of the file.
 func Load(getenv func(string) string) (*Config, error) {
 	c, err := ReadFile(getenv("NODE_CONFIG"))
 	if err != nil {
@@ -74,17 +75,17 @@
 	}
 	if text := getenv("NODE_SOCKET_FD"); text != "" {
 		if c.SocketFD, err = strconv.Atoi(text); err != nil || c.SocketFD < 3 {
-			return nil, fmt.Errorf("NODE_SOCKET_FD: %q is no number of a descriptor from 3 on: name the one that the clients' listening socket is, or leave it out", text)
+			return nil, fmt.Errorf("NODE_SOCKET_FD: %q is not a descriptor number of at least 3: set it to the descriptor of the clients' listening socket, or unset the variable", text)
 		}
 	}
 	c.TempDir, c.GossipListen, c.GossipAdvertise = getenv("TMPDIR"), getenv("NODE_GOSSIP"), getenv("NODE_GOSSIP_ADVERTISE")
 	if c.Listen == "" || c.Discovery == "" || c.StateDir == "" {
-		return nil, fmt.Errorf("no address to listen on, none of discovery, or no folder for the state")
+		return nil, fmt.Errorf("the listen address, the discovery address or the state directory is missing: set NODE_LISTEN, NODE_DISCOVERY and NODE_STATE, or listen and discovery in the configuration file")
 	}
 	return c, nil
 }
 
-// ReadFile reads a file alone.
+// ReadFile reads a configuration file and ignores the environment variables.
 func ReadFile(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -99,7 +100,8 @@
 }
 
 // ReadDiscovery reads the address of discovery from a configuration file that was
-// replaced. The variables are those of the start and say nothing of it.
+// replaced while the process runs. Environment variables are ignored: they still
+// have the values of the startup.
 func ReadDiscovery(file string) (string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -128,19 +130,19 @@
 		return nil, err
 	}
 	c := raw.Config
-	own, err := json.Marshal(map[string]any{"settings": raw.Settings, "limits": c.Limits}) // keys in order
+	digested, err := json.Marshal(map[string]any{"settings": raw.Settings, "limits": c.Limits}) // json.Marshal sorts the keys, so equal settings have equal digests
 	if err != nil {
 		return nil, err
 	}
-	c.Digest = version.DigestOf(own)
+	c.Digest = version.DigestOf(digested)
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
 	pairs := map[string]string{}
 	flatten(pairs, "", raw.Settings)
-	if pairs["Costs.Handshake"] == "" { // unpriced, no connection would be worth keeping
-		pairs["Costs.Handshake"] = connectPrice
+	if pairs["Costs.Handshake"] == "" { // at a cost of zero no idle connection would be worth keeping
+		pairs["Costs.Handshake"] = defaultHandshakeCost
 	}
 	pairs["InitSeed"] = strconv.FormatUint(seed, 10)
 	if c.Settings, err = wire.ParseSettings(pairs); err != nil {
@@ -158,11 +160,11 @@
 	return &c, nil
 }
 
-// flatten turns nested JSON into the path=value pairs of the simulator's wire:
-// a list of plain values is joined with commas, a list of objects has its
-// length under .count and its items under .0, .1 and so on.
+// flatten converts nested JSON into the path=value pairs of the simulator's wire format.
+// The values of a list of scalars are joined with commas; a list of objects has its
+// length under path.count and its items under path.0, path.1 and so on.
 func flatten(pairs map[string]string, path string, v any) {
-	under := func(name string) string {
+	join := func(name string) string {
 		if path == "" {
 			return name
 		}
@@ -172,20 +174,20 @@
 	case nil:
 	case map[string]any:
 		for name, item := range v {
-			flatten(pairs, under(name), item)
+			flatten(pairs, join(name), item)
 		}
 	case []any:
-		plain := make([]string, 0, len(v))
+		scalars := make([]string, 0, len(v))
 		for i, item := range v {
 			if _, ok := item.(map[string]any); ok {
-				flatten(pairs, under(strconv.Itoa(i)), item)
-				pairs[under("count")] = strconv.Itoa(len(v))
+				flatten(pairs, join(strconv.Itoa(i)), item)
+				pairs[join("count")] = strconv.Itoa(len(v))
 			} else {
-				plain = append(plain, fmt.Sprint(item))
+				scalars = append(scalars, fmt.Sprint(item))
 			}
 		}
-		if len(plain) > 0 {
-			pairs[path] = strings.Join(plain, ",")
+		if len(scalars) > 0 {
+			pairs[path] = strings.Join(scalars, ",")
 		}
 	default:
 		pairs[path] = fmt.Sprint(v)
