--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -1,4 +1,4 @@
-// Package commandline runs a tool's command line as kong describes it, and makes an exit status of what came of it.
+// Package commandline parses and runs a tool's command line with kong and turns the result into an exit status.
 package commandline
 
 import (
@@ -8,24 +8,25 @@
 	"github.com/alecthomas/kong"
 )
 
-// StatusNotDone is the exit status of a tool that could not do what was asked.
+// StatusNotDone is the exit status of a tool that could not carry out its command.
 const StatusNotDone = 2
 
-// Tool is a program with commands.
+// Tool is a command-line program that has subcommands.
 type Tool struct {
 	Name           string
 	Description    string
 	Stdout, Stderr io.Writer
 	Options        []kong.Option
 
-	// StatusOf is the exit status of an error that says what a command found, having done what was asked; false for any other error.
+	// StatusOf returns the exit status of an error that reports a finding of a command that ran to its end, such as a difference
+	// between two files. isFinding is false for any other error.
 	StatusOf func(error) (status int, isFinding bool)
 }
 
-// exitStatus is panicked with where kong would end the process, as after --help.
+// exitStatus is the value of the panic that replaces kong's call of os.Exit, for instance after --help. Run recovers from it.
 type exitStatus int
 
-// Run parses the arguments into commands, a struct with kong's tags, and runs the command that they name. It returns the exit status.
+// Run parses the arguments into commands, a struct with kong's tags, runs the command that they select and returns its exit status.
 func (t Tool) Run(commands any, args []string) (status int) {
 	defer func() {
 		switch e := recover().(type) {
