--- a/internal/control/client/arrivals.go
+++ b/internal/control/client/arrivals.go
@@ -7,8 +7,8 @@
 	"scaleroute/internal/partial"
 )
 
-// Arrive decides on a message for a destination. It waits for a look-up until the deadline, and until what was received of the destination is delivered. One that passes refers to its
-// destination until Release.
+// Arrive decides whether a message for a destination is passed on. If the destination has to be looked up, Arrive waits for the look-up until the deadline; it also waits until updates that
+// were received earlier are delivered. A message that passes holds a reference to its destination until Release.
 func (f *Follower) Arrive(destination int, deadline time.Time) partial.Decision {
 	f.mu.Lock()
 	d := f.state.Admit(f.now(), destination)
@@ -16,45 +16,45 @@
 		f.mu.Unlock()
 		return d
 	}
-	delivered := f.delivered
+	delivered := f.outboxDelivered
 	if d.Action == partial.Proceed && delivered == nil {
 		f.mu.Unlock()
 		return d
 	}
-	var over chan struct{}
+	var lookedUp chan struct{}
 	if d.Action == partial.Wait {
-		over = f.waiter(destination)
+		lookedUp = f.lookupWaiter(destination)
 	}
 	f.mu.Unlock()
-	return f.await(destination, over, delivered, deadline)
+	return f.await(destination, lookedUp, delivered, deadline)
 }
 
-// waiter is closed when the look-up of a destination is over. The lock is held.
-func (f *Follower) waiter(destination int) chan struct{} {
-	over := f.waiters[destination]
-	if over == nil {
-		over = make(chan struct{})
-		f.waiters[destination] = over
-		signal(f.wake)
-	}
-	return over
+// lookupWaiter returns a channel that is closed when the look-up of a destination ends. The caller holds the lock.
+func (f *Follower) lookupWaiter(destination int) chan struct{} {
+	lookedUp := f.waiters[destination]
+	if lookedUp == nil {
+		lookedUp = make(chan struct{})
+		f.waiters[destination] = lookedUp
+		notify(f.lookupReady)
+	}
+	return lookedUp
 }
 
-// await waits for a look-up, if there is one, and then until all that has been received is delivered.
-func (f *Follower) await(destination int, over, delivered chan struct{}, deadline time.Time) partial.Decision {
+// await waits for the end of a look-up if lookedUp is not nil, and then until all updates received so far are delivered.
+func (f *Follower) await(destination int, lookedUp, delivered chan struct{}, deadline time.Time) partial.Decision {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
-	if over != nil {
+	if lookedUp != nil {
 		select {
-		case <-over:
-		case <-f.ended:
+		case <-lookedUp:
+		case <-f.runEnded:
 			return f.reject(destination, f.state.RejectWaiting)
 		case <-timer.C:
 			return f.reject(destination, f.state.RejectWaiting)
 		}
 		f.mu.Lock()
 		d := f.state.Resume(f.now(), destination)
-		delivered = f.delivered
+		delivered = f.outboxDelivered
 		f.mu.Unlock()
 		if d.Action == partial.Reject {
 			f.Release(destination)
@@ -71,6 +71,7 @@
 	return partial.Decision{Action: partial.Proceed}
 }
 
+// reject returns the decision that decide makes, and drops the message's reference to its destination.
 func (f *Follower) reject(destination int, decide func(now time.Duration) partial.Decision) partial.Decision {
 	f.mu.Lock()
 	d := decide(f.now())
@@ -79,58 +80,60 @@
 	return d
 }
 
-// Hold notes a message that the engine holds for a destination.
+// Hold adds a reference to a destination for a message that the engine has queued.
 func (f *Follower) Hold(destination int) {
 	f.mu.Lock()
 	f.state.AddReference(destination)
 	f.mu.Unlock()
 }
 
-// Release ends what Arrive, First or Hold began.
+// Release drops a reference that Arrive, FetchInitial or Hold has added.
 func (f *Follower) Release(destination int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.enqueue(f.state.Release(destination))
 }
 
-// enqueue has an update delivered. done is closed once it is. The lock is held.
+// enqueue adds an update to the outbox and wakes the waiters of look-ups that it ends. done is closed once the update, or, if the update is empty,
+// everything enqueued before it, is delivered. Before StartDelivery and after Run has ended it delivers nothing. The caller holds the lock.
 func (f *Follower) enqueue(u partial.Update) (done chan struct{}) {
 	for _, d := range u.CompletedLookups {
-		if over := f.waiters[d]; over != nil {
-			close(over)
+		if lookedUp := f.waiters[d]; lookedUp != nil {
+			close(lookedUp)
 			delete(f.waiters, d)
 		}
 	}
 	empty := len(u.Changed)+len(u.Evicted) == 0
-	if empty && f.delivered != nil {
-		return f.delivered
+	if empty && f.outboxDelivered != nil {
+		return f.outboxDelivered
 	}
 	done = make(chan struct{})
-	if !f.begun && !f.stopped {
-		f.early = append(f.early, u.Changed...)
+	if !f.delivering && !f.stopped {
+		f.changedBeforeDelivery = append(f.changedBeforeDelivery, u.Changed...)
 	}
-	if empty || !f.begun {
+	if empty || !f.delivering {
 		close(done)
 		return done
 	}
 	f.outbox = append(f.outbox, delivery{u, done})
-	f.delivered = done
-	signal(f.ready)
+	f.outboxDelivered = done
+	notify(f.outboxReady)
 	return done
 }
 
-// deliver delivers what is enqueued, until ctx ends.
+// deliver delivers enqueued updates until ctx ends.
 func (f *Follower) deliver(ctx context.Context) {
 	for {
 		f.deliverAll()
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.ready:
+		case <-f.outboxReady:
 		}
 	}
 }
 
+// deliverAll delivers all updates in the outbox. It releases the lock during each call of Deliver.
 func (f *Follower) deliverAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,22 +144,22 @@
 		f.Deliver(next.update)
 		f.mu.Lock()
 		close(next.done)
-		if f.delivered == next.done {
-			f.delivered = nil
+		if f.outboxDelivered == next.done {
+			f.outboxDelivered = nil
 		}
 	}
 }
 
-// stop is the end of Run: what is enqueued is delivered, and nothing after that.
+// stop ends Run: it delivers the updates in the outbox and disables delivery from then on.
 func (f *Follower) stop() {
 	f.deliverAll()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.begun, f.stopped = false, true
-	close(f.ended)
+	f.delivering, f.stopped = false, true
+	close(f.runEnded)
 }
 
-// startLookups starts look-ups as their budget permits, until ctx ends. Then it waits for those in flight.
+// startLookups starts look-ups as their budget permits until ctx ends, and then waits for those in flight.
 func (f *Follower) startLookups(ctx context.Context) {
 	inFlight := make(chan struct{}, f.Limits.MaxInFlight)
 	defer func() {
@@ -164,8 +167,8 @@
 			inFlight <- struct{}{}
 		}
 	}()
-	later := time.NewTimer(time.Hour)
-	defer later.Stop()
+	retryTimer := time.NewTimer(time.Hour)
+	defer retryTimer.Stop()
 	for {
 		f.mu.Lock()
 		batch, wait := f.state.NextLookup(f.now())
@@ -176,22 +179,23 @@
 			go func() {
 				f.lookUp(ctx, batch, newest)
 				<-inFlight
-				signal(f.wake)
+				notify(f.lookupReady)
 			}()
 			continue
 		}
 		if wait > 0 {
-			later.Reset(wait)
+			retryTimer.Reset(wait)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.wake:
-		case <-later.C:
+		case <-f.lookupReady:
+		case <-retryTimer.C:
 		}
 	}
 }
 
+// lookUp makes one look-up of a batch of destinations and applies its result.
 func (f *Follower) lookUp(ctx context.Context, batch []int, newest int64) {
 	a, spent, err := f.Client.Lookup(ctx, batch, newest)
 	f.mu.Lock()
@@ -208,8 +212,8 @@
 	f.enqueue(u)
 }
 
-// signal wakes whoever waits for something to do.
-func signal(to chan struct{}) {
+// notify wakes the goroutine that receives from a channel of capacity 1. It does nothing if a notification is already pending.
+func notify(to chan struct{}) {
 	select {
 	case to <- struct{}{}:
 	default:
--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -1,5 +1,6 @@
-// Package client speaks to control servers: it watches a forwarder's part of the endpoint list, looks up single destinations, and watches the members of the
-// fleet, which renews its own lease. docs/ownership.md has the calls. Everything is bounded: time, bytes of an answer, connections.
+// Package client calls control servers. It watches a forwarder's part of the endpoint list, looks up single destinations, and watches the members of the
+// fleet, which also renews the forwarder's own lease. docs/ownership.md describes the calls. The time of a call, the size of an answer and the number of
+// connections are bounded.
 package client
 
 import (
@@ -25,37 +26,37 @@
 	"scaleroute/internal/partial"
 )
 
-// Times of calls. A server whose machine is dead sends no reset: it is left holdMargin after the time that its answer may be held.
+// Timeouts of calls. A server whose machine has failed sends no TCP reset: the client gives up on it holdMargin after the time for which the server may hold its answer.
 const (
 	DefaultWatchHold = 3 * time.Second
 	holdMargin       = time.Second
-	snapshotTime     = 5 * time.Second
-	registerTime     = time.Second
-	dialTime         = 500 * time.Millisecond
-	idleTime         = time.Minute
+	snapshotTimeout  = 5 * time.Second
+	shortCallTimeout = time.Second
+	dialTimeout      = 500 * time.Millisecond
+	idleTimeout      = time.Minute
 )
 
-// Bounds of what is read and kept.
+// Limits on answers and connections.
 const (
-	maxAnswer      = 64 << 20 // bytes of an answer, unpacked
-	maxOther       = 4 << 10  // of an answer that is no list
-	maxConnections = 4        // to one server
+	maxAnswer      = 64 << 20 // bytes of an answer, decompressed
+	maxSmallAnswer = 4 << 10  // bytes of an answer that is not a list, and of response headers
+	maxConnections = 4        // connections to one server
 )
 
-// Config is what a Client is told.
+// Config is the configuration of a Client.
 type Config struct {
-	Servers []string // host:port
+	Servers []string // addresses as host:port
 	Layout  ownership.Layout
-	Name    string // this member's
+	Name    string // name of this member
 	Zone    string
-	Seed    uint64 // of the order of the servers and of the back-off
-	// LookupTimeout is how long one server may take for a look-up; 0: lookupTime.
+	Seed    uint64 // seeds the order of the servers and the back-off
+	// LookupTimeout is the time that one server has to answer a look-up; 0 means defaultLookupTimeout.
 	LookupTimeout time.Duration
-	// Dial makes connections; nil: by TCP.
+	// Dial opens connections; nil means plain TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client calls one control server until that fails, and then the next. It may be used from several goroutines.
+// Client calls one control server until a call to it fails, and then the next server. It is safe for concurrent use.
 type Client struct {
 	config  Config
 	http    *http.Client
@@ -63,16 +64,16 @@
 
 	mu      sync.Mutex
 	random  *rand.Rand
-	servers []string // in this client's order
-	current int
+	servers []string // in the order in which this client tries them
+	current int      // index in servers
 }
 
-// New makes a Client. It makes no call.
+// New returns a Client. It makes no call.
 func New(c Config) *Client {
 	k := &Client{config: c, random: rand.New(rand.NewPCG(c.Seed, 0)), servers: slices.Clone(c.Servers)}
 	k.random.Shuffle(len(k.servers), func(i, j int) { k.servers[i], k.servers[j] = k.servers[j], k.servers[i] })
 	if c.LookupTimeout == 0 {
-		k.config.LookupTimeout = lookupTime
+		k.config.LookupTimeout = defaultLookupTimeout
 	}
 	dial := c.Dial
 	if dial == nil {
@@ -80,7 +81,7 @@
 	}
 	k.http = &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, dialTime)
+			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
 			conn, err := dial(ctx, network, address)
 			if err != nil {
@@ -88,22 +89,22 @@
 			}
 			return &countingConn{Conn: conn, traffic: &k.traffic}, nil
 		},
-		MaxConnsPerHost: maxConnections, MaxIdleConns: maxConnections, MaxIdleConnsPerHost: maxConnections, IdleConnTimeout: idleTime, MaxResponseHeaderBytes: maxOther}}
+		MaxConnsPerHost: maxConnections, MaxIdleConns: maxConnections, MaxIdleConnsPerHost: maxConnections, IdleConnTimeout: idleTimeout, MaxResponseHeaderBytes: maxSmallAnswer}}
 	return k
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Server is the control server that is called now.
+// Server returns the address of the control server that the next call goes to.
 func (c *Client) Server() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.servers[c.current]
 }
 
-// leave goes on to the next server, unless another call has done so.
-func (c *Client) leave(server string) {
+// switchFrom selects the next server, unless another call has already switched away from the given one.
+func (c *Client) switchFrom(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.servers[c.current] == server {
@@ -111,21 +112,21 @@
 	}
 }
 
-// fromCurrent lists the servers, the one that is called now first.
-func (c *Client) fromCurrent() []string {
+// serversFromCurrent returns all servers in order, beginning with the current one.
+func (c *Client) serversFromCurrent() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append(slices.Clone(c.servers[c.current:]), c.servers[:c.current]...)
 }
 
-// uniform draws from 0 to 1.
+// uniform returns a random number in [0, 1).
 func (c *Client) uniform() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.random.Float64()
 }
 
-// StatusError is an answer with another status than 200 and 204.
+// StatusError reports a response with a status other than 200 and 204.
 type StatusError struct {
 	Server string
 	Status int
@@ -136,26 +137,26 @@
 	return fmt.Sprintf("%s: status %d: %s", e.Server, e.Status, e.Text)
 }
 
-// call is one HTTP call.
+// call describes one HTTP request.
 type call struct {
-	kind   CallKind
-	method string
-	server string
-	path   string // with its query
-	body   string
-	limit  time.Duration
+	kind    CallKind
+	method  string
+	server  string
+	path    string // including the query
+	body    string
+	timeout time.Duration
 }
 
-// do makes a call, has its answer read, and returns what it has cost on the wire.
+// do makes a call and passes the body of a successful response to read. spent is the number of bytes that the call has sent and received.
 func (c *Client) do(ctx context.Context, call call, read func(body io.Reader) error) (spent int64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, call.limit)
+	ctx, cancel := context.WithTimeout(ctx, call.timeout)
 	defer cancel()
 	var conn *countingConn
 	var before int64
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		conn, _ = info.Conn.(*countingConn)
 		if conn != nil {
-			before = conn.begin(call.kind)
+			before = conn.startCall(call.kind)
 		}
 	}})
 	defer func() {
@@ -167,21 +168,21 @@
 	if err != nil {
 		return 0, err
 	}
-	req.Header.Set("User-Agent", "") // not sent: it would be bytes in each call
+	req.Header.Set("User-Agent", "") // an empty value omits the header, which saves bytes in each call
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return 0, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusNoContent {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxOther)) // what there is of it
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxSmallAnswer)) // the text that arrived before an error, if any
 		return 0, &StatusError{call.server, resp.StatusCode, strings.TrimSpace(string(text))}
 	}
 	if read != nil {
 		err = read(resp.Body)
 	}
-	if err == nil { // so that the connection is used again
-		_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxOther))
+	if err == nil { // drain the body so that the connection can be reused
+		_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxSmallAnswer))
 	}
 	if err != nil {
 		err = fmt.Errorf("%s: %w", call.server, err)
@@ -189,13 +190,13 @@
 	return 0, err
 }
 
-// list makes a call for a list.
-func (c *Client) list(ctx context.Context, call call, whole bool) (a partial.Answer, spent int64, err error) {
+// fetchList makes a call whose answer is an endpoint list. If whole is true, the answer counts as a snapshot, whatever its own snapshot field says.
+func (c *Client) fetchList(ctx context.Context, call call, whole bool) (a partial.Answer, spent int64, err error) {
 	spent, err = c.do(ctx, call, func(body io.Reader) error {
 		in := &io.LimitedReader{R: body, N: maxAnswer}
 		l, err := agent.ReadList(in, whole)
 		if err != nil && in.N <= 0 {
-			return fmt.Errorf("an answer of more than %d MiB", maxAnswer>>20)
+			return fmt.Errorf("the answer is larger than %d MiB", maxAnswer>>20)
 		}
 		if err != nil {
 			return err
@@ -206,35 +207,36 @@
 	return a, spent, err
 }
 
-// Watch asks for what changes in a scope, and in destinations beside it, after an index, and waits so long for that; from partial.NoIndex: for everything,
-// at once. A call that fails has the next one go to another server.
+// Watch requests the changes after the index w.From in a scope and in the destinations of w. The server holds its answer for up to hold until there is a change.
+// From partial.NoIndex it requests all endpoints, which the server returns at once. After a call that failed the next call goes to another server.
 func (c *Client) Watch(ctx context.Context, scope ownership.Set, w partial.Watch, hold time.Duration) (partial.Answer, error) {
 	server := c.Server()
 	a, err := c.watch(ctx, server, scope, w, hold)
 	if err != nil && ctx.Err() == nil {
-		c.leave(server)
+		c.switchFrom(server)
 	}
 	return a, err
 }
 
+// watch makes the call of Watch to one server. If the server does not know the scope, watch registers the scope and repeats the call.
 func (c *Client) watch(ctx context.Context, server string, scope ownership.Set, w partial.Watch, hold time.Duration) (partial.Answer, error) {
 	query := "scope=" + c.config.Layout.Digest(scope)
 	if len(w.Destinations) > 0 {
 		query += "&destinations=" + destinationSet(w.Destinations).String()
 	}
-	next := call{kind: WatchCall, method: http.MethodGet, server: server, path: "/v1/servers?" + query, limit: snapshotTime}
+	request := call{kind: WatchCall, method: http.MethodGet, server: server, path: "/v1/servers?" + query, timeout: snapshotTimeout}
 	if w.From != partial.NoIndex {
-		next.path += fmt.Sprintf("&from=%d&hold_ms=%d", w.From, hold.Milliseconds())
-		next.limit = hold + holdMargin
+		request.path += fmt.Sprintf("&from=%d&hold_ms=%d", w.From, hold.Milliseconds())
+		request.timeout = hold + holdMargin
 	}
 	whole := w.From == partial.NoIndex
-	a, _, err := c.list(ctx, next, whole)
+	a, _, err := c.fetchList(ctx, request, whole)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusNotFound && strings.Contains(status.Text, api.UnknownScope) {
 		if err := c.register(ctx, server, scope); err != nil {
 			return a, err
 		}
-		a, _, err = c.list(ctx, next, whole)
+		a, _, err = c.fetchList(ctx, request, whole)
 	}
 	if err == nil && a.Index < w.MinIndex && !w.IsIndexReset(a) {
 		err = &StaleAnswerError{server, a.Index, w.MinIndex}
@@ -242,21 +244,22 @@
 	return a, err
 }
 
-// StaleAnswerError is an answer that is older than what was received before.
+// StaleAnswerError reports an answer whose index is lower than one that was received before.
 type StaleAnswerError struct {
 	Server          string
 	Index, MinIndex int64
 }
 
 func (e *StaleAnswerError) Error() string {
-	return fmt.Sprintf("%s: its list has index %d, after %d was received", e.Server, e.Index, e.MinIndex)
+	return fmt.Sprintf("%s: the list is out of date: its index is %d, but index %d was received before", e.Server, e.Index, e.MinIndex)
 }
 
-// Snapshot asks for everything in a scope, which must not be older than an index.
+// Snapshot requests all endpoints of a scope. An answer with an index below needed is an error.
 func (c *Client) Snapshot(ctx context.Context, scope ownership.Set, needed int64) (partial.Answer, error) {
 	return c.Watch(ctx, scope, partial.Watch{From: partial.NoIndex, MinIndex: needed}, 0)
 }
 
+// register registers a scope at a server.
 func (c *Client) register(ctx context.Context, server string, scope ownership.Set) error {
 	set := scope.String()
 	body, err := json.Marshal(api.Scope{Partitions: c.config.Layout.Partitions, Set: set})
@@ -264,24 +267,24 @@
 		return err
 	}
 	path := "/v1/scopes/" + ownership.Digest(c.config.Layout.Partitions, set)
-	_, err = c.do(ctx, call{kind: ScopeCall, method: http.MethodPut, server: server, path: path, body: string(body), limit: registerTime}, nil)
+	_, err = c.do(ctx, call{kind: ScopeCall, method: http.MethodPut, server: server, path: path, body: string(body), timeout: shortCallTimeout}, nil)
 	return err
 }
 
-// lookupTime is how long one server may take for a look-up, as a rule, and lookupServers how many are asked.
+// defaultLookupTimeout is the time that one server has to answer a look-up if Config sets none, and maxLookupServers is the maximum number of servers that one look-up tries.
 const (
-	lookupTime    = 100 * time.Millisecond
-	lookupServers = 3
+	defaultLookupTimeout = 100 * time.Millisecond
+	maxLookupServers     = 3
 )
 
-// Lookup asks for everything that there is of some destinations, which must not be older than an index: of several servers in turn, until one
-// answers. spent is what that has cost on the wire.
+// Lookup requests all endpoints of some destinations. It tries several servers one after another until one returns an answer with an index of at least
+// newest. spent is the number of bytes that all these calls have sent and received.
 func (c *Client) Lookup(ctx context.Context, destinations []int, newest int64) (a partial.Answer, spent int64, err error) {
 	path := "/v1/servers?destinations=" + destinationSet(destinations).String()
-	servers := c.fromCurrent()
-	for _, server := range servers[:min(len(servers), lookupServers)] {
+	servers := c.serversFromCurrent()
+	for _, server := range servers[:min(len(servers), maxLookupServers)] {
 		var bytes int64
-		a, bytes, err = c.list(ctx, call{kind: LookupCall, method: http.MethodGet, server: server, path: path, limit: c.config.LookupTimeout}, true)
+		a, bytes, err = c.fetchList(ctx, call{kind: LookupCall, method: http.MethodGet, server: server, path: path, timeout: c.config.LookupTimeout}, true)
 		spent += bytes
 		if err == nil && a.Index < newest {
 			err = &StaleAnswerError{server, a.Index, newest}
@@ -293,6 +296,7 @@
 	return a, spent, err
 }
 
+// destinationSet returns destinations in the set encoding of package ownership.
 func destinationSet(destinations []int) ownership.Set {
 	numbers := make([]uint32, len(destinations))
 	for i, d := range destinations {
@@ -301,31 +305,32 @@
 	return ownership.NewSet(numbers...)
 }
 
-// Members renews this member's lease, and waits so long for changes of the members.
+// Members renews this member's lease and requests the changes of the members after an index of an epoch. The server holds its answer for up to hold until there is a
+// change. With an empty epoch it requests all members, which the server returns at once.
 func (c *Client) Members(ctx context.Context, epoch string, index int64, hold time.Duration) (api.Members, error) {
 	server := c.Server()
 	query := url.Values{"name": {c.config.Name}, "zone": {c.config.Zone}}
-	limit := registerTime
+	timeout := shortCallTimeout
 	if epoch != "" {
 		query.Set("epoch", epoch)
 		query.Set("from", strconv.FormatInt(index, 10))
 		query.Set("hold_ms", strconv.FormatInt(hold.Milliseconds(), 10))
-		limit = hold + holdMargin
+		timeout = hold + holdMargin
 	}
 	var a api.Members
-	_, err := c.do(ctx, call{kind: MembersCall, method: http.MethodGet, server: server, path: "/v1/members?" + query.Encode(), limit: limit}, func(body io.Reader) (err error) {
+	_, err := c.do(ctx, call{kind: MembersCall, method: http.MethodGet, server: server, path: "/v1/members?" + query.Encode(), timeout: timeout}, func(body io.Reader) (err error) {
 		a, err = readMembers(io.LimitReader(body, maxAnswer))
 		return err
 	})
 	if err != nil && ctx.Err() == nil {
-		c.leave(server)
+		c.switchFrom(server)
 	}
 	return a, err
 }
 
-// Leave ends this member's lease: its part moves at once. A restart does not call it.
+// Leave ends this member's lease, so that its part moves to other members at once. A restart does not call it.
 func (c *Client) Leave(ctx context.Context) error {
 	query := url.Values{"name": {c.config.Name}, "zone": {c.config.Zone}, "leave": {"1"}}
-	_, err := c.do(ctx, call{kind: MembersCall, method: http.MethodGet, server: c.Server(), path: "/v1/members?" + query.Encode(), limit: registerTime}, nil)
+	_, err := c.do(ctx, call{kind: MembersCall, method: http.MethodGet, server: c.Server(), path: "/v1/members?" + query.Encode(), timeout: shortCallTimeout}, nil)
 	return err
 }
--- a/internal/control/client/fake_test.go
+++ b/internal/control/client/fake_test.go
@@ -21,42 +21,45 @@
 
 var testLayout = ownership.Layout{Partitions: 64, Replicas: 2}
 
-const patience = 30 * time.Second // for whatever must come in the end
+const testTimeout = 30 * time.Second // limit on waits for an event that must happen
 
-// list is what the fake control servers of a test have in common.
-type list struct {
+// sharedList is the endpoint list and the membership that the fake control servers of a test share.
+type sharedList struct {
 	mu      sync.Mutex
 	index   int64
 	entries map[string]listEntry
 	members map[string]bool
-	version int64 // of the members
-	changed chan struct{}
+	version int64         // of the members
+	changed chan struct{} // closed and replaced at each change
 }
 
+// listEntry is an endpoint and the index of its latest change.
 type listEntry struct {
 	agent.Endpoint
 	index int64
 }
 
-func newList() *list {
-	return &list{index: 1, entries: map[string]listEntry{}, members: map[string]bool{}, changed: make(chan struct{})}
+func newSharedList() *sharedList {
+	return &sharedList{index: 1, entries: map[string]listEntry{}, members: map[string]bool{}, changed: make(chan struct{})}
 }
 
-func (l *list) stir() {
+// notifyChange wakes all held calls. The caller holds the lock.
+func (l *sharedList) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// set makes the next version of the list.
-func (l *list) set(destination int, name, status string) {
+// set adds or replaces an endpoint under the next index of the list.
+func (l *sharedList) set(destination int, name, status string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
 	l.entries[name] = listEntry{agent.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Type: "std", Group: destination, Status: status, Weight: 1}, l.index}
-	l.stir()
+	l.notifyChange()
 }
 
-func (l *list) setMembers(names ...string) {
+// setMembers replaces the set of members.
+func (l *sharedList) setMembers(names ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.members = map[string]bool{}
@@ -64,63 +67,65 @@
 		l.members[name] = true
 	}
 	l.version++
-	l.stir()
+	l.notifyChange()
 }
 
-// fake is one control server.
-type fake struct {
-	*list
+// fakeServer is a fake control server.
+type fakeServer struct {
+	*sharedList
 	t      *testing.T
 	server *http.Server
 	ln     net.Listener
-	over   chan struct{}
+	closed chan struct{}
 
-	scopes map[string]ownership.Set
-	calls  map[string]int // by method and path, without the query
-	asked  []string       // queries of lists
-	lag    int64          // how far its list is behind
-	spoil  func(w http.ResponseWriter, r *http.Request) bool
+	scopes      map[string]ownership.Set
+	calls       map[string]int // number of calls by method and path without the query; "lookup" for look-ups
+	listQueries []string       // query strings of the requests for lists
+	lag         int64          // how much lower the index of its list is than that of sharedList
+	// intercept may answer a request in place of the server; it returns whether it has. nil answers none.
+	intercept func(w http.ResponseWriter, r *http.Request) bool
 }
 
-func newFake(t *testing.T, l *list) *fake {
+func newFakeServer(t *testing.T, l *sharedList) *fakeServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{list: l, t: t, ln: ln, over: make(chan struct{}), scopes: map[string]ownership.Set{}, calls: map[string]int{}}
+	f := &fakeServer{sharedList: l, t: t, ln: ln, closed: make(chan struct{}), scopes: map[string]ownership.Set{}, calls: map[string]int{}}
 	f.server = &http.Server{Handler: f}
 	go f.server.Serve(ln)
 	t.Cleanup(f.close)
 	return f
 }
 
-func (f *fake) address() string { return f.ln.Addr().String() }
+func (f *fakeServer) address() string { return f.ln.Addr().String() }
 
-func (f *fake) close() {
+func (f *fakeServer) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	select {
-	case <-f.over:
+	case <-f.closed:
 	default:
-		close(f.over)
+		close(f.closed)
 		f.server.Close()
 	}
 }
 
-func (f *fake) count(what string) int {
+// count returns the number of calls of a kind, as named in calls.
+func (f *fakeServer) count(kind string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.calls[what]
+	return f.calls[kind]
 }
 
-// spoils has calls answered in another way; nil: as usual.
-func (f *fake) spoils(spoil func(w http.ResponseWriter, r *http.Request) bool) {
+// setIntercept sets or, with nil, removes the function that may answer requests in place of the server.
+func (f *fakeServer) setIntercept(intercept func(w http.ResponseWriter, r *http.Request) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.spoil = spoil
+	f.intercept = intercept
 }
 
-func (f *fake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	kind := r.Method + " " + strings.Join(strings.Split(r.URL.Path, "/")[:3], "/")
 	if r.URL.Path == "/v1/servers" && !r.URL.Query().Has("scope") {
 		kind = "lookup"
@@ -128,11 +133,11 @@
 	f.mu.Lock()
 	f.calls[kind]++
 	if r.URL.Path == "/v1/servers" {
-		f.asked = append(f.asked, r.URL.RawQuery)
+		f.listQueries = append(f.listQueries, r.URL.RawQuery)
 	}
-	spoil := f.spoil
+	intercept := f.intercept
 	f.mu.Unlock()
-	if spoil != nil && spoil(w, r) {
+	if intercept != nil && intercept(w, r) {
 		return
 	}
 	switch {
@@ -145,7 +150,8 @@
 	}
 }
 
-func (f *fake) register(w http.ResponseWriter, r *http.Request) {
+// register answers the registration of a scope.
+func (f *fakeServer) register(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Partitions int
 		Set        string
@@ -154,7 +160,7 @@
 	set, err2 := ownership.ParseSet(body.Set, 1<<20, uint64(body.Partitions))
 	digest := strings.TrimPrefix(r.URL.Path, "/v1/scopes/")
 	if err != nil || err2 != nil || digest != ownership.Digest(body.Partitions, body.Set) {
-		http.Error(w, "no scope", http.StatusBadRequest)
+		http.Error(w, "invalid scope", http.StatusBadRequest)
 		return
 	}
 	f.mu.Lock()
@@ -163,11 +169,12 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// held calls answer at once and after each change, until it has done so or the hold is over.
-func (f *fake) held(r *http.Request, answer func(last bool) bool) {
+// answerHeld calls answer at once and after each change until it reports that it has answered. When the hold of the request ends, answer is called with last set
+// and has to answer.
+func (f *fakeServer) answerHeld(r *http.Request, answer func(last bool) bool) {
 	ms, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	end := time.NewTimer(time.Duration(ms) * time.Millisecond)
-	defer end.Stop()
+	holdTimer := time.NewTimer(time.Duration(ms) * time.Millisecond)
+	defer holdTimer.Stop()
 	for last := !r.URL.Query().Has("from"); ; {
 		f.mu.Lock()
 		changed := f.changed
@@ -177,19 +184,20 @@
 		}
 		select {
 		case <-changed:
-		case <-end.C:
+		case <-holdTimer.C:
 			last = true
 		case <-r.Context().Done():
 			return
-		case <-f.over:
+		case <-f.closed:
 			return
 		}
 	}
 }
 
-func (f *fake) serveList(w http.ResponseWriter, r *http.Request) {
+// serveList answers a watch of the list or a look-up.
+func (f *fakeServer) serveList(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	beside, err := ownership.ParseSet(q.Get("destinations"), 1<<16, 1<<32)
+	extra, err := ownership.ParseSet(q.Get("destinations"), 1<<16, 1<<32)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -205,7 +213,7 @@
 	if err != nil {
 		from = partial.NoIndex
 	}
-	f.held(r, func(last bool) bool {
+	f.answerHeld(r, func(last bool) bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		index := f.index - f.lag
@@ -215,7 +223,7 @@
 		}
 		v := agent.List{Index: index, Snapshot: from == partial.NoIndex, Endpoints: []agent.Endpoint{}}
 		for _, e := range f.entries {
-			wanted := scope.Contains(testLayout.PartitionOf(e.Group)) || beside.Contains(uint32(e.Group))
+			wanted := scope.Contains(testLayout.PartitionOf(e.Group)) || extra.Contains(uint32(e.Group))
 			if wanted && e.index > from && e.index <= index && !(v.Snapshot && e.Status == agent.Deleted) {
 				v.Endpoints = append(v.Endpoints, e.Endpoint)
 			}
@@ -228,10 +236,11 @@
 	})
 }
 
-func (f *fake) serveMembers(w http.ResponseWriter, r *http.Request) {
+// serveMembers answers a watch of the members, always with a snapshot.
+func (f *fakeServer) serveMembers(w http.ResponseWriter, r *http.Request) {
 	q, epoch := r.URL.Query(), f.address()
 	from, _ := strconv.ParseInt(q.Get("from"), 10, 64)
-	f.held(r, func(last bool) bool {
+	f.answerHeld(r, func(last bool) bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if !last && q.Get("epoch") == epoch && from == f.version {
@@ -246,6 +255,7 @@
 	})
 }
 
+// answerJSON writes v as JSON, compressed if it is large and the client accepts gzip.
 func answerJSON(w http.ResponseWriter, r *http.Request, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -261,8 +271,8 @@
 	z.Close()
 }
 
-// cutOff answers with the beginning of an answer, and ends the connection.
-func cutOff(w http.ResponseWriter, r *http.Request) bool {
+// truncateAnswer sends the first part of an answer and closes the connection.
+func truncateAnswer(w http.ResponseWriter, r *http.Request) bool {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		panic(err)
@@ -272,7 +282,7 @@
 	return true
 }
 
-// destinationsOf lists so many destinations in a part, and as many outside.
+// destinationsOf returns n destinations in a part and n destinations outside it.
 func destinationsOf(part ownership.Set, n int) (inside, outside []int) {
 	for d := 0; len(inside) < n || len(outside) < n; d++ {
 		if part.Contains(testLayout.PartitionOf(d)) {
@@ -284,4 +294,4 @@
 	return inside[:n], outside[:n]
 }
 
-func name(destination int) string { return fmt.Sprint("s", destination) }
+func endpointName(destination int) string { return fmt.Sprint("s", destination) }
--- a/internal/control/client/members.go
+++ b/internal/control/client/members.go
@@ -12,6 +12,7 @@
 	"scaleroute/internal/control/api"
 )
 
+// readMembers decodes an answer to a watch of the members and checks that it has an epoch and a lease.
 func readMembers(from io.Reader) (a api.Members, err error) {
 	if err := json.NewDecoder(from).Decode(&a); err != nil {
 		return a, err
@@ -20,23 +21,23 @@
 	case a.Epoch == "":
 		return a, errors.New("members: the answer has no epoch")
 	case a.LeaseMS <= 0:
-		return a, fmt.Errorf("members: a lease of %d ms", a.LeaseMS)
+		return a, fmt.Errorf("members: the lease of %d ms is not positive", a.LeaseMS)
 	}
 	return a, nil
 }
 
-// Membership is who the members are, by what control servers have answered. It does no I/O and reads no clock.
+// Membership is the set of members of the fleet according to the answers of control servers. It does no I/O and reads no clock.
 //
-// A server that has just started may know few of them. So who is missing in the answer of another server, or of one that started anew, stays a member for one
-// lease more: parts do not move because this forwarder has changed its server.
+// A server that has just started may know few members. A member that is missing from the answer of a different server, or of a server that has restarted,
+// therefore stays in the set for one more lease, so that parts do not move merely because this forwarder has changed its server.
 type Membership struct {
-	Epoch   string // whose the index is
+	Epoch   string // identifies the server run that Index belongs to
 	Index   int64
 	Lease   time.Duration
-	members map[string]time.Duration // until when one counts that the present server has not named; 0: it has
+	members map[string]time.Duration // when a member that the current server has not named expires; 0: the server has named it
 }
 
-// Apply takes an answer, and tells whether the members are others now.
+// Apply applies an answer and reports whether the set of members has changed.
 func (m *Membership) Apply(now time.Duration, a api.Members) (changed bool) {
 	if m.members == nil {
 		m.members = map[string]time.Duration{}
@@ -75,7 +76,7 @@
 	return changed
 }
 
-// Expire drops members whose time is up, and tells whether there were any.
+// Expire removes the members that have expired and reports whether there were any.
 func (m *Membership) Expire(now time.Duration) (changed bool) {
 	for name, until := range m.members {
 		if until != 0 && now >= until {
@@ -86,7 +87,8 @@
 	return changed
 }
 
-// Restore goes on from who were members to another process, until a control server has named them, or for a lease.
+// Restore sets the members that another process has saved. After the first answer of a control server, a restored member that the answer does not name stays for
+// one more lease.
 func (m *Membership) Restore(names []string) {
 	m.members = map[string]time.Duration{}
 	for _, name := range names {
@@ -94,5 +96,5 @@
 	}
 }
 
-// Names lists the members.
+// Names returns the names of the members in order.
 func (m *Membership) Names() []string { return slices.Sorted(maps.Keys(m.members)) }
--- a/internal/control/client/traffic.go
+++ b/internal/control/client/traffic.go
@@ -5,44 +5,46 @@
 	"sync/atomic"
 )
 
-// CallKind is a kind of call.
+// CallKind is a kind of call to a control server, for the traffic counters.
 type CallKind int32
 
-// The kinds of call.
+// The kinds of call: a watch of the endpoint list, the registration of a scope, a look-up of destinations, and a watch of the members.
 const (
 	WatchCall CallKind = iota
 	ScopeCall
 	LookupCall
 	MembersCall
-	kinds
+	callKinds
 )
 
-var kindNames = [kinds]string{"watch", "scope", "lookup", "members"}
+var callKindNames = [callKinds]string{"watch", "scope", "lookup", "members"}
 
-func (k CallKind) String() string { return kindNames[k] }
+func (k CallKind) String() string { return callKindNames[k] }
 
-// Usage is what calls of one kind have come to, in bytes of HTTP, headers included.
+// Usage counts the calls of one kind and their bytes of HTTP, headers included.
 type Usage struct {
 	Calls    int64 `json:"calls"`
 	Sent     int64 `json:"sent"`
 	Received int64 `json:"received"`
 }
 
+// usage is the counters behind a Usage.
 type usage struct{ calls, sent, received atomic.Int64 }
 
-type traffic [kinds]usage
+// traffic has the counters of each kind of call.
+type traffic [callKinds]usage
 
-// Traffic is what the calls of each kind have come to, by its name.
+// Traffic returns the usage of each kind of call, by the name of the kind.
 func (c *Client) Traffic() map[string]Usage {
 	t := map[string]Usage{}
-	for k := range kinds {
+	for k := range callKinds {
 		u := &c.traffic[k]
 		t[k.String()] = Usage{u.calls.Load(), u.sent.Load(), u.received.Load()}
 	}
 	return t
 }
 
-// countingConn counts the bytes of a connection for the kind of call that it carries.
+// countingConn attributes the bytes of a connection to the kind of call that it carries.
 type countingConn struct {
 	net.Conn
 	traffic *traffic
@@ -50,8 +52,8 @@
 	bytes   atomic.Int64
 }
 
-// begin notes which call the connection carries from now on, and returns how many bytes it has carried.
-func (c *countingConn) begin(kind CallKind) int64 {
+// startCall records the kind of the call that the connection carries next, and returns the number of bytes that the connection has carried before it.
+func (c *countingConn) startCall(kind CallKind) int64 {
 	c.kind.Store(int32(kind))
 	c.traffic[kind].calls.Add(1)
 	return c.bytes.Load()
