--- a/internal/door/client.go
+++ b/internal/door/client.go
@@ -14,42 +14,43 @@
 	"scaleroute/internal/membership"
 )
 
-// answerTime is how long a call waits for its answer: less than the second that whoever called here waits.
-const answerTime = 900 * time.Millisecond
+// requestTimeout limits one request. It is less than the second that an operator's own request waits when it is passed on through this client.
+const requestTimeout = 900 * time.Millisecond
 
-// ErrRejected is a forwarder's no.
+// ErrRejected is returned when the forwarder answers with a status other than 2xx.
+// The tests of scaleroutectl match its text.
 var ErrRejected = errors.New("the forwarder says no")
 
-// Client calls another process's door.
+// Client calls the admin API of another process.
 type Client struct {
-	at   string
-	http http.Client
+	address string
+	http    http.Client
 }
 
-// NewClient makes a Client for a door at an address.
+// NewClient returns a Client for the admin API at an address.
 func NewClient(address string) *Client {
-	return &Client{address, http.Client{Timeout: answerTime, Transport: &http.Transport{DisableKeepAlives: true}}}
+	return &Client{address, http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// NewClientWithTimeout is To for a caller that waits for so long.
+// NewClientWithTimeout is like NewClient, with another limit for each request.
 func NewClientWithTimeout(address string, limit time.Duration) *Client {
 	c := NewClient(address)
 	c.http.Timeout = limit
 	return c
 }
 
-// Put makes one call with a body.
+// Put sends a PUT request with a body and returns the text of the response.
 func (c *Client) Put(ctx context.Context, path string, body []byte) (string, error) {
 	return c.call(ctx, http.MethodPut, path, bytes.NewReader(body))
 }
 
-// Call makes one call, and returns what was answered. A no is an ErrNo with its reason.
+// Call sends one request without a body and returns the text of the response. A status other than 2xx becomes an ErrRejected with the text as its reason.
 func (c *Client) Call(ctx context.Context, method, path string) (string, error) {
 	return c.call(ctx, method, path, nil)
 }
 
-func (c *Client) call(ctx context.Context, method, path string, with io.Reader) (string, error) {
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.at+path, with)
+func (c *Client) call(ctx context.Context, method, path string, content io.Reader) (string, error) {
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.address+path, content)
 	if err != nil {
 		return "", err
 	}
@@ -76,18 +77,18 @@
 	return err
 }
 
-// DisableEndpoint leaves a target out.
-func (c *Client) DisableEndpoint(target string) error {
-	return c.put(context.Background(), "/targets/"+url.PathEscape(target)+"/maint")
+// DisableEndpoint takes an endpoint out of rotation until EnableEndpoint.
+func (c *Client) DisableEndpoint(name string) error {
+	return c.put(context.Background(), "/targets/"+url.PathEscape(name)+"/maint")
 }
 
-// EnableEndpoint puts it back.
-func (c *Client) EnableEndpoint(target string) error {
-	return c.put(context.Background(), "/targets/"+url.PathEscape(target)+"/ready")
+// EnableEndpoint ends DisableEndpoint.
+func (c *Client) EnableEndpoint(name string) error {
+	return c.put(context.Background(), "/targets/"+url.PathEscape(name)+"/ready")
 }
 
-// DrainClients sends clients away.
+// DrainClients has the forwarder drain its clients until ResumeClients.
 func (c *Client) DrainClients(ctx context.Context) error { return c.put(ctx, "/healthcheck/fail") }
 
-// ResumeClients takes them again.
+// ResumeClients ends DrainClients.
 func (c *Client) ResumeClients(ctx context.Context) error { return c.put(ctx, "/healthcheck/ok") }
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -1,5 +1,5 @@
-// Package door is the operators' way in: a few calls over HTTP/1.1 at an address of its own. It knows an interface and no engine, and
-// answers questions from what was published, so that it answers however busy the forwarder is.
+// Package door serves the admin API: a few HTTP/1.1 requests for operators, at an address of its own. It depends on an interface and not on the
+// engine, and answers reads from published snapshots, so that it answers however busy the forwarder is.
 package door
 
 import (
@@ -18,112 +18,112 @@
 )
 
 const (
-	readTime  = 2 * time.Second // for a call to be read, from the connect on
-	writeTime = 2 * time.Second
-	mostHead  = 8 << 10
-	mostBody  = 4 << 10 // none is wanted; one as long as this is read and passed over
-	mostConns = 16
-	longestID = 256
+	readTimeout    = 2 * time.Second // from the connect until the request is read
+	writeTimeout   = 2 * time.Second
+	maxHeaderBytes = 8 << 10
+	maxIgnoredBody = 4 << 10 // a body that no route expects is read and discarded up to this size
+	maxConns       = 16
+	maxIDLength    = 256
 )
 
-// MaxDescriptors is how many a door may hold: its listener, the connections, and one that makes room.
-const MaxDescriptors = mostConns + 2
+// MaxDescriptors is how many file descriptors a Server uses at most: its listener, maxConns connections, and a new one for which another is closed.
+const MaxDescriptors = maxConns + 2
 
-// Forwarder is what operators ask and tell. None of its methods may wait for long: a caller waits a second.
+// Forwarder carries out operators' requests. None of its methods may block for long, since an operator's request waits a second.
 type Forwarder interface {
-	Ready() error                           // nil, or why this process is not ready to serve
-	Stats() any                             // the figures, as JSON has them
-	DisableEndpoint(target string) error    // until EnableEndpoint
-	EnableEndpoint(target string) error     // membership.ErrNeverListed where there never was one
-	DrainClients(ctx context.Context) error // clients, until ResumeClients
+	Ready() error                           // nil, or the reason why this process is not ready to serve
+	Stats() any                             // a value to be written as JSON
+	DisableEndpoint(name string) error      // until EnableEndpoint
+	EnableEndpoint(name string) error       // membership.ErrNeverListed for an endpoint that was never listed
+	DrainClients(ctx context.Context) error // until ResumeClients
 	ResumeClients(ctx context.Context) error
 }
 
-// Server serves operators' calls.
+// Server serves the admin API.
 type Server struct {
-	server *http.Server
-	to     Forwarder
+	server    *http.Server
+	forwarder Forwarder
 
 	mu    sync.Mutex
-	conns map[net.Conn]*caller
+	conns map[net.Conn]*clientConn
 }
 
-// caller is a connection. It has said nothing until its call has been read.
-type caller struct {
-	since time.Time
-	said  bool
+// clientConn is the state of an open connection.
+type clientConn struct {
+	acceptedAt  time.Time
+	requestRead bool
 }
 
 type connKey struct{}
 
-// Route is one more that a door answers.
+// Route is a route that a Server has besides its own.
 type Route struct {
 	Pattern string // a method and a path
-	MaxBody int64  // bytes that may come with it; 0: none is wanted
+	MaxBody int64  // size limit of the request's body in bytes; 0: no body is expected
 	Handler http.HandlerFunc
 }
 
-// New makes a Door, which answers further calls beside its own.
-func New(to Forwarder, further ...Route) *Server {
-	d := &Server{to: to, conns: map[net.Conn]*caller{}}
+// New returns a Server for a forwarder, with additional routes besides its own.
+func New(forwarder Forwarder, additional ...Route) *Server {
+	s := &Server{forwarder: forwarder, conns: map[net.Conn]*clientConn{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthcheck", func(w http.ResponseWriter, r *http.Request) { say(w, to.Ready()) })
-	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, r *http.Request) { tell(w, to.Stats()) })
-	mux.HandleFunc("PUT /targets/{id}/maint", d.target(to.DisableEndpoint))
-	mux.HandleFunc("PUT /targets/{id}/ready", d.target(to.EnableEndpoint))
-	mux.HandleFunc("PUT /healthcheck/fail", func(w http.ResponseWriter, r *http.Request) { say(w, to.DrainClients(r.Context())) })
-	mux.HandleFunc("PUT /healthcheck/ok", func(w http.ResponseWriter, r *http.Request) { say(w, to.ResumeClients(r.Context())) })
+	mux.HandleFunc("GET /healthcheck", func(w http.ResponseWriter, r *http.Request) { writeResult(w, forwarder.Ready()) })
+	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, r *http.Request) { writeJSON(w, forwarder.Stats()) })
+	mux.HandleFunc("PUT /targets/{id}/maint", s.endpointHandler(forwarder.DisableEndpoint))
+	mux.HandleFunc("PUT /targets/{id}/ready", s.endpointHandler(forwarder.EnableEndpoint))
+	mux.HandleFunc("PUT /healthcheck/fail", func(w http.ResponseWriter, r *http.Request) { writeResult(w, forwarder.DrainClients(r.Context())) })
+	mux.HandleFunc("PUT /healthcheck/ok", func(w http.ResponseWriter, r *http.Request) { writeResult(w, forwarder.ResumeClients(r.Context())) })
 	bodies := map[string]int64{}
-	for _, c := range further {
-		mux.HandleFunc(c.Pattern, c.Handler)
-		bodies[c.Pattern] = c.MaxBody
+	for _, route := range additional {
+		mux.HandleFunc(route.Pattern, route.Handler)
+		bodies[route.Pattern] = route.MaxBody
 	}
-	d.server = &http.Server{
-		Handler:           d.bounded(mux, bodies),
+	s.server = &http.Server{
+		Handler:           s.limitBodies(mux, bodies),
 		ConnContext:       func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
-		ReadTimeout:       readTime,
-		ReadHeaderTimeout: readTime,
-		WriteTimeout:      readTime + writeTime, // from the end of the head on
-		IdleTimeout:       readTime,
-		MaxHeaderBytes:    mostHead,
-		ConnState:         d.track,
+		ReadTimeout:       readTimeout,
+		ReadHeaderTimeout: readTimeout,
+		WriteTimeout:      readTimeout + writeTimeout, // counted from the end of the request's header
+		IdleTimeout:       readTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         s.track,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	d.server.SetKeepAlivesEnabled(false) // one call to a connection
-	return d
+	s.server.SetKeepAlivesEnabled(false) // one request per connection
+	return s
 }
 
-// Serve answers calls until Close.
-func (d *Server) Serve(ln net.Listener) {
-	if err := d.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-		slog.Error("the operators' door is shut", "err", err)
+// Serve answers requests until Close.
+func (s *Server) Serve(ln net.Listener) {
+	if err := s.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+		slog.Error("the admin API has stopped serving", "err", err)
 	}
 }
 
-// Close ends the listener and all calls.
-func (d *Server) Close() { d.server.Close() }
+// Close closes the listener and all connections.
+func (s *Server) Close() { s.server.Close() }
 
-// bounded reads what a call brings along, which nobody wants, within bounds, before it is answered: else a caller that still writes
-// would lose its answer to a reset.
-func (d *Server) bounded(next http.Handler, bodies map[string]int64) http.Handler {
+// limitBodies bounds the bodies of requests. A body that no route expects is read and discarded before the response is written: otherwise a client
+// that is still writing would get a reset and lose the response.
+func (s *Server) limitBodies(next http.Handler, bodies map[string]int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.heard(r.Context().Value(connKey{}).(net.Conn))
-		if at := r.URL.EscapedPath(); at != path.Clean(at) { // the mux would answer with a redirect, which is neither yes nor no
+		s.markRequestRead(r.Context().Value(connKey{}).(net.Conn))
+		if at := r.URL.EscapedPath(); at != path.Clean(at) { // the mux would redirect, which an operator's tool takes neither for success nor for an error
 			http.NotFound(w, r)
 			return
 		}
-		if most := bodies[r.Method+" "+r.URL.Path]; most > 0 {
-			r.Body = http.MaxBytesReader(w, r.Body, most)
+		if limit := bodies[r.Method+" "+r.URL.Path]; limit > 0 {
+			r.Body = http.MaxBytesReader(w, r.Body, limit)
 			next.ServeHTTP(w, r)
 			return
 		}
-		if r.ContentLength > mostBody {
+		if r.ContentLength > maxIgnoredBody {
 			http.Error(w, "no body is wanted: leave it out", http.StatusRequestEntityTooLarge)
 			return
 		}
 		if r.ContentLength != 0 {
 			buf := make([]byte, 1024)
-			body := http.MaxBytesReader(w, r.Body, mostBody)
+			body := http.MaxBytesReader(w, r.Body, maxIgnoredBody)
 			for err := error(nil); err == nil; {
 				_, err = body.Read(buf)
 				var long *http.MaxBytesError
@@ -137,26 +137,25 @@
 	})
 }
 
-// target is a call about one.
-func (d *Server) target(do func(string) error) http.HandlerFunc {
+// endpointHandler handles a request about one endpoint.
+func (s *Server) endpointHandler(do func(string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
-		if len(id) > longestID {
+		if len(id) > maxIDLength {
 			http.Error(w, "a target's id has 256 bytes at most", http.StatusBadRequest)
 			return
 		}
-		say(w, do(id))
+		writeResult(w, do(id))
 	}
 }
 
-// WriteResult answers yes, or no with the reason.
-func WriteResult(w http.ResponseWriter, err error) { say(w, err) }
+// WriteResult responds with "ok", or with the error's text and a status for it.
+func WriteResult(w http.ResponseWriter, err error) { writeResult(w, err) }
 
-// WriteJSON answers with figures as JSON.
-func WriteJSON(w http.ResponseWriter, figures any) { tell(w, figures) }
+// WriteJSON responds with a value as JSON.
+func WriteJSON(w http.ResponseWriter, value any) { writeJSON(w, value) }
 
-// say answers yes, or no with the reason.
-func say(w http.ResponseWriter, err error) {
+func writeResult(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -168,8 +167,8 @@
 	}
 }
 
-func tell(w http.ResponseWriter, figures any) {
-	text, err := json.Marshal(figures)
+func writeJSON(w http.ResponseWriter, value any) {
+	text, err := json.Marshal(value)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -178,44 +177,46 @@
 	w.Write(append(text, '\n'))
 }
 
-// track keeps the connections few: beyond the bound, the oldest of those that have said nothing makes room, or else the oldest.
-func (d *Server) track(conn net.Conn, state http.ConnState) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// track limits the number of connections to maxConns: for each one above the limit it closes the oldest of those whose request has not been read yet,
+// or the oldest of all if there is none.
+func (s *Server) track(conn net.Conn, state http.ConnState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		d.conns[conn] = &caller{since: time.Now()}
-		if len(d.conns) > mostConns {
-			d.shed()
+		s.conns[conn] = &clientConn{acceptedAt: time.Now()}
+		if len(s.conns) > maxConns {
+			s.closeOneConn()
 		}
 	case http.StateClosed, http.StateHijacked:
-		delete(d.conns, conn)
+		delete(s.conns, conn)
 	}
 }
 
-// heard notes that a call was read on a connection.
-func (d *Server) heard(conn net.Conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if c := d.conns[conn]; c != nil {
-		c.said = true
+// markRequestRead records that the request on a connection has been read.
+func (s *Server) markRequestRead(conn net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if c := s.conns[conn]; c != nil {
+		c.requestRead = true
 	}
 }
 
-func (d *Server) shed() {
-	var worst net.Conn
-	for conn, c := range d.conns {
-		w := d.conns[worst]
-		if w == nil || cmp.Or(cmp.Compare(rank(c), rank(w)), c.since.Compare(w.since)) < 0 {
-			worst = conn
+func (s *Server) closeOneConn() {
+	var victim net.Conn
+	for conn, c := range s.conns {
+		v := s.conns[victim]
+		if v == nil || cmp.Or(cmp.Compare(keepRank(c), keepRank(v)), c.acceptedAt.Compare(v.acceptedAt)) < 0 {
+			victim = conn
 		}
 	}
-	delete(d.conns, worst)
-	worst.Close()
+	delete(s.conns, victim)
+	victim.Close()
 }
 
-func rank(c *caller) int {
-	if c.said {
+// keepRank is higher for a connection that is to be kept longer.
+func keepRank(c *clientConn) int {
+	if c.requestRead {
 		return 1
 	}
 	return 0
