--- a/internal/operations/control.go
+++ b/internal/operations/control.go
@@ -10,204 +10,204 @@
 	"scaleroute/internal/engine"
 )
 
-// ClientFront is the clients' front.
+// ClientFront is the front that clients connect to.
 type ClientFront interface {
 	Drain() error
 	Resume() error
 	Draining() bool
 }
 
-// Endpoints is the list of endpoints, with what operators say of it.
+// Endpoints is the endpoint list, of which operators disable and enable endpoints.
 type Endpoints interface {
 	DisableEndpoint(name string) error
 	EnableEndpoint(name string) error
 }
 
-// Components is what a process has while it serves.
+// Components are the parts of a serving process that operators' requests are about.
 type Components struct {
 	Clients   ClientFront
 	Endpoints Endpoints
 	Stats     func() *engine.Stats
-	// JournalFailing returns since when the journal keeps no records; zero if it does. nil: it always does.
+	// JournalFailing returns since when the journal can't be written; zero if it can. nil: it always can.
 	JournalFailing func() time.Time
 }
 
-// Control answers operators. It is there before there is anything to serve, and after.
+// Control carries out the requests of the admin API. It exists before the process begins to serve, and after it has stopped.
 type Control struct {
-	mu     sync.Mutex
-	why    error // it does not serve
-	part   Components
-	failed bool      // told so at this process's door
-	shut   error     // it is shut out of its fleet, and why
-	next   Successor // the process that has taken over; nil if none has
+	mu             sync.Mutex
+	notServing     error // why the process does not serve; nil while it serves
+	components     Components
+	drainRequested bool      // by an operator, through this process's admin API
+	fencedOff      error     // why this process is fenced off from its fleet; nil if it is not
+	successor      Successor // the process that has taken over; nil if none has
 
-	calls sync.RWMutex // held for reading by calls about targets, from when it was asked whose they are until they are carried out
+	endpointCalls sync.RWMutex // held for reading by DisableEndpoint and EnableEndpoint, from when they look up the Endpoints to call until that call has returned
 }
 
 // Why a process is not ready.
 var (
 	errStarting = errors.New("starting: not ready yet")
-	errAway     = errors.New("clients are sent away: PUT /healthcheck/ok ends that")
+	errDraining = errors.New("clients are sent away: PUT /healthcheck/ok ends that")
 )
 
-// NewControl makes a Control of a process that starts.
-func NewControl() *Control { return &Control{why: errStarting} }
+// NewControl returns the Control of a process that starts.
+func NewControl() *Control { return &Control{notServing: errStarting} }
 
-// SetServing tells that the process serves from now on.
-func (c *Control) SetServing(p Components) {
+// SetServing records that the process serves from now on.
+func (c *Control) SetServing(components Components) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.part, c.why = p, nil
-	if c.shut != nil { // it goes on after another process did not take over
-		c.part.Clients.Drain() // it has just begun: it is not stopping
+	c.components, c.notServing = components, nil
+	if c.fencedOff != nil { // this process serves again since the next one did not take over
+		c.components.Clients.Drain() // a new front is not stopping, so this does not fail
 	}
 }
 
-// DrainedByOperator tells whether clients are sent away for more than that this process is shut out: the next one, which begins in, is to go on with that.
+// DrainedByOperator reports whether clients are drained for another reason than that this process is fenced off. The next process, which does not begin
+// fenced off, keeps them drained in that case.
 func (c *Control) DrainedByOperator() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.part.Clients != nil && c.part.Clients.Draining() && (c.shut == nil || c.failed)
+	return c.components.Clients != nil && c.components.Clients.Draining() && (c.fencedOff == nil || c.drainRequested)
 }
 
-// SetStopped tells that it does not any more, and why.
+// SetStopped records that the process does not serve any more, and why.
 func (c *Control) SetStopped(why error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.why = why
+	c.notServing = why
 }
 
-// BeginHandover is Stop for a process that hands over. When it returns no call about a target is being carried out here: the next process
-// reads what operators have left out once, and what it missed would be a yes that does not hold.
+// BeginHandover is SetStopped for a process that hands over. When it returns, no request to disable or enable an endpoint is in progress here: the next
+// process reads the disabled endpoints once, and a request that it missed would have been confirmed without taking effect.
 func (c *Control) BeginHandover(why error) {
 	c.SetStopped(why)
-	c.calls.Lock()
-	defer c.calls.Unlock()
+	c.endpointCalls.Lock()
+	defer c.endpointCalls.Unlock()
 }
 
-// Ready is nil, or why this process is not ready to serve.
+// Ready returns nil, or the reason why this process is not ready to serve.
 func (c *Control) Ready() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.why != nil:
-		return c.why
-	case c.shut != nil:
-		return c.shut
-	case c.failed:
-		return errAway
-	case c.part.JournalFailing != nil && !c.part.JournalFailing().IsZero():
-		return fmt.Errorf("the journal can't be kept since %s: see the log, and its disk", c.part.JournalFailing().Format(time.TimeOnly))
+	case c.notServing != nil:
+		return c.notServing
+	case c.fencedOff != nil:
+		return c.fencedOff
+	case c.drainRequested:
+		return errDraining
+	case c.components.JournalFailing != nil && !c.components.JournalFailing().IsZero():
+		return fmt.Errorf("the journal can't be kept since %s: see the log, and its disk", c.components.JournalFailing().Format(time.TimeOnly))
 	}
 	return nil
 }
 
-// Successor is the process that has taken over: what operators still say here is passed on to it.
+// Successor is the process that has taken over. Requests that operators still send to this process are forwarded to it.
 type Successor interface {
 	Endpoints
 	DrainClients(context.Context) error
 	ResumeClients(context.Context) error
 }
 
-// ForwardTo passes operators' calls on from now on. Whether this process is ready, and its figures, stay its own.
-func (c *Control) ForwardTo(to Successor) {
+// ForwardTo forwards operators' requests from now on, except for Ready and Stats, which this process goes on answering for itself.
+func (c *Control) ForwardTo(successor Successor) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next = to
+	c.successor = successor
 }
 
-func (c *Control) members() (Endpoints, error) {
+func (c *Control) endpoints() (Endpoints, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.next != nil {
-		return c.next, nil
+	if c.successor != nil {
+		return c.successor, nil
 	}
-	return c.part.Endpoints, c.why
+	return c.components.Endpoints, c.notServing
 }
 
-// DisableEndpoint leaves a target out until EnableEndpoint.
-func (c *Control) DisableEndpoint(target string) error {
-	c.calls.RLock()
-	defer c.calls.RUnlock()
-	m, err := c.members()
+// DisableEndpoint takes an endpoint out of rotation until EnableEndpoint.
+func (c *Control) DisableEndpoint(name string) error {
+	c.endpointCalls.RLock()
+	defer c.endpointCalls.RUnlock()
+	list, err := c.endpoints()
 	if err != nil {
 		return err
 	}
-	return m.DisableEndpoint(target)
+	return list.DisableEndpoint(name)
 }
 
-// EnableEndpoint puts it back.
-func (c *Control) EnableEndpoint(target string) error {
-	c.calls.RLock()
-	defer c.calls.RUnlock()
-	m, err := c.members()
+// EnableEndpoint ends DisableEndpoint.
+func (c *Control) EnableEndpoint(name string) error {
+	c.endpointCalls.RLock()
+	defer c.endpointCalls.RUnlock()
+	list, err := c.endpoints()
 	if err != nil {
 		return err
 	}
-	return m.EnableEndpoint(target)
+	return list.EnableEndpoint(name)
 }
 
-// DrainClients sends clients away until ResumeClients.
+// DrainClients drains the clients until ResumeClients.
 func (c *Control) DrainClients(ctx context.Context) error {
-	if next := c.after(); next != nil {
-		return next.DrainClients(ctx)
+	if successor := c.currentSuccessor(); successor != nil {
+		return successor.DrainClients(ctx)
 	}
-	return c.drain(true)
+	return c.requestDrain(true)
 }
 
-// ResumeClients takes them again.
+// ResumeClients ends DrainClients. The clients stay drained while this process is fenced off.
 func (c *Control) ResumeClients(ctx context.Context) error {
-	if next := c.after(); next != nil {
-		return next.ResumeClients(ctx)
+	if successor := c.currentSuccessor(); successor != nil {
+		return successor.ResumeClients(ctx)
 	}
-	return c.drain(false)
+	return c.requestDrain(false)
 }
 
-func (c *Control) after() Successor {
+func (c *Control) currentSuccessor() Successor {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.next
+	return c.successor
 }
 
-func (c *Control) drain(away bool) error {
+func (c *Control) requestDrain(drain bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.why != nil {
-		return c.why
+	if c.notServing != nil {
+		return c.notServing
 	}
-	if err := c.away(away || c.shut != nil); err != nil {
+	if err := c.setDrained(drain || c.fencedOff != nil); err != nil {
 		return err
 	}
-	c.failed = away
+	c.drainRequested = drain
 	return nil
 }
 
-// away sends clients away or takes them again.
-func (c *Control) away(away bool) error {
-	do := c.part.Clients.Resume
-	if away {
-		do = c.part.Clients.Drain
+func (c *Control) setDrained(drained bool) error {
+	do := c.components.Clients.Resume
+	if drained {
+		do = c.components.Clients.Drain
 	}
 	return do()
 }
 
-// SetFencedOff sends clients away while this process is shut out of its fleet, whatever operators say at its door meanwhile; nil ends that.
+// SetFencedOff drains the clients while this process is fenced off from its fleet, whatever operators request meanwhile. A nil reason ends that.
 func (c *Control) SetFencedOff(why error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shut = why
-	if c.why != nil { // it does not serve
+	c.fencedOff = why
+	if c.notServing != nil {
 		return nil
 	}
-	return c.away(why != nil || c.failed)
+	return c.setDrained(why != nil || c.drainRequested)
 }
 
-// figures is the newest there are.
-func (c *Control) figures() *engine.Stats {
+// stats returns the newest statistics.
+func (c *Control) stats() *engine.Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.part.Stats == nil { // it has not served yet
+	if c.components.Stats == nil { // the process has not served yet
 		return &engine.Stats{}
 	}
-	return c.part.Stats()
+	return c.components.Stats()
 }
--- a/internal/operations/control_test.go
+++ b/internal/operations/control_test.go
@@ -6,49 +6,50 @@
 	"time"
 )
 
-// slowMembers carries a call out once it may.
-type slowMembers struct {
-	begun, may chan bool
-	done       int
+// slowEndpoints blocks in each call until mayReturn is closed.
+type slowEndpoints struct {
+	started, mayReturn chan bool
+	completed          int
 }
 
-func (m *slowMembers) DisableEndpoint(string) error {
-	m.begun <- true
-	<-m.may
-	m.done++
+func (m *slowEndpoints) DisableEndpoint(string) error {
+	m.started <- true
+	<-m.mayReturn
+	m.completed++
 	return nil
 }
 
-func (m *slowMembers) EnableEndpoint(name string) error { return m.DisableEndpoint(name) }
+func (m *slowEndpoints) EnableEndpoint(name string) error { return m.DisableEndpoint(name) }
 
-// TestHandOverWaitsForCalls: a process that hands over carries out what it is asked about targets before the next one reads that, or says no.
-func TestHandOverWaitsForCalls(t *testing.T) {
+// TestHandoverWaitsForCalls guards against a request that is confirmed and lost: a process that hands over must complete requests to disable or enable an
+// endpoint before BeginHandover returns, since the next process then reads the disabled endpoints, and must reject later ones.
+func TestHandoverWaitsForCalls(t *testing.T) {
 	errGone := errors.New("gone")
-	for name, call := range map[string]func(*Control, string) error{"leave out": (*Control).DisableEndpoint, "put back": (*Control).EnableEndpoint} {
+	for name, call := range map[string]func(*Control, string) error{"disable": (*Control).DisableEndpoint, "enable": (*Control).EnableEndpoint} {
 		t.Run(name, func(t *testing.T) {
-			m := &slowMembers{begun: make(chan bool), may: make(chan bool)}
+			m := &slowEndpoints{started: make(chan bool), mayReturn: make(chan bool)}
 			c := NewControl()
 			c.SetServing(Components{Endpoints: m})
-			said := make(chan error)
-			go func() { said <- call(c, "a") }()
-			<-m.begun
-			over := make(chan bool)
+			result := make(chan error)
+			go func() { result <- call(c, "a") }()
+			<-m.started
+			done := make(chan bool)
 			go func() {
 				c.BeginHandover(errGone)
-				close(over)
+				close(done)
 			}()
 			select {
-			case <-over:
-				t.Error("handed over while a call is carried out")
-			case <-time.After(50 * time.Millisecond): // longer only shows more
+			case <-done:
+				t.Error("BeginHandover returned while a call was in progress")
+			case <-time.After(50 * time.Millisecond): // a longer wait could only find more
 			}
-			close(m.may)
-			if err := <-said; err != nil || m.done != 1 {
-				t.Errorf("said %v; %d carried out", err, m.done)
+			close(m.mayReturn)
+			if err := <-result; err != nil || m.completed != 1 {
+				t.Errorf("result %v; %d calls completed", err, m.completed)
 			}
-			<-over
-			if err := call(c, "b"); err != errGone || m.done != 1 {
-				t.Errorf("too late: said %v; %d carried out", err, m.done)
+			<-done
+			if err := call(c, "b"); err != errGone || m.completed != 1 {
+				t.Errorf("too late: result %v; %d calls completed", err, m.completed)
 			}
 		})
 	}
--- a/internal/operations/stats.go
+++ b/internal/operations/stats.go
@@ -2,22 +2,22 @@
 
 import "scaleroute/internal/engine"
 
-// Stats is the figures as the door tells them. Each process counts from its own start.
+// Stats are the statistics as the admin API returns them. Each process counts from its own start.
 type Stats struct {
 	Fulfilled map[string]uint64 `json:"fulfilled"` // delivered, by class
-	Throttled map[string]uint64 `json:"throttled"` // refused at once or handed back later
-	Faulted   map[string]uint64 `json:"faulted"`   // answered as failed, at once or later
+	Throttled map[string]uint64 `json:"throttled"` // refused at intake, or after they were accepted
+	Faulted   map[string]uint64 `json:"faulted"`   // rejected at intake, or failed after they were accepted
 
-	Relayed       uint64 `json:"relayed"`          // messages written whole to targets, each attempt counted
-	OpenRequests  int    `json:"open_requests"`    // messages taken and not ended
-	Registry      int    `json:"registry_entries"` // targets in the list
-	OutOfRotation int    `json:"out_of_rotation"`  // those of them that get nothing now, by hand or by choice
+	Relayed       uint64 `json:"relayed"`          // messages written completely to endpoints; each attempt counts
+	OpenRequests  int    `json:"open_requests"`    // messages accepted and not completed
+	Registry      int    `json:"registry_entries"` // endpoints in the list
+	OutOfRotation int    `json:"out_of_rotation"`  // endpoints of the list that get no calls now, since an operator disabled them or the forwarder holds them back
 }
 
-// Stats are the figures as published last.
-func (c *Control) Stats() any { return NewStats(c.figures()) }
+// Stats returns the Stats that were published last.
+func (c *Control) Stats() any { return NewStats(c.stats()) }
 
-// NewStats words figures.
+// NewStats converts the statistics of the engine.
 func NewStats(f *engine.Stats) Stats {
 	s := Stats{Fulfilled: map[string]uint64{}, Throttled: map[string]uint64{}, Faulted: map[string]uint64{},
 		Relayed: f.Relayed, OpenRequests: f.Open, Registry: f.Listed, OutOfRotation: f.OutOfRotation}
