--- a/cmd/scaleroute/clock_test.go
+++ b/cmd/scaleroute/clock_test.go
@@ -11,7 +11,7 @@
 	"scaleroute/internal/steadyclock"
 )
 
-// rejectingTarget tells a long wait until accepts is set.
+// rejectingTarget answers 429 with a long retry-after until accepts is set.
 func rejectingTarget(accepts *atomic.Bool) func(http.ResponseWriter, string) {
 	return func(rw http.ResponseWriter, _ string) {
 		if !accepts.Load() {
@@ -21,64 +21,64 @@
 	}
 }
 
-// TestClockSetForwardWhileDown guards against recovered messages that expire because the wall clock was set forward between two processes.
+// TestClockSetForwardWhileDown: recovered messages must not expire because the wall clock was set forward between two processes.
 func TestClockSetForwardWhileDown(t *testing.T) {
 	var accepts atomic.Bool
-	w := newWorld(t, rejectingTarget(&accepts))
+	w := newTestEnv(t, rejectingTarget(&accepts))
 	faults := newFaultFile(t, w)
 	p := w.start()
-	c := p.client()
-	c.enqueue("told", "harmless", 200000)
-	w.await(w.called, "told")
-	c.enqueue("waits", "unsafe", 200000)
+	c := p.connect()
+	c.mustEnqueue("told", "harmless", 200000)
+	w.awaitValue(w.called, "told")
+	c.mustEnqueue("waits", "unsafe", 200000)
 	p.kill()
 	accepts.Store(true)
 	faults.set(t, "clock +1h")
 	w.start()
-	w.await(w.called, "waits")
+	w.awaitValue(w.called, "waits")
 	if len(w.notices) > 0 {
 		t.Errorf("notice %q", <-w.notices)
 	}
 }
 
-// TestClockSetBackWhileDown guards against recovered messages whose time is prolonged because the wall clock was set back between two processes.
+// TestClockSetBackWhileDown: recovered messages must not live longer because the wall clock was set back between two processes.
 func TestClockSetBackWhileDown(t *testing.T) {
 	var accepts atomic.Bool
-	w := newWorld(t, rejectingTarget(&accepts))
+	w := newTestEnv(t, rejectingTarget(&accepts))
 	faults := newFaultFile(t, w)
 	p := w.start()
-	c := p.client()
-	c.enqueue("told", "harmless", 200000)
-	w.await(w.called, "told")
-	c.enqueue("short", "unsafe", 3000)
+	c := p.connect()
+	c.mustEnqueue("told", "harmless", 200000)
+	w.awaitValue(w.called, "told")
+	c.mustEnqueue("short", "unsafe", 3000)
 	p.kill()
 	faults.set(t, "clock -1h")
 	w.start()
-	w.await(w.notices, "short bounced")
+	w.awaitValue(w.notices, "short bounced")
 }
 
-// TestClockSetDuringHandover guards against calls that are waited for an hour longer, or not at all, because the wall clock was set in a hand-over.
+// TestClockSetDuringHandover: the deadline of a call in flight must not move because the wall clock was set by an hour during a handover.
 func TestClockSetDuringHandover(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		ours, theirs := net.Pipe()
 		defer ours.Close()
 		defer theirs.Close()
 		now := time.Now()
-		left := &bundle{stopped: now, engine: engine.Handover{SavedAt: now,
+		handover := &handoverState{stopped: now, engine: engine.Handover{SavedAt: now,
 			Calls: []engine.HandoverCall{{Message: "m", InFlightCall: &engine.InFlightCall{Conn: ours, Began: now.Add(-time.Second), Deadline: now.Add(4 * time.Second)}}}}}
-		parcels, err := left.parcels()
+		parcels, err := handover.records()
 		if err != nil {
 			t.Fatal(err)
 		}
 		steadyclock.WallNow = func() time.Time { return time.Now().Add(step) }
-		got, err := unpack(parcels)
+		got, err := decodeHandover(parcels)
 		steadyclock.WallNow = time.Now
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := got.engine.Calls[0].Deadline.Add(-step) // as the wall clock now says it
+		end := got.engine.Calls[0].Deadline.Add(-step) // by the wall clock before it was set
 		if wait := end.Sub(now); (wait - 4*time.Second).Abs() > time.Second {
-			t.Errorf("set by %v: the call is waited for %v", step, wait)
+			t.Errorf("clock set by %v: the call in flight has %v left, want 4s", step, wait)
 		}
 	}
 }
--- a/cmd/scaleroute/deploy_test.go
+++ b/cmd/scaleroute/deploy_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// The platform may load a library of its own into the program, so what the deploy file builds is to be linked
-// dynamically against the C library, whatever the environment says of cgo; and what it runs is to be that one process.
+// TestDeployedProgramIsDynamic: the platform may load a library of its own into the program, so the program that the deploy file builds must be
+// linked dynamically against the C library, whatever the environment sets for cgo; and the deploy file must run that program as the only process.
 func TestDeployedProgramIsDynamic(t *testing.T) {
 	const root = "../.."
 	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
@@ -34,7 +34,7 @@
 	out := t.TempDir()
 	build := strings.ReplaceAll(line("build"), " -o bin/ ./cmd/...", " -o "+out+"/ ./cmd/"+program)
 	if !strings.Contains(build, out) {
-		t.Fatalf("build is %q: the test does not know where it leaves the program", build)
+		t.Fatalf("build is %q: the test does not find its output folder", build)
 	}
 	cmd := exec.Command("sh", "-c", build)
 	cmd.Dir, cmd.Env = root, append(os.Environ(), "CGO_ENABLED=0")
@@ -47,10 +47,10 @@
 	}
 	defer f.Close()
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("no interpreter: the program is static")
+		t.Error("no interpreter: the program is linked statically")
 	}
 	libraries, err := f.ImportedLibraries()
 	if err != nil || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		t.Errorf("needs the libraries %q (%v): libc is not among them", libraries, err)
+		t.Errorf("the program needs the libraries %q (%v), without libc", libraries, err)
 	}
 }
--- a/cmd/scaleroute/faults.go
+++ b/cmd/scaleroute/faults.go
@@ -12,10 +12,10 @@
 	"scaleroute/internal/steadyclock"
 )
 
-// faultsVariable names the file by which system calls fail; soak.FaultsVariable is the same.
+// faultsVariable names the environment variable with the path of the fault plan. It is the same as soak.FaultsVariable.
 const faultsVariable = "SCALEROUTE_FAULTS"
 
-// For the soak alone, which builds with this tag. The daemon as it is deployed has none of it.
+// Only the soak test builds with this tag. The deployed daemon can't inject faults.
 func init() {
 	path := os.Getenv(faultsVariable)
 	if path == "" {
--- a/cmd/scaleroute/fleet.go
+++ b/cmd/scaleroute/fleet.go
@@ -20,173 +20,174 @@
 	"scaleroute/internal/version"
 )
 
-// auditing is what makes this forwarder one of a fleet that can be audited. A nil one is none: what operators have set does not ask for it.
-type auditing struct {
-	f      *forwarder
-	build  version.Build
-	began  time.Time
-	ledger *ledger.Ledger // the loop's while there is one
-	over   int            // take-overs before
-	to     atomic.Pointer[engine.Engine]
-	asleep chan sleep
-	member *member
-	load   load.Meter // the loop's while there is one
+// fleetState holds what a forwarder needs as a member of a fleet: versions, audit log, fencing and membership. It is nil if the operators' file has no
+// fleet block; its methods then do nothing.
+type fleetState struct {
+	forwarder   *forwarder
+	build       version.Build
+	started     time.Time
+	ledger      *ledger.Ledger // used by the engine's loop while that runs
+	handovers   int            // how many handovers came before this serving generation
+	engine      atomic.Pointer[engine.Engine]
+	suspensions chan suspension
+	member      *member
+	load        load.Meter // used by the engine's loop while that runs
 }
 
-// sleep is one that the loop has seen.
-type sleep struct {
-	epoch uint64
-	slept time.Duration
+// suspension is a time for which this process did not run, as the engine's loop has detected it.
+type suspension struct {
+	epoch    uint64
+	duration time.Duration
 }
 
-// Versions is what a forwarder acts under, as its door tells it.
-type Versions struct {
+// VersionReport is the admin API's response about the versions that a forwarder acts under.
+type VersionReport struct {
 	Name  string    `json:"name"`
-	Clock time.Time `json:"clock"` // this machine's, for who compares it
+	Clock time.Time `json:"clock"` // this machine's, so that the reader can compare clocks
 	engine.VersionStatus
 }
 
-func newFleet(f *forwarder) (*auditing, error) {
-	if f.operators.now.Fleet == nil {
+func newFleetState(f *forwarder) (*fleetState, error) {
+	if f.operators.current.Fleet == nil {
 		return nil, nil
 	}
-	f.operators.reads = 1
-	p := &auditing{f: f, build: version.OwnBuild(), began: time.Now(), asleep: make(chan sleep, 1)}
+	f.operators.loadCount = 1
+	s := &fleetState{forwarder: f, build: version.OwnBuild(), started: time.Now(), suspensions: make(chan suspension, 1)}
 	var err error
-	p.member, err = newMember(p)
-	return p, err
+	s.member, err = newMember(s)
+	return s, err
 }
 
-// disk is how much of the folder the ledger may take.
-func (p *auditing) disk() int64 {
-	if p == nil {
+// ledgerSize returns how many bytes of the state folder the audit log may use.
+func (s *fleetState) ledgerSize() int64 {
+	if s == nil {
 		return 0
 	}
-	return p.f.operators.now.Fleet.Ledger
+	return s.forwarder.operators.current.Fleet.Ledger
 }
 
-func (p *auditing) generation() int {
-	if p == nil {
+func (s *fleetState) generation() int {
+	if s == nil {
 		return 0
 	}
-	return p.over
+	return s.handovers
 }
 
-// acting is what the loop begins with: the list that is known, and what the process before has left.
-func (p *auditing) acting(known *agent.List, from *bundle) (*engine.Accounting, error) {
-	if p == nil {
+// accounting returns what the engine starts with: the versions in force, the fence, the audit log, and whether this process is still fenced off.
+func (s *fleetState) accounting(known *agent.List, previous *handoverState) (*engine.Accounting, error) {
+	if s == nil {
 		return nil, nil
 	}
-	set := p.f.operators.now
-	if from != nil {
-		p.over = from.takeOver + 1
+	config := s.forwarder.operators.current
+	if previous != nil {
+		s.handovers = previous.handovers + 1
 	}
-	v := version.Vector{Format: version.Format, Build: p.build, Settings: version.Contents{Digest: p.f.c.Digest, LoadCount: 1},
-		Operators: version.Contents{Digest: set.Digest(), LoadCount: p.f.operators.reads}, Handovers: p.over, Started: p.began}
-	if names, err := operations.NewDisabledFile(p.f.c.StateDir).Load(); len(names) > 0 || err != nil {
-		v.Disabled = version.Contents{Digest: version.DigestOfNames(names), LoadCount: 1}
+	vector := version.Vector{Format: version.Format, Build: s.build, Settings: version.Contents{Digest: s.forwarder.config.Digest, LoadCount: 1},
+		Operators: version.Contents{Digest: config.Digest(), LoadCount: s.forwarder.operators.loadCount}, Handovers: s.handovers, Started: s.started}
+	if names, err := operations.NewDisabledFile(s.forwarder.config.StateDir).Load(); len(names) > 0 || err != nil {
+		vector.Disabled = version.Contents{Digest: version.DigestOfNames(names), LoadCount: 1}
 	}
-	v.List = new(version.ListTracker).Update(known.Index, true, known.VersionEntries())
-	a := &engine.Accounting{Vector: v, OnSuspended: func(epoch uint64, slept time.Duration) {
+	vector.List = new(version.ListTracker).Update(known.Index, true, known.VersionEntries())
+	accounting := &engine.Accounting{Vector: vector, OnSuspended: func(epoch uint64, slept time.Duration) {
 		select {
-		case <-p.asleep: // an earlier one that nobody has seen to: what is asked for now is newer than both
+		case <-s.suspensions: // an earlier one that has not been handled: the refresh for the new one covers both
 		default:
 		}
-		p.asleep <- sleep{epoch, slept} // the loop alone sends
+		s.suspensions <- suspension{epoch, slept} // does not block, since only the loop sends
 	}}
-	a.Load = &p.load
-	if why := p.member.out.Load(); why != nil { // another process did not take over: this one was out, and is
-		a.FencedOff = *why
+	accounting.Load = &s.load
+	if why := s.member.fencedOff.Load(); why != nil { // this process serves again since the next one did not take over, and was fenced off before
+		accounting.FencedOff = *why
 	}
-	if set.Fleet.Ledger > 0 {
+	if config.Fleet.Ledger > 0 {
 		var err error
-		if p.ledger, err = ledger.Open(journal.DirFS(p.f.c.StateDir), set.Fleet.Ledger, p.f.c.Name); err != nil {
+		if s.ledger, err = ledger.Open(journal.DirFS(s.forwarder.config.StateDir), config.Fleet.Ledger, s.forwarder.config.Name); err != nil {
 			return nil, err
 		}
-		a.Ledger = p.ledger
+		accounting.Ledger = s.ledger
 	}
-	if set.Fleet.Fence > 0 {
-		a.Fence = fence.New(time.Duration(set.Fleet.Fence))
+	if config.Fleet.Fence > 0 {
+		accounting.Fence = fence.New(time.Duration(config.Fleet.Fence))
 	}
-	return a, nil
+	return accounting, nil
 }
 
-// serve sees to sleeps until ctx ends.
-func (p *auditing) serve(ctx context.Context, all *sync.WaitGroup, l *engine.Engine) {
-	if p == nil {
+// serve runs the member and handles suspensions until ctx ends.
+func (s *fleetState) serve(ctx context.Context, all *sync.WaitGroup, e *engine.Engine) {
+	if s == nil {
 		return
 	}
-	p.to.Store(l)
-	all.Go(func() { p.member.run(ctx, l) })
+	s.engine.Store(e)
+	all.Go(func() { s.member.run(ctx, e) })
 	all.Go(func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case s := <-p.asleep:
-				p.wake(ctx, l, s)
+			case suspended := <-s.suspensions:
+				s.confirmVersions(ctx, e, suspended)
 			}
 		}
 	})
 }
 
-// wake has what this process knows asked for again, and calls begin once that is so. Discovery that does not answer keeps them back for a bounded time only:
-// it may be silent for everyone.
-func (p *auditing) wake(ctx context.Context, l *engine.Engine, s sleep) {
-	limit, cancel := context.WithTimeout(ctx, time.Duration(p.f.operators.now.Fleet.Unheard))
+// confirmVersions refreshes the endpoint list after a suspension and then lets calls begin again. If discovery does not answer, calls are held back for a
+// bounded time only, since it may be unreachable for the whole fleet.
+func (s *fleetState) confirmVersions(ctx context.Context, e *engine.Engine, suspended suspension) {
+	limit, cancel := context.WithTimeout(ctx, time.Duration(s.forwarder.operators.current.Fleet.Unheard))
 	defer cancel()
 	cause := ledger.CauseConfirmed
-	if err := p.f.look(limit); err != nil {
+	if err := s.forwarder.refreshList(limit); err != nil {
 		if ctx.Err() != nil {
 			return
 		}
 		cause = ledger.CauseUnconfirmed
-		slog.Warn("discovery has not answered since this process slept: calls begin by what was known", "slept", s.slept)
+		slog.Warn("discovery has not answered since this process was suspended: calls begin by the last known list", "slept", suspended.duration)
 	}
-	l.ReopenFence(s.epoch, cause)
+	e.ReopenFence(suspended.epoch, cause)
 }
 
-// close ends the ledger, after the loop.
-func (p *auditing) close(handed bool) {
-	if p == nil {
+// close closes the audit log after the engine's loop has ended.
+func (s *fleetState) close(handedOver bool) {
+	if s == nil {
 		return
 	}
-	p.to.Store(nil)
+	s.engine.Store(nil)
 	cause := ledger.CauseStop
-	if handed {
+	if handedOver {
 		cause = ledger.CauseHandedOver
 	}
-	p.ledger.Close(cause, time.Now())
-	p.ledger = nil
+	s.ledger.Close(cause, time.Now())
+	s.ledger = nil
 }
 
-// again is told when the operators' file is to be read again.
-func (p *auditing) again() <-chan struct{} {
-	if p == nil {
+// reloadRequests receives a value whenever the operators' file should be read again.
+func (s *fleetState) reloadRequests() <-chan struct{} {
+	if s == nil {
 		return nil
 	}
-	return p.member.read
+	return s.member.reloadRequests
 }
 
-// calls are those that the operators' door answers for the fleet.
-func (p *auditing) calls() []door.Route {
-	if p == nil {
+// routes returns the routes of the admin API that are about the fleet.
+func (s *fleetState) routes() []door.Route {
+	if s == nil {
 		return nil
 	}
-	return append(p.member.calls(), door.Route{Pattern: "GET /versions", Handler: p.versions}, door.Route{Pattern: "GET /ledger", Handler: p.record}, door.Route{Pattern: "GET /load", Handler: p.spread})
+	return append(s.member.routes(), door.Route{Pattern: "GET /versions", Handler: s.serveVersions}, door.Route{Pattern: "GET /ledger", Handler: s.serveLedger}, door.Route{Pattern: "GET /load", Handler: s.serveLoad})
 }
 
-func (p *auditing) versions(w http.ResponseWriter, r *http.Request) {
-	l := p.to.Load()
-	if l == nil {
+func (s *fleetState) serveVersions(w http.ResponseWriter, r *http.Request) {
+	e := s.engine.Load()
+	if e == nil {
 		http.Error(w, "it does not serve: starting, or another process has taken over", http.StatusServiceUnavailable)
 		return
 	}
-	door.WriteJSON(w, Versions{p.f.c.Name, ledger.Clock(), *l.VersionStatus()})
+	door.WriteJSON(w, VersionReport{s.forwarder.config.Name, ledger.Clock(), *e.VersionStatus()})
 }
 
-func (p *auditing) record(w http.ResponseWriter, r *http.Request) {
-	record, err := ledger.Read(journal.DirFS(p.f.c.StateDir), p.f.c.Name)
+func (s *fleetState) serveLedger(w http.ResponseWriter, r *http.Request) {
+	record, err := ledger.Read(journal.DirFS(s.forwarder.config.StateDir), s.forwarder.config.Name)
 	if err != nil {
 		door.WriteResult(w, err)
 		return
@@ -194,27 +195,27 @@
 	door.WriteJSON(w, record)
 }
 
-// loadWithin is how long the loop may take to say how its calls are spread.
-const loadWithin = time.Second
+// loadTimeout is how long the engine's loop may take to report how its calls are spread over endpoints.
+const loadTimeout = time.Second
 
-func (p *auditing) spread(w http.ResponseWriter, r *http.Request) {
-	l := p.to.Load()
-	if l == nil {
+func (s *fleetState) serveLoad(w http.ResponseWriter, r *http.Request) {
+	e := s.engine.Load()
+	if e == nil {
 		http.Error(w, "it does not serve: starting, or another process has taken over", http.StatusServiceUnavailable)
 		return
 	}
-	s, err := l.Load(loadWithin)
+	snapshot, err := e.Load(loadTimeout)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	s.Name, s.Zone = p.f.c.Name, p.f.c.Settings.Zone
-	if sources := p.f.operators.sources; sources != nil {
-		for _, name := range sources.byHand() {
-			if i := slices.IndexFunc(s.Targets, func(t load.Target) bool { return t.Name == name }); i >= 0 {
-				s.Targets[i].ByHand = true
+	snapshot.Name, snapshot.Zone = s.forwarder.config.Name, s.forwarder.config.Settings.Zone
+	if sources := s.forwarder.operators.sources; sources != nil {
+		for _, name := range sources.disabledNames() {
+			if i := slices.IndexFunc(snapshot.Targets, func(t load.Target) bool { return t.Name == name }); i >= 0 {
+				snapshot.Targets[i].ByHand = true
 			}
 		}
 	}
-	door.WriteJSON(w, s)
+	door.WriteJSON(w, snapshot)
 }
--- a/cmd/scaleroute/fleet_test.go
+++ b/cmd/scaleroute/fleet_test.go
@@ -26,33 +26,33 @@
 	"scaleroute/internal/version"
 )
 
-// logs are the lines of all processes, to be waited for.
-type logs struct {
+// fleetLogs collects the log lines of all processes by forwarder, so that a test can wait for them.
+type fleetLogs struct {
 	mu    sync.Mutex
 	lines map[string][]string
 	more  sync.Cond
 }
 
-func newLogs() *logs {
-	l := &logs{lines: map[string][]string{}}
+func newFleetLogs() *fleetLogs {
+	l := &fleetLogs{lines: map[string][]string{}}
 	l.more.L = &l.mu
 	return l
 }
 
-func (l *logs) told(node, line string) {
+func (l *fleetLogs) add(node, line string) {
 	l.mu.Lock()
 	l.lines[node] = append(l.lines[node], line)
 	l.mu.Unlock()
 	l.more.Broadcast()
 }
 
-// await waits for a line with a text, the nth of them.
-func (l *logs) await(t *testing.T, node, text string, n int) {
+// await waits until n lines of a forwarder's log contain the text.
+func (l *fleetLogs) await(t *testing.T, node, text string, n int) {
 	t.Helper()
-	late := false
-	timer := time.AfterFunc(patience, func() {
+	isTimedOut := false
+	timer := time.AfterFunc(testTimeout, func() {
 		l.mu.Lock()
-		late = true
+		isTimedOut = true
 		l.mu.Unlock()
 		l.more.Broadcast()
 	})
@@ -69,14 +69,15 @@
 		if have >= n {
 			return
 		}
-		if late {
-			t.Fatalf("%s: no %d lines with %q; its log:\n%s", node, n, text, strings.Join(l.lines[node], "\n"))
+		if isTimedOut {
+			t.Fatalf("%s: fewer than %d log lines contain %q; the log:\n%s", node, n, text, strings.Join(l.lines[node], "\n"))
 		}
 		l.more.Wait()
 	}
 }
 
-func resolved(t *testing.T, f operator.Fleet, limits ...operator.Limit) []byte {
+// operatorsFile returns a resolved operators' file.
+func operatorsFile(t *testing.T, f operator.Fleet, limits ...operator.Limit) []byte {
 	t.Helper()
 	c := operator.Default()
 	c.Fleet, c.Limits = &f, limits
@@ -90,10 +91,11 @@
 	return text
 }
 
-func newRig(t *testing.T, s fleet.Shape, l *logs, prepare ...func(*fleet.Rig)) *fleet.Rig {
+// newFleetRig starts a fleet of forwarders, each marked as restarting until all of them serve.
+func newFleetRig(t *testing.T, s fleet.Shape, l *fleetLogs, prepare ...func(*fleet.Rig)) *fleet.Rig {
 	t.Helper()
-	s.Dir, s.Command, s.Told, s.Seed = t.TempDir(), append([]string{os.Args[0], "-gossip-host", os.Args[0]}, s.Command...), l.told, 17
-	s.Env = append(s.Env, "SCALEROUTE_TEST_MAIN=1", endsAtOnce)
+	s.Dir, s.Command, s.Told, s.Seed = t.TempDir(), append([]string{os.Args[0], "-gossip-host", os.Args[0]}, s.Command...), l.add, 17
+	s.Env = append(s.Env, "SCALEROUTE_TEST_MAIN=1", exitWithoutRaceDelay)
 	r, err := fleet.New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -114,8 +116,8 @@
 	return r
 }
 
-// ask makes one call at a forwarder's door.
-func ask[T any](t *testing.T, n *fleet.Node, path string) (v T) {
+// getJSON reads one resource of a forwarder's admin API.
+func getJSON[T any](t *testing.T, n *fleet.Node, path string) (v T) {
 	t.Helper()
 	text, err := door.NewClient(n.Process().Door()).Call(context.Background(), http.MethodGet, path)
 	if err == nil {
@@ -127,38 +129,39 @@
 	return v
 }
 
-// eventually waits until something is so.
-func eventually(t *testing.T, what string, so func() bool) {
+// eventually waits until a condition is true.
+func eventually(t *testing.T, what string, isTrue func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !so(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !isTrue(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not true within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// TestFleetAudit starts eight forwarders, with a relay on each edge. While messages flow, one is stopped right before the first byte of a call, and woken after that
-// call's target was taken away and its address given to another; one hears nothing of discovery; one misses a reload; one is killed; one loses its folder,
-// one finds it damaged, and two find each other's. No rule is broken, and each answer of the ledgers is what the targets' and the agents' own records say.
+// TestFleetAudit starts eight forwarders that reach each other, discovery and the endpoints through relays. While messages flow, each of these
+// faults happens: n1 is stopped right before the first byte of a call and resumed after that endpoint was withdrawn and its address given to
+// another one; n2 receives nothing from discovery; n3 misses a reload; n4 is killed; n5 loses its state folder, n6 finds it damaged, and n7 and
+// n8 find each other's. No rule is broken, and each audit log agrees with the records of the endpoints and the agents.
 func TestFleetAudit(t *testing.T) {
-	l := newLogs()
+	l := newFleetLogs()
 	stop := filepath.Join(t.TempDir(), "stop")
 	set := operator.Fleet{Ledger: 1 << 20, Fence: operator.Duration(400 * time.Millisecond), Unheard: operator.Duration(time.Minute)}
-	r := newRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 4 * time.Second, Set: resolved(t, set), Env: []string{"SCALEROUTE_TEST_STOP=" + stop}, Command: []string{"-log-steps"}}, l)
+	r := newFleetRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 4 * time.Second, Set: operatorsFile(t, set), Env: []string{"SCALEROUTE_TEST_STOP=" + stop}, Command: []string{"-log-steps"}}, l)
 	n := r.Nodes
-	for _, e := range r.World.Endpoints { // slow, so that a forwarder has use for all three of a destination
+	for _, e := range r.World.Endpoints { // slow, so that a forwarder needs all three endpoints of a destination
 		e.Set(standin.Script{Latency: 80 * time.Millisecond})
 	}
-	over := make(chan struct{})
-	wait := r.Load(60, 12, 200, over)
-	busy := func(nodes ...*fleet.Node) { // each has called every target
+	done := make(chan struct{})
+	wait := r.Load(60, 12, 200, done)
+	awaitCalls := func(nodes ...*fleet.Node) { // waits until each node has called every endpoint
 		for _, one := range nodes {
 			for _, e := range r.World.Endpoints[:6] {
 				eventually(t, one.Name+" calls "+e.Name, func() bool { c, _ := one.Arrived(e.Name, time.Time{}, time.Time{}); return c > 0 })
 			}
 		}
 	}
-	busy(n...)
+	awaitCalls(n...)
 
 	victim := r.World.Endpoints[0]
 	n[1].List.Set(fleet.Fault{Silent: fleet.Down})
@@ -168,15 +171,15 @@
 	eventually(t, "n1 is stopped before the first byte of a call", func() bool { _, err := os.Stat(stop + ".n1"); return errors.Is(err, os.ErrNotExist) })
 	stopped := time.Now()
 
-	// A new list: one target drains. The others hear of it; n1 sleeps, n2 is cut off.
+	// A new list: one endpoint drains. All receive it but n1, which is stopped, and n2, which is cut off from discovery.
 	r.World.Set(standin.Draining, victim)
 	index := n[2].Discovery.Index()
 	for _, one := range n[2:] {
-		eventually(t, one.Name+" has the list", func() bool { return ask[Versions](t, one, "/versions").Vector.List.Index >= index })
+		eventually(t, one.Name+" has the list", func() bool { return getJSON[VersionReport](t, one, "/versions").Vector.List.Index >= index })
 	}
-	// What operators set: all but n3 are told to read it.
-	changed := resolved(t, set, operator.Limit{Name: "few", Attempts: 4})
-	digest := decoded(t, changed).Digest()
+	// A new operators' file: all but n1 and n3 are sent SIGHUP.
+	changed := operatorsFile(t, set, operator.Limit{Name: "few", Attempts: 4})
+	digest := decodeConfig(t, changed).Digest()
 	for _, one := range n {
 		if err := one.SetOperators(changed); err != nil {
 			t.Fatal(err)
@@ -188,25 +191,25 @@
 		}
 	}
 	for _, one := range n[3:] {
-		eventually(t, one.Name+" has read the file", func() bool { return ask[Versions](t, one, "/versions").Vector.Operators.Digest == digest })
+		eventually(t, one.Name+" has read the file", func() bool { return getJSON[VersionReport](t, one, "/versions").Vector.Operators.Digest == digest })
 	}
-	if got := ask[Versions](t, n[2], "/versions").Vector; got.Operators.Digest == digest || got.Operators.LoadCount != 1 {
-		t.Errorf("n3 has missed the reload, and says %+v", got.Operators)
+	if got := getJSON[VersionReport](t, n[2], "/versions").Vector; got.Operators.Digest == digest || got.Operators.LoadCount != 1 {
+		t.Errorf("n3 has missed the reload, and reports %+v", got.Operators)
 	}
 	old, _ := n[1].Arrived(victim.Name, time.Time{}, time.Time{})
-	eventually(t, "n2, which has not heard, calls the target that drains", func() bool { c, _ := n[1].Arrived(victim.Name, time.Time{}, time.Time{}); return c > old+2 })
+	eventually(t, "n2, which has the old list, calls the draining endpoint", func() bool { c, _ := n[1].Arrived(victim.Name, time.Time{}, time.Time{}); return c > old+2 })
 
-	// Its address becomes another's, and everybody who listens hears so; n2 too, from now on.
+	// Its address is given to another endpoint. Every running forwarder receives the list, n2 too from now on.
 	n[1].List.Set(fleet.Fault{})
-	eventually(t, "n2 has the list", func() bool { return ask[Versions](t, n[1], "/versions").Vector.List.Index >= index })
+	eventually(t, "n2 has the list", func() bool { return getJSON[VersionReport](t, n[1], "/versions").Vector.List.Index >= index })
 	r.World.Set(standin.Deleted, victim)
-	heir := r.Replace(victim, 1-victim.Group)
-	for _, e := range r.World.Of(heir.Group) { // so that there is use for a new one
+	successor := r.Replace(victim, 1-victim.Group)
+	for _, e := range r.World.Of(successor.Group) { // so that the new endpoint is needed
 		e.Set(standin.Script{Latency: 400 * time.Millisecond})
 	}
-	r.World.Set(standin.Serving, heir)
+	r.World.Set(standin.Serving, successor)
 	for _, one := range n[1:] {
-		eventually(t, one.Name+" calls the new target", func() bool { c, _ := one.Arrived(heir.Name, time.Time{}, time.Time{}); return c > 0 })
+		eventually(t, one.Name+" calls the new endpoint", func() bool { c, _ := one.Arrived(successor.Name, time.Time{}, time.Time{}); return c > 0 })
 	}
 	if err := n[0].Continue(); err != nil {
 		t.Fatal(err)
@@ -216,8 +219,8 @@
 		eventually(t, "n1 calls "+e.Name, func() bool { c, _ := n[0].Arrived(e.Name, stopped, time.Time{}); return c > 0 })
 	}
 
-	// Ends of processes and of folders.
-	gone := map[*fleet.Node]time.Time{} // of those whose folder does not tell of the process before
+	// Processes are killed; state folders are lost, damaged or swapped.
+	folderLostAt := map[*fleet.Node]time.Time{} // for nodes whose folder has no record of their earlier process
 	for _, step := range []struct {
 		node    *fleet.Node
 		between func() error
@@ -226,7 +229,7 @@
 			if step.between == nil {
 				return nil
 			}
-			gone[step.node] = time.Now()
+			folderLostAt[step.node] = time.Now()
 			return step.between()
 		}); err != nil {
 			t.Fatal(err)
@@ -238,7 +241,7 @@
 		t.Fatal(err)
 	}
 	fleet.SwapFolders(n[6], n[7])
-	gone[n[6]], gone[n[7]] = time.Now(), time.Now()
+	folderLostAt[n[6]], folderLostAt[n[7]] = time.Now(), time.Now()
 	for _, one := range n[6:] {
 		if err := one.Start(); err != nil {
 			t.Fatal(err)
@@ -247,37 +250,37 @@
 		one.Log.Restarted(standin.Restart{Ended: ended, Gone: ended, Ready: time.Now()})
 	}
 	for _, one := range n[3:] {
-		eventually(t, one.Name+" calls again", func() bool { c, _ := one.Arrived(heir.Name, restarted, time.Time{}); return c > 0 })
+		eventually(t, one.Name+" calls again", func() bool { c, _ := one.Arrived(successor.Name, restarted, time.Time{}); return c > 0 })
 	}
-	close(over)
+	close(done)
 	wait()
-	if open := r.Settle(n[:4], 10*time.Second); open > 0 { // what the others held may be gone with their folders
-		t.Errorf("%d messages are not over", open)
+	if open := r.Settle(n[:4], 10*time.Second); open > 0 { // messages of the other nodes may be lost with their folders
+		t.Errorf("%d messages are not completed", open)
 	}
 
-	// The rules hold for all of them: but for those whose folder was taken away, which is the end of a machine.
+	// The rules hold for every node, but a node that has lost its folder may lose and repeat messages, as when its machine is lost.
 	for i, one := range n {
 		v := one.Log.Check(standin.Rules)
 		if i >= 4 {
-			v.Lost, v.Twice = 0, 0 // what it held is gone, or another's
+			v.Lost, v.Twice = 0, 0 // its messages are lost, or are another node's
 		}
 		if v.Broken() {
 			t.Errorf("%s: %+v", one.Name, v)
 		}
 		if v.Delivered < 50 {
-			t.Errorf("%s has delivered %d: this test tests too little", one.Name, v.Delivered)
+			t.Errorf("%s has delivered only %d messages, too few for this test", one.Name, v.Delivered)
 		}
 	}
-	// Each ledger says what the targets saw, to the call; the two with each other's folder have sent each other's messages, and count together.
+	// Each audit log agrees with the endpoints' records to the call. The two nodes with swapped folders have sent each other's messages, so they are counted together.
 	for i, group := range [][]*fleet.Node{n[:1], n[1:2], n[2:3], n[3:4], n[4:5], n[5:6], n[6:]} {
 		killed := i >= 3
 		for _, e := range r.World.Endpoints {
 			var begun, arrived, older ledger.Count
-			var lastSeen, lastSaid time.Time
+			var lastSeen, lastLogged time.Time
 			seen := 0
 			for _, one := range group {
-				record := ask[ledger.Snapshot](t, one, "/ledger")
-				from := gone[one]
+				record := getJSON[ledger.Snapshot](t, one, "/ledger")
+				from := folderLostAt[one]
 				count, last := one.Arrived(e.Name, from, time.Time{})
 				seen += count
 				got := record.CallsTo(e.Name, func(c *ledger.Change) bool { return !c.At.Before(from) })
@@ -286,49 +289,49 @@
 				if last.After(lastSeen) {
 					lastSeen = last
 				}
-				if got.Last.After(lastSaid) {
-					lastSaid = got.Last
+				if got.Last.After(lastLogged) {
+					lastLogged = got.Last
 				}
 			}
-			if late := lastSeen.Sub(lastSaid); seen > 0 && (late < -2*time.Second || late > 2*time.Second) { // it may be connecting, or wait for a core
-				t.Errorf("%s: %s was called last at %v, and the ledger says %v", group[0].Name, e.Name, lastSeen, lastSaid)
+			if late := lastSeen.Sub(lastLogged); seen > 0 && (late < -2*time.Second || late > 2*time.Second) { // allows for connection set-up and for a wait for a core
+				t.Errorf("%s: the last call to %s was at %v, and the audit log has %v", group[0].Name, e.Name, lastSeen, lastLogged)
 			}
 			if arrived.Min > uint64(seen) || arrived.Max < uint64(seen) {
-				t.Errorf("%s: %s saw %d calls, and the ledger says %+v", group[0].Name, e.Name, seen, arrived)
+				t.Errorf("%s: %s received %d calls, and the audit log has %+v", group[0].Name, e.Name, seen, arrived)
 			}
-			// In doubt are the calls that were written and got no answer, as the module heard: those that timed out or were cut off, those called off
-			// by the byte that they had come to, and those that a kill cut off.
-			doubt, mostCut := int(arrived.Max-arrived.Min), 0
+			// The audit log is uncertain about calls that were written and got no answer: those that timed out or whose connection was reset, those
+			// that were cancelled, depending on how many bytes were written, and those that a kill cut off.
+			uncertain, maxCutOff := int(arrived.Max-arrived.Min), 0
 			if killed {
-				mostCut = 12
+				maxCutOff = 12
 			}
-			eventually(t, fmt.Sprintf("%s: %s: a line for each call in doubt, %+v, and killed: %v", group[0].Name, e.Name, arrived, killed), func() bool {
-				ended, off := 0, 0
+			eventually(t, fmt.Sprintf("%s: %s: a log line for each uncertain call, %+v, killed: %v", group[0].Name, e.Name, arrived, killed), func() bool {
+				ended, cancelled := 0, 0
 				for _, one := range group {
 					outcome := fmt.Sprintf("step: outcome dest=%d target=%q ", e.Group, e.Name)
 					ended += l.count(one.Name, outcome, " result=timedout ") + l.count(one.Name, outcome, " result=reset ")
-					off += l.count(one.Name, outcome, " result=cancelled ")
+					cancelled += l.count(one.Name, outcome, " result=cancelled ")
 				}
-				return (killed || doubt >= ended) && doubt <= ended+off+mostCut
+				return (killed || uncertain >= ended) && uncertain <= ended+cancelled+maxCutOff
 			})
-			switch { // under lists from before the drain: all calls to the one that drained, and none to its heir
+			switch { // lists from before the drain explain all calls to the drained endpoint, and none to its successor
 			case e == victim && older != begun:
-				t.Errorf("%s: %+v calls to the target that drains, %+v of them under an older list", group[0].Name, begun, older)
-			case e == heir && older.Max > 0:
-				t.Errorf("%s: the new target was called under an old list: %+v", group[0].Name, older)
+				t.Errorf("%s: %+v calls to the draining endpoint, only %+v of them under an older list", group[0].Name, begun, older)
+			case e == successor && older.Max > 0:
+				t.Errorf("%s: the new endpoint was called under an old list: %+v", group[0].Name, older)
 			}
 		}
 	}
-	// The audit of all: who called the target that drained, under lists from before; and who acted on the list.
-	doors := []string{}
+	// The audit of the fleet: which nodes called the draining endpoint under older lists, and which acted on the new list.
+	addresses := []string{}
 	for _, one := range n {
-		doors = append(doors, one.Process().Door())
+		addresses = append(addresses, one.Process().Door())
 	}
-	report := audit.Merge(audit.CollectMembers(t.Context(), doors, 5*time.Second, nil), version.Desired{}, &audit.CallQuery{Target: victim.Name, BelowIndex: index})
+	report := audit.Merge(audit.CollectMembers(t.Context(), addresses, 5*time.Second, nil), version.Desired{}, &audit.CallQuery{Target: victim.Name, BelowIndex: index})
 	for _, by := range report.Calls.Members {
 		i := slices.IndexFunc(n, func(one *fleet.Node) bool { return one.Name == by.Name })
 		if seen, _ := n[i].Arrived(victim.Name, time.Time{}, time.Time{}); i < 3 && by.Arrived != (ledger.Count{Min: uint64(seen), Max: uint64(seen)}) {
-			t.Errorf("the audit has %s call %s %+v times, and it saw %d", by.Name, victim.Name, by.Arrived, seen)
+			t.Errorf("the audit says that %s called %s %+v times, and the endpoint received %d calls", by.Name, victim.Name, by.Arrived, seen)
 		}
 		if by.LastVector.List.Index >= index && by.Begun.Max > 0 {
 			t.Errorf("%s: %+v", by.Name, by)
@@ -336,39 +339,40 @@
 	}
 	for _, m := range report.Members {
 		if m.Verdict != straggler.Current || m.Offset < -time.Second || m.Offset > time.Second {
-			t.Errorf("%s is %s, its clock %v off", m.Name, m.Verdict, m.Offset)
+			t.Errorf("%s is %s, with a clock offset of %v", m.Name, m.Verdict, m.Offset)
 		}
 	}
 	if i := slices.IndexFunc(report.Lists, func(o audit.Rollout) bool { return o.Index == index }); i < 0 || report.Lists[i].Acted != len(n) || report.Lists[i].Digests != 1 {
-		t.Errorf("the list that drains it: %+v", report.Lists)
+		t.Errorf("the list with the drain: %+v", report.Lists)
 	}
-	// The one that slept: fenced, no call until it was confirmed, and by then the list is in force.
-	fenced, open := false, false
-	for _, e := range ask[ledger.Snapshot](t, n[0], "/ledger").Entries {
-		if fenced = fenced || e.Cause == ledger.CauseFenced; e.Cause == ledger.CauseFenced && len(e.Calls) > 0 {
-			t.Errorf("n1 has called while it was fenced: %+v", e.Calls)
+	// The stopped node: it is fenced and makes no call until its list is confirmed, and by then the new list is in effect.
+	isFenced, isReopened := false, false
+	for _, e := range getJSON[ledger.Snapshot](t, n[0], "/ledger").Entries {
+		if isFenced = isFenced || e.Cause == ledger.CauseFenced; e.Cause == ledger.CauseFenced && len(e.Calls) > 0 {
+			t.Errorf("n1 made calls while it was fenced: %+v", e.Calls)
 		}
 		if e.Cause == ledger.CauseConfirmed {
-			if open = true; !fenced || e.Vector.List.Index < index {
-				t.Errorf("n1 calls again under list %d, and %d was told meanwhile", e.Vector.List.Index, index)
+			if isReopened = true; !isFenced || e.Vector.List.Index < index {
+				t.Errorf("n1 calls again under list %d, though %d was published meanwhile", e.Vector.List.Index, index)
 			}
 		}
 	}
-	if !open {
+	if !isReopened {
 		t.Error("n1 was not fenced, or not confirmed")
 	}
-	if got := ask[ledger.Snapshot](t, n[5], "/ledger"); len(got.Damage) == 0 && got.Overwritten.UnreadSegments == 0 {
-		t.Error("n6 does not say that its folder was damaged")
+	if got := getJSON[ledger.Snapshot](t, n[5], "/ledger"); len(got.Damage) == 0 && got.Overwritten.UnreadSegments == 0 {
+		t.Error("n6 does not report that its folder was damaged")
 	}
-	if got := ask[ledger.Snapshot](t, n[6], "/ledger"); len(got.Foreign) == 0 {
-		t.Error("n7 does not say that its folder was another's")
+	if got := getJSON[ledger.Snapshot](t, n[6], "/ledger"); len(got.Foreign) == 0 {
+		t.Error("n7 does not report that its folder was another member's")
 	}
-	// n4 was killed: it goes on counting where it was.
+	// n4 was killed: its audit log continues without a gap.
 	if got, err := ledger.Read(journal.DirFS(n[3].Folder()), "n4"); err != nil || len(got.Caveats()) > 0 || lastStart(got.Entries) == 0 {
 		t.Errorf("n4: %+v (%v)", got, err)
 	}
 }
 
+// lastStart returns the index of the last start of a process in an audit log, or 0 if there is only the first entry.
 func lastStart(list []ledger.Entry) int {
 	for i := len(list) - 1; i > 0; i-- {
 		if list[i].Cause == ledger.CauseStart {
@@ -378,7 +382,7 @@
 	return 0
 }
 
-func decoded(t *testing.T, text []byte) *operator.Config {
+func decodeConfig(t *testing.T, text []byte) *operator.Config {
 	t.Helper()
 	c, err := operator.Decode("test", text)
 	if err != nil {
--- a/cmd/scaleroute/copies_test.go
+++ b/cmd/scaleroute/hedging_test.go
@@ -13,12 +13,13 @@
 	"time"
 )
 
-// TestSecondCopies: a message that may be repeated goes out a second time, to the other endpoint, while its first call gets no answer, and that one
-// is called off once the second is answered; one that may not be repeated stays with its first. A kill with both out loses nothing.
-func TestSecondCopies(t *testing.T) {
+// TestHedgedRequests: while the first call of a message that may be repeated gets no answer, a hedged request goes to the other endpoint, and the first
+// call is cancelled once the hedged request is answered. A message that may not be repeated has no hedged request. If the process is killed with both calls
+// in flight, the next one delivers the message.
+func TestHedgedRequests(t *testing.T) {
 	var mu sync.Mutex
 	calls := map[string][]string{}
-	off, answered := make(chan string, 100), make(chan string, 100)
+	cancelled, answered := make(chan string, 100), make(chan string, 100)
 	silent := func(string) bool { return false }
 	open := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -26,11 +27,11 @@
 			id := r.Header.Get("Req-Id")
 			mu.Lock()
 			calls[id] = append(calls[id], name)
-			first, none := len(calls[id]) == 1 && !strings.HasPrefix(id, "plain"), silent(id)
+			isFirst, isSilent := len(calls[id]) == 1 && !strings.HasPrefix(id, "plain"), silent(id)
 			mu.Unlock()
-			if first || none {
+			if isFirst || isSilent {
 				<-r.Context().Done()
-				off <- id
+				cancelled <- id
 				return
 			}
 			answered <- id
@@ -44,55 +45,55 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w := newWorld(t, func(http.ResponseWriter, string) {})
+	w := newTestEnv(t, func(http.ResponseWriter, string) {})
 	w.args = []string{"-operators", path}
 	p := w.start()
 	send := func(id, class string, ms int) {
 		t.Helper()
-		if got := p.client().say("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=8", class, ms), "body"); got != "+OK" {
+		if got := p.connect().do("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=8", class, ms), "body"); got != "+OK" {
 			t.Fatalf("%s: %q", id, got)
 		}
 	}
-	at := func(id string) []string {
+	endpointsOf := func(id string) []string {
 		mu.Lock()
 		defer mu.Unlock()
 		return append([]string(nil), calls[id]...)
 	}
-	plain := func() { // first tries, of which copies may be a fifth
+	sendPlain := func() { // first attempts; hedged requests may be a fifth of them
 		for n := range 40 {
 			id := fmt.Sprintf("plain%d-%d", time.Now().UnixNano(), n)
 			send(id, "harmless", 60000)
-			w.await(answered, id)
+			w.awaitValue(answered, id)
 		}
 	}
-	plain()
+	sendPlain()
 	for n := range 5 {
 		id, began := fmt.Sprint("copied", n), time.Now()
 		send(id, "harmless", 60000)
-		w.await(answered, id)
-		w.await(off, id)
-		if took := time.Since(began); took > 20*time.Second { // a time-out would have come first
-			t.Errorf("%s: called off after %v", id, took)
+		w.awaitValue(answered, id)
+		w.awaitValue(cancelled, id)
+		if took := time.Since(began); took > 20*time.Second { // a timeout would have come first
+			t.Errorf("%s: cancelled only after %v", id, took)
 		}
-		if c := at(id); len(c) != 2 || c[0] == c[1] {
-			t.Errorf("%s went to %v", id, c)
+		if c := endpointsOf(id); len(c) != 2 || c[0] == c[1] {
+			t.Errorf("%s went to %v, want both endpoints once", id, c)
 		}
 	}
-	plain()
+	sendPlain()
 	send("once", "unsafe", 1000)
-	w.await(w.notices, "once dead")
-	if c := at("once"); len(c) != 1 {
-		t.Errorf("what must not run twice went to %v", c)
+	w.awaitValue(w.notices, "once dead")
+	if c := endpointsOf("once"); len(c) != 1 {
+		t.Errorf("a message that must not run twice went to %v", c)
 	}
-	plain()
+	sendPlain()
 	mu.Lock()
 	silent = func(id string) bool { return id == "killed" && len(calls[id]) < 3 }
 	mu.Unlock()
 	send("killed", "harmless", 60000)
-	for len(at("killed")) < 2 {
+	for len(endpointsOf("killed")) < 2 {
 		time.Sleep(2 * time.Millisecond)
 	}
 	p.kill()
 	p = w.start()
-	w.await(answered, "killed")
+	w.awaitValue(answered, "killed")
 }
--- a/cmd/scaleroute/incident42_test.go
+++ b/cmd/scaleroute/incident42_test.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	repeatedAnswers = 0.3
-	repeatWithin    = 12 * time.Millisecond
+	repeatedResponses = 0.3
+	repeatWithin      = 12 * time.Millisecond
 )
 
-// TestRepeatedAnswerIsNotTheNextCalls guards against a late second copy of an answer that ends the connection's next call.
-func TestRepeatedAnswerIsNotTheNextCalls(t *testing.T) {
+// TestRepeatedResponseIsNotNextCalls: a late duplicate of a response must not complete the next call on the connection.
+func TestRepeatedResponseIsNotNextCalls(t *testing.T) {
 	const loadFor = 4 * time.Second
-	r := newRig(t, fleet.Shape{Forwarders: 3, Destinations: 4, Targets: 2, Slots: 16, Left: 6 * time.Second}, newLogs())
+	r := newFleetRig(t, fleet.Shape{Forwarders: 3, Destinations: 4, Targets: 2, Slots: 16, Left: 6 * time.Second}, newFleetLogs())
 	for _, e := range r.World.Endpoints {
-		e.Set(standin.Script{Latency: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, Errors: 0.05, Full: 0.02, Repeats: repeatedAnswers, RepeatWithin: repeatWithin})
+		e.Set(standin.Script{Latency: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, Errors: 0.05, Full: 0.02, Repeats: repeatedResponses, RepeatWithin: repeatWithin})
 	}
-	over := make(chan struct{})
-	wait := r.Load(150, 24, 100, over)
+	done := make(chan struct{})
+	wait := r.Load(150, 24, 100, done)
 	time.Sleep(loadFor)
-	close(over)
+	close(done)
 	wait()
 	if open := r.Settle(r.Nodes, 8*time.Second); open > 0 {
-		t.Errorf("%d messages are not over", open)
+		t.Errorf("%d messages are not completed", open)
 	}
 	verdict := r.Check(standin.Rules)
 	if verdict.Broken() {
@@ -50,51 +50,51 @@
 	t.Logf("%d messages, %d calls, %d connections", verdict.Handed, verdict.Calls, r.World.Handshakes())
 }
 
-// TestFolderReplacedUnderLiveProcess guards against a process that ends because its folder was replaced by an empty one.
+// TestFolderReplacedUnderLiveProcess: the process must not end when its state folder is replaced by an empty one.
 func TestFolderReplacedUnderLiveProcess(t *testing.T) {
-	w := newWorld(t, func(http.ResponseWriter, string) {})
+	w := newTestEnv(t, func(http.ResponseWriter, string) {})
 	w.diskMB = 1.1
 	p := w.start()
-	c := p.client()
-	c.enqueue("first", "harmless", 200000)
+	c := p.connect()
+	c.mustEnqueue("first", "harmless", 200000)
 	if err := os.RemoveAll(w.state); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Mkdir(w.state, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	handInThroughFault(t, w, p, func() {})
+	enqueueThroughFault(t, w, p, func() {})
 }
 
-// TestDiskFailsForAWhile guards against a process that ends, or accepts what it can't keep, when the disk refuses for a while.
-func TestDiskFailsForAWhile(t *testing.T) {
+// TestDiskFailsTemporarily: the process must not end, or accept messages that it can't write, while the disk fails.
+func TestDiskFailsTemporarily(t *testing.T) {
 	for _, fault := range []string{"write=ENOSPC", "write=EIO", "write=short", "allocate=ENOSPC,rename=EIO,remove=EIO,open=EIO", "write=EIO,sync=EIO,allocate=EIO,rename=EIO,remove=EIO,open=EIO"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, func(http.ResponseWriter, string) {})
+			w := newTestEnv(t, func(http.ResponseWriter, string) {})
 			w.diskMB = 1.1
 			faults := newFaultFile(t, w)
 			p := w.start()
-			p.client().enqueue("first", "harmless", 200000)
+			p.connect().mustEnqueue("first", "harmless", 200000)
 			faults.set(t, "disk "+fault)
-			handInThroughFault(t, w, p, func() { faults.set(t, "") })
+			enqueueThroughFault(t, w, p, func() { faults.set(t, "") })
 		})
 	}
 }
 
 const (
-	faultMessages = 300 // of a size that takes many segments
-	faultBody     = 16 << 10
+	messagesPerPhase = 300 // with bodies that fill many journal segments
+	faultBodyBytes   = 16 << 10
 )
 
-// handInThroughFault hands messages in while a fault lasts and after heal has ended it: the process goes on, accepts again, and what it accepted is delivered.
-func handInThroughFault(t *testing.T, w *world, p *process, heal func()) {
+// enqueueThroughFault sends messages during a fault and after heal has ended it: the process keeps running, accepts messages again, and delivers every accepted message.
+func enqueueThroughFault(t *testing.T, w *testEnv, p *process, heal func()) {
 	t.Helper()
-	c := p.client()
-	body := strings.Repeat("x", faultBody)
+	c := p.connect()
+	body := strings.Repeat("x", faultBodyBytes)
 	var accepted []string
-	hand := func(id string, class string) (isAccepted bool) {
-		got := c.try("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=200000,dest=7", class), body)
+	enqueue := func(id string, class string) (isAccepted bool) {
+		got := c.tryDo("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=200000,dest=7", class), body)
 		switch {
 		case got == "":
 			t.Fatalf("%s: the connection ended without an answer", id)
@@ -108,27 +108,27 @@
 	}
 	classes := []string{"harmless", "unsafe"}
 	rng := rand.New(rand.NewPCG(1, 42))
-	for i := range faultMessages {
-		hand(fmt.Sprint("during-", i), classes[rng.IntN(2)])
+	for i := range messagesPerPhase {
+		enqueue(fmt.Sprint("during-", i), classes[rng.IntN(2)])
 	}
-	t.Logf("%d of %d accepted during the fault", len(accepted), faultMessages)
+	t.Logf("%d of %d accepted during the fault", len(accepted), messagesPerPhase)
 	heal()
-	limit := time.Now().Add(patience / 2) // the clients' connections last longer
-	for i := range faultMessages {
-		for n := 0; !hand(fmt.Sprintf("after-%d-%d", i, n), classes[rng.IntN(2)]); n++ {
+	limit := time.Now().Add(testTimeout / 2) // the clients' connections have a longer deadline
+	for i := range messagesPerPhase {
+		for n := 0; !enqueue(fmt.Sprintf("after-%d-%d", i, n), classes[rng.IntN(2)]); n++ {
 			if time.Now().After(limit) {
 				for len(p.log) > 0 {
 					t.Log(<-p.log)
 				}
-				t.Fatalf("%d of %d messages accepted after the fault", i, faultMessages)
+				t.Fatalf("%d of %d messages accepted after the fault", i, messagesPerPhase)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 	for _, id := range accepted {
-		for w.count(id) == 0 {
+		for w.callCount(id) == 0 {
 			if time.Now().After(limit) {
-				t.Fatalf("%s was accepted and never called", id)
+				t.Fatalf("%s was accepted and never sent", id)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -141,8 +141,8 @@
 	}
 	w.start()
 	for _, id := range accepted {
-		if n := w.count(id); n > 1 {
-			t.Errorf("%s was called %d times", id, n)
+		if n := w.callCount(id); n > 1 {
+			t.Errorf("%s was sent %d times", id, n)
 		}
 	}
 	if len(w.notices) > 0 {
@@ -150,16 +150,16 @@
 	}
 }
 
-// faultFile is the file by which a process's system calls fail.
+// faultFile is the file that lists the faults to inject into a process's system calls.
 type faultFile struct{ path string }
 
-func newFaultFile(t *testing.T, w *world) *faultFile {
+func newFaultFile(t *testing.T, w *testEnv) *faultFile {
 	f := &faultFile{filepath.Join(t.TempDir(), "faults")}
 	w.env = append(w.env, soak.FaultsVariable+"="+f.path)
 	return f
 }
 
-// set replaces what fails from now on.
+// set replaces the injected faults.
 func (f *faultFile) set(t *testing.T, text string) {
 	t.Helper()
 	next := f.path + ".next"
@@ -171,15 +171,15 @@
 	}
 }
 
-// TestKilledAfterFolderReplaced guards against messages that are kept in a folder which no restart finds.
+// TestKilledAfterFolderReplaced: messages must be written to the folder that a restart reads, not to the removed one.
 func TestKilledAfterFolderReplaced(t *testing.T) {
 	release := make(chan bool)
-	w := newWorld(t, func(http.ResponseWriter, string) { <-release })
+	w := newTestEnv(t, func(http.ResponseWriter, string) { <-release })
 	p := w.start()
-	c := p.client()
-	const held = 40
-	for i := range held {
-		c.enqueue(fmt.Sprint("before-", i), "harmless", 200000)
+	c := p.connect()
+	const queued = 40
+	for i := range queued {
+		c.mustEnqueue(fmt.Sprint("before-", i), "harmless", 200000)
 	}
 	if err := os.RemoveAll(w.state); err != nil {
 		t.Fatal(err)
@@ -188,84 +188,84 @@
 		t.Fatal(err)
 	}
 	p.awaitLog("the journal has all that is held")
-	for i := range held {
-		c.enqueue(fmt.Sprint("after-", i), "unsafe", 200000)
+	for i := range queued {
+		c.mustEnqueue(fmt.Sprint("after-", i), "unsafe", 200000)
 	}
 	p.kill()
 	close(release)
 	w.start()
-	for i := range held {
+	for i := range queued {
 		for _, id := range []string{fmt.Sprint("before-", i), fmt.Sprint("after-", i)} {
-			eventually(t, id+" has its end", func() bool { return w.count(id) > 0 || w.isNoticed(id) })
+			eventually(t, id+" is sent or reported", func() bool { return w.callCount(id) > 0 || w.hasNotice(id) })
 		}
 	}
 }
 
-// isNoticed reports whether a final answer of a message has come.
-func (w *world) isNoticed(id string) bool {
+// hasNotice reports whether a completion notice of a message has arrived.
+func (w *testEnv) hasNotice(id string) bool {
 	for len(w.notices) > 0 {
 		ref, _, _ := strings.Cut(<-w.notices, " ")
-		w.noticed = append(w.noticed, ref)
+		w.readNotices = append(w.readNotices, ref)
 	}
-	return slices.Contains(w.noticed, id)
+	return slices.Contains(w.readNotices, id)
 }
 
-// TestNoticeWaitsForItsRecord guards against a final answer that a restart does not know of, whose message it would send again.
-func TestNoticeWaitsForItsRecord(t *testing.T) {
+// TestNoticeWaitsForJournalRecord: a completion notice must not be sent before its journal record, or a restart would send the message again.
+func TestNoticeWaitsForJournalRecord(t *testing.T) {
 	release := make(chan bool)
-	w := newWorld(t, func(rw http.ResponseWriter, id string) {
+	w := newTestEnv(t, func(rw http.ResponseWriter, id string) {
 		if id == "held" {
 			<-release
 		}
-		rw.WriteHeader(http.StatusInternalServerError) // it may have run
+		rw.WriteHeader(http.StatusInternalServerError) // the message may have run
 	})
 	faults := newFaultFile(t, w)
 	p := w.start()
-	c := p.client()
-	c.enqueue("held", "unsafe", 200000)
-	w.await(w.called, "held")
+	c := p.connect()
+	c.mustEnqueue("held", "unsafe", 200000)
+	w.awaitValue(w.called, "held")
 	faults.set(t, "disk write=EIO")
-	for i := range 3 { // the loop knows of it
-		if got := c.say("ENQUEUE", "0", fmt.Sprint("r", i), "c=unsafe,d=200000,dest=7", "x"); !strings.HasPrefix(got, "-BUSY ") {
+	for i := range 3 { // the rejections show that the event loop has noticed the fault
+		if got := c.do("ENQUEUE", "0", fmt.Sprint("r", i), "c=unsafe,d=200000,dest=7", "x"); !strings.HasPrefix(got, "-BUSY ") {
 			t.Fatal(got)
 		}
 	}
 	close(release)
 	p.awaitLogWhile("the journal still can't be kept", func(i int) {
-		c.say("ENQUEUE", "0", fmt.Sprint("s", i), "c=unsafe,d=200000,dest=7", "x")
+		c.do("ENQUEUE", "0", fmt.Sprint("s", i), "c=unsafe,d=200000,dest=7", "x")
 	})
 	if len(w.notices) > 0 {
-		t.Errorf("notice %q without a record", <-w.notices)
+		t.Errorf("notice %q without a journal record", <-w.notices)
 	}
 	faults.set(t, "")
-	w.await(w.notices, "held dead")
+	w.awaitValue(w.notices, "held dead")
 }
 
-// TestStartsWhileDiskRefuses guards against a process that does not start, or loses what it recovered, because its disk refuses at the start.
-func TestStartsWhileDiskRefuses(t *testing.T) {
+// TestStartsWhileDiskFails: the process must start, and keep the recovered messages, though its disk fails at the start.
+func TestStartsWhileDiskFails(t *testing.T) {
 	for _, fault := range []string{"write=EIO", "allocate=ENOSPC", "open=EIO,rename=EIO", "write=short,allocate=EIO,rename=EIO,remove=EIO,open=EIO"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			var accepts atomic.Bool
-			w := newWorld(t, rejectingTarget(&accepts))
+			w := newTestEnv(t, rejectingTarget(&accepts))
 			faults := newFaultFile(t, w)
 			p := w.start()
-			c := p.client()
-			c.enqueue("told", "harmless", 200000)
-			w.await(w.called, "told")
-			c.enqueue("recovered", "unsafe", 200000)
+			c := p.connect()
+			c.mustEnqueue("told", "harmless", 200000)
+			w.awaitValue(w.called, "told")
+			c.mustEnqueue("recovered", "unsafe", 200000)
 			p.kill()
 			accepts.Store(true)
 			faults.set(t, "disk "+fault)
 			p = w.start()
-			c = p.client()
-			got := c.say("ENQUEUE", "0", "new", "c=unsafe,d=200000,dest=7", "x")
+			c = p.connect()
+			got := c.do("ENQUEUE", "0", "new", "c=unsafe,d=200000,dest=7", "x")
 			if got != "+OK" && !strings.HasPrefix(got, "-BUSY ") {
 				t.Fatal(got)
 			}
 			faults.set(t, "")
-			w.await(w.called, "recovered")
-			for i := 0; c.say("ENQUEUE", "0", fmt.Sprint("after", i), "c=unsafe,d=200000,dest=7", "x") != "+OK"; i++ {
+			w.awaitValue(w.called, "recovered")
+			for i := 0; c.do("ENQUEUE", "0", fmt.Sprint("after", i), "c=unsafe,d=200000,dest=7", "x") != "+OK"; i++ {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if len(w.notices) > 0 {
--- a/cmd/scaleroute/mail_test.go
+++ b/cmd/scaleroute/mail_test.go
@@ -17,11 +17,11 @@
 	"scaleroute/internal/standin"
 )
 
-// TestMailDrops hands messages for mail servers in, by SMTP and LMTP, that drop the connection at random bytes of the message, after its dot with
-// or without effect, and within their reply, and refuse now and then; the program is killed meanwhile. No message that must not take effect
-// twice does, what the servers say they never took is never told as failed, and each message that was taken on has one end.
-// SCALEROUTE_DROPS sets how many drops.
-func TestMailDrops(t *testing.T) {
+// TestMailConnectionDrops sends messages to SMTP and LMTP servers that drop the connection at random bytes of the message, after the final dot with or
+// without delivering it, and within their reply, and that reject some messages; the program is killed meanwhile. A message that must not be
+// repeated takes effect at most once, a message that a server has delivered is not reported as one that the client may repeat, and each accepted
+// message has one outcome. SCALEROUTE_DROPS sets the number of drops.
+func TestMailConnectionDrops(t *testing.T) {
 	drops := 120
 	if n, err := strconv.Atoi(os.Getenv("SCALEROUTE_DROPS")); err == nil {
 		drops = n
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := newWorld(t, func(http.ResponseWriter, string) {})
+	w := newTestEnv(t, func(http.ResponseWriter, string) {})
 	w.args, w.diskMB = []string{"-operators", path}, 50
 	go func() {
 		for n := range w.notices {
@@ -88,23 +88,23 @@
 			mu.Unlock()
 		}
 	}()
-	ended := func(id string) bool {
+	hasOutcome := func(id string) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return delivered[id] || len(notices[id]) > 0
 	}
 	p := w.start()
-	c, open := p.client(), map[string]bool{}
-	unsafe, taken := map[string]int{}, []string{}
-	settle := func(most int) {
-		for limit := time.Now().Add(patience); len(open) > most; time.Sleep(2 * time.Millisecond) {
+	c, open := p.connect(), map[string]bool{}
+	unsafe, accepted := map[string]int{}, []string{}
+	awaitOutcomes := func(maxOpen int) {
+		for limit := time.Now().Add(testTimeout); len(open) > maxOpen; time.Sleep(2 * time.Millisecond) {
 			for id := range open {
-				if ended(id) {
+				if hasOutcome(id) {
 					delete(open, id)
 				}
 			}
 			if time.Now().After(limit) {
-				t.Fatalf("%d have no end, such as %v", len(open), open)
+				t.Fatalf("%d messages have no outcome: %v", len(open), open)
 			}
 		}
 	}
@@ -116,54 +116,54 @@
 		if n >= drops {
 			break
 		}
-		if n > (kills+1)*drops/5 { // with what is out at this moment
+		if n > (kills+1)*drops/5 { // with the calls that are in flight now
 			kills++
 			p.kill()
 			p = w.start()
-			c = p.client()
+			c = p.connect()
 		}
 		id, class := fmt.Sprint("m", i), []string{"harmless", "unsafe"}[i%2]
-		got := c.say("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=%d", class, 100+i%servers), "body of "+id)
+		got := c.do("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=%d", class, 100+i%servers), "body of "+id)
 		if got != "+OK" {
 			if !strings.HasPrefix(got, "-BUSY") {
 				t.Fatalf("%s: %q", id, got)
 			}
 			continue
 		}
-		taken, open[id] = append(taken, id), true
+		accepted, open[id] = append(accepted, id), true
 		if class == "unsafe" {
 			unsafe[id] = i % servers
 		}
-		settle(40)
+		awaitOutcomes(40)
 	}
-	settle(0)
-	time.Sleep(50 * time.Millisecond) // nothing more is to come
+	awaitOutcomes(0)
+	time.Sleep(50 * time.Millisecond) // the time in which a wrong further call or notice would arrive
 	for id, at := range unsafe {
 		if n, body := all[at].Ran(id); n > 1 || n == 1 && body != "body of "+id {
 			t.Errorf("%s took effect %d times, with %q", id, n, body)
 		}
 	}
 	dead := 0
-	for _, id := range taken {
+	for _, id := range accepted {
 		mu.Lock()
-		told := append([]string(nil), notices[id]...)
+		reported := append([]string(nil), notices[id]...)
 		mu.Unlock()
-		for _, how := range told {
-			if how != told[0] {
-				t.Errorf("%s has two ends: %v", id, told)
+		for _, how := range reported {
+			if how != reported[0] {
+				t.Errorf("%s has two outcomes: %v", id, reported)
 			}
 		}
-		if at, is := unsafe[id]; is && len(told) > 0 && told[0] == "bounced" {
+		if at, is := unsafe[id]; is && len(reported) > 0 && reported[0] == "bounced" {
 			if n, _ := all[at].Ran(id); n > 0 {
-				t.Errorf("%s took effect, and its client is told that it may come again", id)
+				t.Errorf("%s took effect, and its client was told that it may be repeated", id)
 			}
 		}
-		if len(told) > 0 && told[0] == "dead" {
+		if len(reported) > 0 && reported[0] == "dead" {
 			dead++
 		}
 	}
-	t.Logf("%d messages, %d drops, %d kills, %d told as failed", len(taken), dropped, kills, dead)
+	t.Logf("%d messages, %d drops, %d kills, %d reported as failed", len(accepted), dropped, kills, dead)
 	if kills < 4 || dead == 0 {
-		t.Error("the test says little")
+		t.Error("too few kills or no message reported as dead: the test proves little")
 	}
 }
--- a/cmd/scaleroute/main.go
+++ b/cmd/scaleroute/main.go
@@ -1,8 +1,8 @@
-// Command scaleroute is one forwarder: it takes messages from clients over
-// RESP2 and delivers them by calls to the targets of their destinations. It
+// Command scaleroute is one forwarder: it accepts messages from clients over
+// RESP2 and delivers them by calls to the endpoints of their destinations. It
 // reads its configuration from the file that NODE_CONFIG names, keeps its state
-// in the folder NODE_STATE, reads the file again on SIGHUP, and ends in order
-// on SIGTERM.
+// in the folder NODE_STATE, reads the file again on SIGHUP, and shuts down in
+// an orderly way on SIGTERM.
 package main
 
 import (
@@ -18,12 +18,12 @@
 	"scaleroute/internal/journal"
 )
 
-// exitDisk is the exit status when the disk that the journal is on has failed: EX_IOERR of sysexits.h. What had been
-// written is there at the next start.
-const exitDisk = 74
+// exitDiskError is the exit status when the disk that holds the journal has failed: EX_IOERR of sysexits.h. The next start recovers
+// what had been written.
+const exitDiskError = 74
 
 func main() {
-	hup := make(chan os.Signal, 1) // before all else: unhandled, it ends the process
+	hup := make(chan os.Signal, 1) // first of all, since SIGHUP ends the process until it is handled
 	signal.Notify(hup, syscall.SIGHUP)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	term := make(chan os.Signal, 1)
@@ -33,26 +33,26 @@
 		<-term
 		close(stop)
 	}()
-	operators := flag.String("operators", "", "the resolved operators' `file`, as scaleroutectl compile writes it; none: nothing is set")
-	host := flag.String("plugin-host", "", "the `program` that runs plug-ins; none: scaleroute-plugin-host beside this one")
-	speaker := flag.String("gossip-host", "", "the `program` that speaks to other forwarders; none: scaleroute-gossip beside this one")
-	steps := flag.Bool("log-steps", false, "log each event and decision, to be counted by scaleroute-lab fleet; slow, for a replay")
+	operators := flag.String("operators", "", "the operators' configuration `file`, as written by scaleroutectl compile; default: none, all settings of operators have their defaults")
+	pluginHost := flag.String("plugin-host", "", "the `program` that runs plug-ins; default: scaleroute-plugin-host in the folder of this program")
+	gossipHost := flag.String("gossip-host", "", "the `program` that gossips with other forwarders; default: scaleroute-gossip in the folder of this program")
+	steps := flag.Bool("log-steps", false, "log each event and decision, for replays that scaleroute-lab fleet counts; slow")
 	flag.Parse()
-	set, err := loadOperators(*operators)
+	operatorConfig, err := loadOperators(*operators)
 	if err == nil && flag.NArg() > 0 {
-		err = fmt.Errorf("%q is no flag: see -help", flag.Arg(0))
+		err = fmt.Errorf("unexpected argument %q: see -help", flag.Arg(0))
 	}
 	var c *config.Config
 	if err == nil {
 		c, err = config.Load(os.Getenv)
 	}
 	if err == nil {
-		err = run(c, &settings{file: *operators, now: set, host: *host, gossip: *speaker, logSteps: *steps}, stop, hup)
+		err = run(c, &settings{file: *operators, current: operatorConfig, pluginHostPath: *pluginHost, gossipHostPath: *gossipHost, logSteps: *steps}, stop, hup)
 	}
 	if err != nil {
 		slog.Error("scaleroute", "err", err)
 		if errors.Is(err, errDisk) || journal.IsDiskError(err) {
-			os.Exit(exitDisk)
+			os.Exit(exitDiskError)
 		}
 		os.Exit(1)
 	}
--- a/cmd/scaleroute/main_test.go
+++ b/cmd/scaleroute/main_test.go
@@ -32,10 +32,10 @@
 	"scaleroute/internal/takeover"
 )
 
-// TestMain lets the test binary stand in for the program, so that the tests
+// TestMain runs the daemon itself when a test starts the test binary as a child process, so that the tests
 // can kill a real process.
 func TestMain(m *testing.M) {
-	if os.Getenv(gossip.SidecarEnv) != "" { // a process that speaks for one of the tests'
+	if os.Getenv(gossip.SidecarEnv) != "" { // a gossip sidecar of a forwarder under test
 		host.Main(os.Stdin, os.Stdout)
 		os.Exit(0)
 	}
@@ -48,7 +48,7 @@
 			takeover.StepReached = func(step string) {
 				if step == stop {
 					fmt.Fprintln(os.Stderr, "reached", step)
-					select {} // until it is killed
+					select {} // blocks until the process is killed
 				}
 			}
 		}
@@ -58,7 +58,7 @@
 					return
 				}
 				fmt.Fprintln(os.Stderr, "reached", step)
-				for { // until it may go on
+				for { // waits until the test creates the file
 					if _, err := os.Stat(os.Getenv("SCALEROUTE_TEST_GO")); err == nil {
 						return
 					}
@@ -66,21 +66,21 @@
 				}
 			}
 		}
-		if text := os.Getenv("SCALEROUTE_TEST_FILES"); text != "" { // what a machine lets it have, beyond which nothing can be opened
-			most, _ := strconv.ParseUint(text, 10, 64)
-			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+		if text := os.Getenv("SCALEROUTE_TEST_FILES"); text != "" { // the limit of the machine on open descriptors
+			limit, _ := strconv.ParseUint(text, 10, 64)
+			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 				panic(err)
 			}
 		}
 		if file := os.Getenv("SCALEROUTE_TEST_STOP"); file != "" {
-			file += "." + filepath.Base(os.Getenv("TMPDIR")) // of this forwarder
-			fence.CheckHook = func() {                       // right before the first byte of a call
+			file += "." + filepath.Base(os.Getenv("TMPDIR")) // the file of this forwarder
+			fence.CheckHook = func() {                       // runs right before the first byte of a call
 				if os.Remove(file) == nil {
 					syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 				}
 			}
 		}
-		if text := os.Getenv("SCALEROUTE_TEST_FORMAT"); text != "" { // of another build's news
+		if text := os.Getenv("SCALEROUTE_TEST_FORMAT"); text != "" { // the status report format of another build
 			straggler.SendFormat, _ = strconv.Atoi(text)
 		}
 		if path := os.Getenv(soak.FaultsVariable); path != "" {
@@ -90,9 +90,9 @@
 			dialControl = plan.DialControl
 			folderFS = func(dir string) journal.FS { return faults.NewDisk(journal.DirFS(dir), plan) }
 		}
-		if text := os.Getenv("SCALEROUTE_TEST_CLOCK"); text != "" { // the machine's clock is wrong by that
-			wrong, _ := time.ParseDuration(text)
-			ledger.Clock = func() time.Time { return time.Now().Add(wrong) }
+		if text := os.Getenv("SCALEROUTE_TEST_CLOCK"); text != "" { // the error of the machine's clock
+			clockError, _ := time.ParseDuration(text)
+			ledger.Clock = func() time.Time { return time.Now().Add(clockError) }
 		}
 		main()
 		os.Exit(0)
@@ -100,43 +100,43 @@
 	os.Exit(m.Run())
 }
 
-// endsAtOnce has a process that runs with the race detector end when it does: that would have it wait for a second, in which its next one, or
-// whoever hands over, waits for it. What it has found is told all the same.
-const endsAtOnce = "GORACE=atexit_sleep_ms=0"
-
-const patience = time.Minute // for whatever must come in the end
-
-// world is discovery, the platform and one target.
-type world struct {
-	t         testing.TB
-	discovery *httptest.Server
-	target    *httptest.Server
-	state     string
-	diskMB    float64
-	sockets   int // descriptors that the process may have
-	args      []string
-	env       []string
-	listener  *os.File    // the clients' socket, where the platform holds it
-	listing   string      // in place of one target
-	noKnown   bool        // the configuration has no list
-	told      []string    // what changed, by versions from 2 on
-	more      chan bool   // closed with the next of them
-	heard     int         // the newest version from which somebody has asked on
-	silent    atomic.Bool // discovery does not answer
-
-	mu      sync.Mutex
-	calls   map[string]int
-	dead    bool // the platform takes no notices
-	notices chan string
-	noticed []string // of the notices that a test has read
-	called  chan string
-	answer  func(w http.ResponseWriter, id string)
+// exitWithoutRaceDelay removes the second that the race detector sleeps when a process exits; the next process, or the one that
+// hands over, would wait for that second. Data races are still reported.
+const exitWithoutRaceDelay = "GORACE=atexit_sleep_ms=0"
+
+const testTimeout = time.Minute // for each event that a test waits for
+
+// testEnv runs fakes of discovery, the platform and one endpoint, and starts forwarder processes that use them.
+type testEnv struct {
+	t              testing.TB
+	discovery      *httptest.Server
+	target         *httptest.Server
+	state          string
+	diskMB         float64
+	maxSockets     int // the configured limit of descriptors
+	args           []string
+	env            []string
+	clientSocket   *os.File    // the clients' listening socket, if the platform holds it
+	endpoints      string      // the entries of the list, in place of the one endpoint
+	noInitialList  bool        // the configuration has an empty endpoint list
+	updates        []string    // the answers of discovery for the indexes from 2 on
+	updateAdded    chan bool   // closed when the next update is published
+	newestAsked    int         // the highest index that a forwarder has sent in a watch request
+	discoveryHangs atomic.Bool // discovery accepts requests and does not answer
+
+	mu            sync.Mutex
+	calls         map[string]int
+	rejectNotices bool // the platform answers completion notices with 503
+	notices       chan string
+	readNotices   []string // ids of the notices that hasNotice has read
+	called        chan string
+	answer        func(w http.ResponseWriter, id string)
 }
 
-func newWorld(t testing.TB, answer func(http.ResponseWriter, string)) *world {
-	w := &world{t: t, state: t.TempDir(), diskMB: 3, sockets: 1024, calls: map[string]int{}, answer: answer,
-		notices: make(chan string, 100), called: make(chan string, 100), more: make(chan bool)}
-	over := make(chan bool)
+func newTestEnv(t testing.TB, answer func(http.ResponseWriter, string)) *testEnv {
+	w := &testEnv{t: t, state: t.TempDir(), diskMB: 3, maxSockets: 1024, calls: map[string]int{}, answer: answer,
+		notices: make(chan string, 100), called: make(chan string, 100), updateAdded: make(chan bool)}
+	done := make(chan bool)
 	w.target = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		id := r.Header.Get("Req-Id")
@@ -145,85 +145,86 @@
 		w.mu.Unlock()
 		select {
 		case w.called <- id:
-		default: // nobody waits for it
+		default: // no test reads the channel
 		}
 		w.answer(rw, id)
 	}))
 	w.discovery = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == "/v2/finals":
-			w.finals(rw, r)
-		case w.silent.Load():
+			w.receiveNotices(rw, r)
+		case w.discoveryHangs.Load():
 			select {
-			case <-over:
+			case <-done:
 			case <-r.Context().Done():
 			}
 		case r.URL.Query().Has("from"):
 			from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 			for {
 				w.mu.Lock()
-				told, more := "", w.more
-				if w.heard = max(w.heard, from); from >= 1 && from <= len(w.told) {
-					told = w.told[from-1]
+				update, added := "", w.updateAdded
+				if w.newestAsked = max(w.newestAsked, from); from >= 1 && from <= len(w.updates) {
+					update = w.updates[from-1]
 				}
 				w.mu.Unlock()
-				if told != "" {
-					io.WriteString(rw, told)
+				if update != "" {
+					io.WriteString(rw, update)
 					return
 				}
 				select {
-				case <-more:
-				case <-over:
+				case <-added:
+				case <-done:
 					return
 				case <-r.Context().Done():
 					return
 				}
 			}
 		default:
-			rw.Write(w.list())
+			rw.Write(w.listJSON())
 		}
 	}))
 	t.Cleanup(func() {
-		close(over)
+		close(done)
 		w.discovery.Close()
 		w.target.Close()
 	})
 	return w
 }
 
-// tell has discovery tell the next version.
-func (w *world) tell(whole bool, entries ...string) {
+// publish makes discovery answer watch requests with the next index: a whole list or a change of some entries.
+func (w *testEnv) publish(whole bool, entries ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.told = append(w.told, fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, len(w.told)+2, whole, strings.Join(entries, ",")))
-	close(w.more)
-	w.more = make(chan bool)
+	w.updates = append(w.updates, fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, len(w.updates)+2, whole, strings.Join(entries, ",")))
+	close(w.updateAdded)
+	w.updateAdded = make(chan bool)
 }
 
-// hear waits until somebody has heard all that was told.
-func (w *world) hear() {
+// awaitUpdatesReceived waits until a forwarder has received all published updates.
+func (w *testEnv) awaitUpdatesReceived() {
 	w.t.Helper()
-	for limit := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		w.mu.Lock()
-		all := w.heard == len(w.told)+1
+		isComplete := w.newestAsked == len(w.updates)+1
 		w.mu.Unlock()
-		if all {
+		if isComplete {
 			return
 		}
 		if time.Now().After(limit) {
-			w.t.Fatal("nobody has heard what was told")
+			w.t.Fatal("no forwarder has received all published updates")
 		}
 	}
 }
 
-// entry is a target of a list, at the world's address.
-func (w *world) entry(name string, dest int, status string) string {
+// endpointJSON returns a list entry of an endpoint at the address of the fake endpoint.
+func (w *testEnv) endpointJSON(name string, dest int, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"std","group":%d,"status":%q,"weight":50}`, name, w.target.Listener.Addr(), dest, status)
 }
 
-func (w *world) list() []byte {
+// listJSON returns the whole list that discovery answers.
+func (w *testEnv) listJSON() []byte {
 	w.mu.Lock()
-	listing := w.listing
+	listing := w.endpoints
 	w.mu.Unlock()
 	if listing != "" {
 		return fmt.Appendf(nil, `{"index":1,"snapshot":true,"endpoints":[%s]}`, listing)
@@ -232,7 +233,8 @@
 		w.target.Listener.Addr())
 }
 
-func (w *world) finals(rw http.ResponseWriter, r *http.Request) {
+// receiveNotices is the platform's handler of completion notices.
+func (w *testEnv) receiveNotices(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for d := json.NewDecoder(r.Body); ; {
@@ -245,53 +247,54 @@
 		}
 		select {
 		case w.notices <- n.Ref + " " + n.Result:
-		default: // repeated while nothing is taken
+		default: // the channel fills with repeated notices while they are answered with 503
 		}
 	}
-	if w.dead {
+	if w.rejectNotices {
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	rw.WriteHeader(http.StatusNoContent)
 }
 
-func (w *world) count(id string) int {
+// callCount returns how many times a message has been sent to the endpoint.
+func (w *testEnv) callCount(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.calls[id]
 }
 
-// await waits for a line on a channel, passing over others.
-func (w *world) await(ch chan string, want string) {
+// awaitValue waits for a value on a channel and skips other values.
+func (w *testEnv) awaitValue(ch chan string, want string) {
 	w.t.Helper()
-	for limit := time.After(patience); ; {
+	for limit := time.After(testTimeout); ; {
 		select {
 		case got := <-ch:
 			if got == want {
 				return
 			}
 		case <-limit:
-			w.t.Fatalf("%q did not come", want)
+			w.t.Fatalf("%q was not received", want)
 		}
 	}
 }
 
-// process is one run of the program.
+// process is one running daemon.
 type process struct {
-	t       testing.TB
-	cmd     *exec.Cmd
-	once    sync.Once
-	address string
-	door    string
-	config  string
-	log     chan string
-	serving chan bool
+	t            testing.TB
+	cmd          *exec.Cmd
+	once         sync.Once
+	address      string
+	adminAddress string
+	config       string
+	log          chan string
+	serving      chan bool
 }
 
-// awaitLog waits for a line of its log from now on.
+// awaitLog waits for a log line that contains the text and was not read before.
 func (p *process) awaitLog(part string) {
 	p.t.Helper()
-	for limit := time.After(patience); ; {
+	for limit := time.After(testTimeout); ; {
 		select {
 		case line := <-p.log:
 			if strings.Contains(line, part) {
@@ -303,15 +306,15 @@
 			for len(p.log) > 0 {
 				fmt.Println(<-p.log)
 			}
-			p.t.Fatalf("no line in the log with %q", part)
+			p.t.Fatalf("no log line contains %q", part)
 		}
 	}
 }
 
-// awaitLogWhile does something again and again until a line comes in its log.
+// awaitLogWhile calls do repeatedly until a log line contains the text.
 func (p *process) awaitLogWhile(part string, do func(i int)) {
 	p.t.Helper()
-	limit := time.Now().Add(patience)
+	limit := time.Now().Add(testTimeout)
 	for i := 0; time.Now().Before(limit); i++ {
 		for len(p.log) > 0 {
 			if strings.Contains(<-p.log, part) {
@@ -320,22 +323,22 @@
 		}
 		do(i)
 	}
-	p.t.Fatalf("no line in the log with %q", part)
+	p.t.Fatalf("no log line contains %q", part)
 }
 
-// start runs the program and returns once it answers PING.
-func (w *world) start(env ...string) *process {
+// start starts a process and returns once it answers PING.
+func (w *testEnv) start(env ...string) *process {
 	w.t.Helper()
 	p := w.launch(env...)
-	p.await()
+	p.awaitReady()
 	return p
 }
 
-// launch runs the program.
-func (w *world) launch(env ...string) *process {
+// launch starts a process and does not wait for it.
+func (w *testEnv) launch(env ...string) *process {
 	w.t.Helper()
-	config, known := filepath.Join(w.t.TempDir(), "config.json"), w.list()
-	if w.noKnown {
+	config, known := filepath.Join(w.t.TempDir(), "config.json"), w.listJSON()
+	if w.noInitialList {
 		known = []byte(`{"index":0,"snapshot":true,"endpoints":[]}`)
 	}
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
@@ -346,16 +349,16 @@
 		"Invariants":{"Cold":100.0,"DrainGrace":1000.0,"Fall":3000.0,"StartCapacity":0.9,"TipMultiple":2.0},
 		"Classes":[{"Name":"harmless","Effect":"pure","OnTime":60000.0,"Deadline":300000.0,"Worth":1.0,"LateShare":0.4},
 		{"Name":"unsafe","Effect":"side_effect","OnTime":60000.0,"Deadline":300000.0,"Worth":3.0,"LateShare":0.4}]}}`,
-		w.discovery.Listener.Addr(), w.sockets, w.diskMB, known)
+		w.discovery.Listener.Addr(), w.maxSockets, w.diskMB, known)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0], w.args...)
-	cmd.Env = append(os.Environ(), "SCALEROUTE_TEST_MAIN=1", endsAtOnce, "NODE_CONFIG="+config, "NODE_STATE="+w.state,
+	cmd.Env = append(os.Environ(), "SCALEROUTE_TEST_MAIN=1", exitWithoutRaceDelay, "NODE_CONFIG="+config, "NODE_STATE="+w.state,
 		"NODE_DISCOVERY="+w.discovery.Listener.Addr().String())
 	cmd.Env = append(append(cmd.Env, w.env...), env...)
-	if w.listener != nil {
-		cmd.ExtraFiles = []*os.File{w.listener}
+	if w.clientSocket != nil {
+		cmd.ExtraFiles = []*os.File{w.clientSocket}
 		cmd.Env = append(cmd.Env, "NODE_SOCKET_FD=3")
 	}
 	log, err := cmd.StderrPipe()
@@ -373,19 +376,19 @@
 		defer close(p.serving)
 		for lines.Scan() {
 			if _, rest, ok := strings.Cut(lines.Text(), "msg=\"operators' door\" address="); ok {
-				p.door = rest
+				p.adminAddress = rest
 			}
 			if _, rest, ok := strings.Cut(lines.Text(), "msg=serving "); ok {
 				_, rest, _ = strings.Cut(rest, "address=")
 				p.address, _, _ = strings.Cut(rest, " ")
 				select {
 				case p.serving <- true:
-				default: // once more, after another process did not take over
+				default: // the process serves again after a failed handover
 				}
 			}
 			select {
 			case p.log <- lines.Text():
-			default: // nobody reads it
+			default: // no test reads the log
 			}
 		}
 		io.Copy(io.Discard, log)
@@ -393,17 +396,17 @@
 	return p
 }
 
-// await waits until it serves, and takes clients.
-func (p *process) await() {
+// awaitReady waits until the process serves and answers PING.
+func (p *process) awaitReady() {
 	p.t.Helper()
-	p.serves()
-	if got := p.client().say("PING"); got != "+PONG" {
+	p.awaitServing()
+	if got := p.connect().do("PING"); got != "+PONG" {
 		p.t.Fatalf("PING got %q", got)
 	}
 }
 
-// serves waits until it does, once more each time that it begins anew.
-func (p *process) serves() {
+// awaitServing waits for one log line that says the process serves. The line comes again after a failed handover.
+func (p *process) awaitServing() {
 	p.t.Helper()
 	select {
 	case ok := <-p.serving:
@@ -411,10 +414,10 @@
 			for len(p.log) > 0 {
 				p.t.Log(<-p.log)
 			}
-			p.t.Fatal("ended before it served")
+			p.t.Fatal("the process ended before it served")
 		}
-	case <-time.After(patience):
-		p.t.Fatal("it does not serve")
+	case <-time.After(testTimeout):
+		p.t.Fatal("the process does not serve")
 	}
 }
 
@@ -425,34 +428,37 @@
 	})
 }
 
+// client is a RESP2 client connection to a process.
 type client struct {
 	t    testing.TB
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func (p *process) client() *client {
+// connect opens a client connection that is closed at the end of the test.
+func (p *process) connect() *client {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.address)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return &client{p.t, conn, bufio.NewReader(conn)}
 }
 
-func (c *client) say(args ...string) string {
+// do sends a command and returns the first line of the answer.
+func (c *client) do(args ...string) string {
 	c.t.Helper()
-	got := c.try(args...)
+	got := c.tryDo(args...)
 	if got == "" {
 		c.t.Fatalf("no answer to %s", args[0])
 	}
 	return got
 }
 
-// try is say for a process that may be dead: then the answer is "".
-func (c *client) try(args ...string) string {
+// tryDo is do for a process that may have been killed: it returns "" if there is no answer.
+func (c *client) tryDo(args ...string) string {
 	fmt.Fprintf(c.conn, "*%d\r\n", len(args))
 	for _, a := range args {
 		fmt.Fprintf(c.conn, "$%d\r\n%s\r\n", len(a), a)
@@ -464,87 +470,87 @@
 	return strings.TrimSpace(got)
 }
 
-func (c *client) enqueue(id, class string, ms int) {
+// mustEnqueue sends a message for destination 7 with a deadline in milliseconds; it must be accepted.
+func (c *client) mustEnqueue(id, class string, ms int) {
 	c.t.Helper()
-	if got := c.say("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=7", class, ms), "body of "+id); got != "+OK" {
+	if got := c.do("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=7", class, ms), "body of "+id); got != "+OK" {
 		c.t.Fatalf("%s: %q", id, got)
 	}
 }
 
-// TestKilledWithCallsOut kills the process while calls are out. A message that
-// may not be repeated ends as dead and is never sent again; a harmless one is
-// sent again; one that was delivered is not.
-func TestKilledWithCallsOut(t *testing.T) {
-	restarted, over := make(chan bool), make(chan bool)
-	w := newWorld(t, func(rw http.ResponseWriter, id string) {
+// TestKilledWithCallsInFlight kills the process while calls are in flight. A message that may not be
+// repeated is reported as dead and never sent again, a harmless one is sent again, and a delivered one is not.
+func TestKilledWithCallsInFlight(t *testing.T) {
+	restarted, done := make(chan bool), make(chan bool)
+	w := newTestEnv(t, func(rw http.ResponseWriter, id string) {
 		if id == "done" {
 			return
 		}
 		select {
 		case <-restarted:
 		default:
-			<-over // silent until the end
+			<-done // no answer until the test ends
 		}
 	})
-	t.Cleanup(func() { close(over) })
+	t.Cleanup(func() { close(done) })
 	p := w.start()
-	c := p.client()
-	c.enqueue("done", "unsafe", 200000)
-	w.await(w.called, "done")
-	c.enqueue("once", "unsafe", 200000)
-	w.await(w.called, "once")
-	c.enqueue("again", "harmless", 200000)
-	w.await(w.called, "again")
+	c := p.connect()
+	c.mustEnqueue("done", "unsafe", 200000)
+	w.awaitValue(w.called, "done")
+	c.mustEnqueue("once", "unsafe", 200000)
+	w.awaitValue(w.called, "once")
+	c.mustEnqueue("again", "harmless", 200000)
+	w.awaitValue(w.called, "again")
 	p.kill()
 	close(restarted)
 
 	p = w.start()
-	w.await(w.notices, "once dead")
-	w.await(w.called, "again")
-	p.client().enqueue("new", "unsafe", 200000)
-	w.await(w.called, "new")
+	w.awaitValue(w.notices, "once dead")
+	w.awaitValue(w.called, "again")
+	p.connect().mustEnqueue("new", "unsafe", 200000)
+	w.awaitValue(w.called, "new")
 	p.kill()
-	p = w.start() // and the end of it outlasts one more
-	p.client().enqueue("last", "unsafe", 200000)
-	w.await(w.called, "last")
-	if n := w.count("once"); n != 1 {
-		t.Errorf("the unsafe message was sent %d times", n)
+	p = w.start() // the outcome must survive a second restart
+	p.connect().mustEnqueue("last", "unsafe", 200000)
+	w.awaitValue(w.called, "last")
+	if n := w.callCount("once"); n != 1 {
+		t.Errorf("the unsafe message was sent %d times, want 1", n)
 	}
-	if n := w.count("done"); n != 1 {
-		t.Errorf("the delivered message was sent %d times", n)
+	if n := w.callCount("done"); n != 1 {
+		t.Errorf("the delivered message was sent %d times, want 1", n)
 	}
 }
 
-// TestEndsAreToldAgain: notices that the platform has not taken when the
-// process is killed are sent by the next one, and the calls stay over.
-func TestEndsAreToldAgain(t *testing.T) {
-	w := newWorld(t, func(rw http.ResponseWriter, id string) { rw.WriteHeader(http.StatusInternalServerError) })
-	w.dead = true
+// TestNoticesAreResentAfterKill: completion notices that the platform has not accepted when the process is
+// killed are sent by the next process, and their messages are not called again.
+func TestNoticesAreResentAfterKill(t *testing.T) {
+	w := newTestEnv(t, func(rw http.ResponseWriter, id string) { rw.WriteHeader(http.StatusInternalServerError) })
+	w.rejectNotices = true
 	p := w.start()
-	p.client().enqueue("failed", "unsafe", 200000) // an error leaves doubt: it ends at once
-	w.await(w.notices, "failed dead")
+	p.connect().mustEnqueue("failed", "unsafe", 200000) // after a 500 the call may have run, so the message fails at once
+	w.awaitValue(w.notices, "failed dead")
 	p.kill()
 	for len(w.notices) > 0 {
 		<-w.notices
 	}
 	w.mu.Lock()
-	w.dead = false
+	w.rejectNotices = false
 	w.mu.Unlock()
 	w.start()
-	w.await(w.notices, "failed dead")
-	if n := w.count("failed"); n != 1 {
-		t.Errorf("sent %d times", n)
+	w.awaitValue(w.notices, "failed dead")
+	if n := w.callCount("failed"); n != 1 {
+		t.Errorf("the message was sent %d times, want 1", n)
 	}
 }
 
-// TestTerm ends the process in order: the call that is out gets its outcome,
-// the exit code is 0, and nothing is left over for the next start.
-func TestTerm(t *testing.T) {
+// TestSIGTERMCompletesCalls: on SIGTERM the process waits for the outcome of the call in flight and exits
+// with code 0, and the next process has no work left over from it.
+func TestSIGTERMCompletesCalls(t *testing.T) {
 	release := make(chan bool)
-	w := newWorld(t, func(rw http.ResponseWriter, id string) { <-release })
+	w := newTestEnv(t, func(rw http.ResponseWriter, id string) { <-release })
 	p := w.start()
-	p.client().enqueue("out", "unsafe", 200000)
-	w.await(w.called, "out")
+	p.connect().mustEnqueue("out", "unsafe", 200000)
+	w.awaitValue(w.called, "out")
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -553,17 +559,17 @@
 		t.Errorf("SIGTERM: %v", err)
 	}
 	p = w.start()
-	p.client().enqueue("next", "unsafe", 200000)
-	w.await(w.called, "next")
-	if n := w.count("out"); n != 1 {
-		t.Errorf("sent %d times", n)
+	p.connect().mustEnqueue("next", "unsafe", 200000)
+	w.awaitValue(w.called, "next")
+	if n := w.callCount("out"); n != 1 {
+		t.Errorf("the message was sent %d times, want 1", n)
 	}
 	if len(w.notices) > 0 {
-		t.Errorf("a notice for what was delivered: %s", <-w.notices)
+		t.Errorf("notice for a delivered message: %s", <-w.notices)
 	}
 }
 
-// folderSize counts each file in whole 512 bytes.
+// folderSize sums the file sizes, each rounded up to 512 bytes.
 func folderSize(t *testing.T, dir string) (size int64) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -580,40 +586,40 @@
 	return size
 }
 
-// TestKilledAgainAndAgain kills the process at odd moments under traffic, with
-// a target that answers in every way. Whatever was taken on is delivered or ended
-// by a notice, and nothing unsafe is sent again after a call that may have run.
-func TestKilledAgainAndAgain(t *testing.T) {
-	type fate struct {
-		delivered, ended, doubt bool
+// TestKilledRepeatedly kills or terminates the process at varying moments under traffic, with an endpoint that
+// gives each kind of answer. Every accepted message is delivered or reported by a notice, and no unsafe message
+// is sent again after a call that may have run.
+func TestKilledRepeatedly(t *testing.T) {
+	type messageState struct {
+		delivered, noticed, mayHaveRun bool
 	}
 	var mu sync.Mutex
-	fates := map[string]*fate{}
+	states := map[string]*messageState{}
 	rng := rand.New(rand.NewPCG(1, 2))
-	w := newWorld(t, nil)
+	w := newTestEnv(t, nil)
 	w.answer = func(rw http.ResponseWriter, id string) {
 		mu.Lock()
-		f := fates[id]
-		if f == nil { // its +OK was lost with the process
-			f = &fate{}
-			fates[id] = f
+		f := states[id]
+		if f == nil { // the process was killed before its +OK arrived
+			f = &messageState{}
+			states[id] = f
 		}
-		if strings.HasPrefix(id, "unsafe") && (f.doubt || f.delivered) {
+		if strings.HasPrefix(id, "unsafe") && (f.mayHaveRun || f.delivered) {
 			t.Errorf("%s sent again after a call that may have run", id)
 		}
-		if strings.HasPrefix(id, "unsafe") && f.ended {
-			t.Errorf("%s sent after its end was told", id)
+		if strings.HasPrefix(id, "unsafe") && f.noticed {
+			t.Errorf("%s sent after its completion notice", id)
 		}
 		how, delay := rng.IntN(10), time.Duration(rng.IntN(30))*time.Millisecond
 		switch {
-		case how < 2: // turned away: it never ran
+		case how < 2: // rejected: the message never runs
 		case how < 3:
-			f.doubt = true
+			f.mayHaveRun = true
 		default:
 			f.delivered = true
 		}
 		mu.Unlock()
-		time.Sleep(delay) // the work; not waited for by the test
+		time.Sleep(delay) // simulates the work of the endpoint
 		switch how {
 		case 0:
 			rw.WriteHeader(http.StatusServiceUnavailable)
@@ -624,7 +630,7 @@
 			rw.WriteHeader(http.StatusInternalServerError)
 		}
 	}
-	w.diskMB = 0.2 // so that the journal is compacted every few hundred messages
+	w.diskMB = 0.2 // makes the journal compact every few hundred messages
 	body := strings.Repeat("x", 1000)
 	ended := make(chan bool, 1)
 	go func() {
@@ -635,8 +641,8 @@
 			case n := <-w.notices:
 				id, _, _ := strings.Cut(n, " ")
 				mu.Lock()
-				if fates[id] != nil {
-					fates[id].ended = true
+				if states[id] != nil {
+					states[id].noticed = true
 				}
 				mu.Unlock()
 				select {
@@ -649,20 +655,20 @@
 	accepted := []string{}
 	for round := range 6 {
 		p := w.start()
-		c := p.client()
+		c := p.connect()
 		for n := range 100 {
 			id := fmt.Sprintf("%s-%d-%d", []string{"harmless", "unsafe"}[n%2], round, n)
 			mu.Lock()
-			fates[id] = &fate{}
+			states[id] = &messageState{}
 			mu.Unlock()
-			if c.try("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=7", strings.Split(id, "-")[0]), body) == "+OK" {
+			if c.tryDo("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=7", strings.Split(id, "-")[0]), body) == "+OK" {
 				accepted = append(accepted, id)
 			}
 			if n == 20+10*round {
 				if round%3 == 2 {
 					p.cmd.Process.Signal(syscall.SIGTERM)
 				} else {
-					go p.kill() // while the next ones come in
+					go p.kill() // while the client sends the next messages
 				}
 			}
 		}
@@ -675,19 +681,19 @@
 		}
 		p.kill()
 		if size := folderSize(t, w.state); size > 200_000 {
-			t.Errorf("%d bytes in the folder that lasts, 200,000 allowed", size)
+			t.Errorf("the state folder has %d bytes, 200,000 are allowed", size)
 		}
 	}
 	if len(accepted) < 60 {
-		t.Fatalf("only %d messages were taken on", len(accepted))
+		t.Fatalf("only %d messages were accepted", len(accepted))
 	}
 	w.start()
-	limit := time.After(patience)
+	limit := time.After(testTimeout)
 	for {
 		mu.Lock()
 		open := 0
 		for _, id := range accepted {
-			if f := fates[id]; !f.delivered && !f.ended {
+			if f := states[id]; !f.delivered && !f.noticed {
 				open++
 			}
 		}
@@ -697,15 +703,15 @@
 		}
 		select {
 		case <-limit:
-			t.Fatalf("%d of %d messages have no end", open, len(accepted))
+			t.Fatalf("%d of %d messages are neither delivered nor reported", open, len(accepted))
 		case <-ended:
-		case <-time.After(50 * time.Millisecond): // deliveries are not announced
+		case <-time.After(50 * time.Millisecond): // deliveries cause no notice
 		}
 	}
 }
 
-// TestOperatorsFile starts the program with group commit set in the operators' file: messages go their way, and a kill loses
-// none. A resolved file that must not be is refused with the place that set it.
+// TestOperatorsFile starts the program with group commit set in the operators' file: messages are delivered and a kill loses none.
+// A resolved file with an error is rejected, and the error names the place that set the wrong value.
 func TestOperatorsFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operators.json")
 	set := func(text string) {
@@ -714,7 +720,7 @@
 		}
 	}
 	set(`{"format":1,"journal":{"durability":"group"},"limits":[{"name":"one","destinations":[7],"attempts":1}]}`)
-	w := newWorld(t, func(rw http.ResponseWriter, id string) {
+	w := newTestEnv(t, func(rw http.ResponseWriter, id string) {
 		switch {
 		case strings.HasPrefix(id, "unsafe"):
 			rw.WriteHeader(http.StatusInternalServerError)
@@ -723,15 +729,15 @@
 		}
 	})
 	w.args = []string{"-operators", path}
-	w.dead = true
+	w.rejectNotices = true
 	p := w.start()
-	c := p.client()
+	c := p.connect()
 	for i := range 20 {
 		id := fmt.Sprint("harmless", i)
-		c.enqueue(id, "harmless", 200000)
-		w.await(w.called, id)
+		c.mustEnqueue(id, "harmless", 200000)
+		w.awaitValue(w.called, id)
 	}
-	// SIGHUP takes a new file whole or not at all: one that is wrong anywhere changes nothing.
+	// SIGHUP applies a new file completely or not at all: a file with any error changes nothing.
 	limits := `,"limits":[{"name":"one","destinations":[7],"attempts":%d}]}`
 	for _, step := range []struct{ text, log string }{
 		{`{"format":1,"journal":{"durability":"group"}` + fmt.Sprintf(limits, 700), "700 attempts"},
@@ -744,25 +750,25 @@
 		p.cmd.Process.Signal(syscall.SIGHUP)
 		p.awaitLog(step.log)
 	}
-	c.enqueue("unsafe", "unsafe", 200000)
-	w.await(w.notices, "unsafe dead")
+	c.mustEnqueue("unsafe", "unsafe", 200000)
+	w.awaitValue(w.notices, "unsafe dead")
 	p.kill()
 	w.mu.Lock()
-	w.dead = false
+	w.rejectNotices = false
 	w.mu.Unlock()
 	for len(w.notices) > 0 {
 		<-w.notices
 	}
 	set(`{"format":1,"journal":{"durability":"group"}` + fmt.Sprintf(limits, 1))
 	p = w.start()
-	w.await(w.notices, "unsafe dead")
-	if n := w.count("unsafe"); n != 1 {
-		t.Errorf("sent %d times", n)
+	w.awaitValue(w.notices, "unsafe dead")
+	if n := w.callCount("unsafe"); n != 1 {
+		t.Errorf("the message was sent %d times, want 1", n)
 	}
-	p.client().enqueue("refused", "harmless", 200000)
-	w.await(w.notices, "refused bounced")
-	if n := w.count("refused"); n != 1 {
-		t.Errorf("%d attempts, one is set", n)
+	p.connect().mustEnqueue("refused", "harmless", 200000)
+	w.awaitValue(w.notices, "refused bounced")
+	if n := w.callCount("refused"); n != 1 {
+		t.Errorf("%d attempts, the limit is 1", n)
 	}
 	for text, want := range map[string]string{
 		`{"format":1,"journal":{"durability":"gruop"},"where":{"journal.durability":"a.hcl:3"}}`: `a.hcl:3: there is no durability \"gruop\"`,
@@ -779,48 +785,48 @@
 	}
 }
 
-// TestDiskGone takes the folder away from a running process: it accepts nothing that it can't write, goes on, and accepts again once there is a folder.
-func TestDiskGone(t *testing.T) {
-	w := newWorld(t, func(http.ResponseWriter, string) {})
+// TestJournalFolderRemoved removes the state folder of a running process: the process keeps running, accepts no message that it can't
+// write, and accepts messages again once the folder exists.
+func TestJournalFolderRemoved(t *testing.T) {
+	w := newTestEnv(t, func(http.ResponseWriter, string) {})
 	w.diskMB = 1.1
 	p := w.start()
-	c := p.client()
-	c.enqueue("first", "harmless", 8000) // so that there is room for some without a new segment
+	c := p.connect()
+	c.mustEnqueue("first", "harmless", 8000) // the segment then has room for further messages without a new one
 	if err := os.RemoveAll(w.state); err != nil {
 		t.Fatal(err)
 	}
 	body := strings.Repeat("x", 8000)
-	hand := func(id string) (isAccepted bool) {
-		got := c.say("ENQUEUE", "0", id, "c=harmless,d=8000,dest=7", body)
+	enqueue := func(id string) (isAccepted bool) {
+		got := c.do("ENQUEUE", "0", id, "c=harmless,d=8000,dest=7", body)
 		if got != "+OK" && !strings.HasPrefix(got, "-BUSY ") {
 			t.Fatalf("%s: %q", id, got)
 		}
 		return got == "+OK"
 	}
-	p.awaitLogWhile("the journal can't be kept", func(i int) { hand(fmt.Sprint("m", i)) })
+	p.awaitLogWhile("the journal can't be kept", func(i int) { enqueue(fmt.Sprint("m", i)) })
 	for i := range 100 {
-		if hand(fmt.Sprint("gone", i)) {
-			t.Fatal("accepted without a folder")
+		if enqueue(fmt.Sprint("gone", i)) {
+			t.Fatal("message accepted without a state folder")
 		}
 	}
 	if err := os.Mkdir(w.state, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	p.awaitLogWhile("the journal has all that is held", func(i int) { hand(fmt.Sprint("back", i)) })
-	c.enqueue("last", "harmless", 8000)
-	w.await(w.called, "last")
+	p.awaitLogWhile("the journal has all that is held", func(i int) { enqueue(fmt.Sprint("back", i)) })
+	c.mustEnqueue("last", "harmless", 8000)
+	w.awaitValue(w.called, "last")
 }
 
-// TestReload: SIGHUP does not end the process. The address of discovery in the
-// replaced file counts, and not the variable of the start; what can't be read
-// leaves all as it is until it can; and what has no answer at the old address
-// is told at the new one.
-func TestReload(t *testing.T) {
-	w := newWorld(t, func(rw http.ResponseWriter, id string) { rw.WriteHeader(http.StatusInternalServerError) })
-	w.dead = true // the old address takes no notice
+// TestReloadChangesDiscovery: SIGHUP does not end the process. The address of discovery in the replaced file
+// takes precedence over the environment variable. A file that can't be read changes nothing until it is
+// readable again. Notices that the old address has not accepted are sent to the new one.
+func TestReloadChangesDiscovery(t *testing.T) {
+	w := newTestEnv(t, func(rw http.ResponseWriter, id string) { rw.WriteHeader(http.StatusInternalServerError) })
+	w.rejectNotices = true // the old address accepts no notices
 	p := w.start()
-	p.client().enqueue("failed", "unsafe", 200000)
-	w.await(w.notices, "failed dead")
+	p.connect().mustEnqueue("failed", "unsafe", 200000)
+	w.awaitValue(w.notices, "failed dead")
 	text, err := os.ReadFile(p.config)
 	if err != nil {
 		t.Fatal(err)
@@ -829,12 +835,12 @@
 		t.Fatal(err)
 	}
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.client().enqueue("second", "unsafe", 200000)
-	w.await(w.called, "second")
+	p.connect().mustEnqueue("second", "unsafe", 200000)
+	w.awaitValue(w.called, "second")
 
 	lists, notices := make(chan string, 100), make(chan string, 100)
-	over := make(chan bool)
-	moved := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	done := make(chan bool)
+	newDiscovery := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == "/v2/finals":
 			body, _ := io.ReadAll(r.Body)
@@ -844,33 +850,33 @@
 			rw.WriteHeader(http.StatusNoContent)
 		case r.URL.Query().Has("from"):
 			lists <- "watch"
-			<-over
+			<-done
 		default:
 			lists <- "whole"
-			rw.Write(w.list())
+			rw.Write(w.listJSON())
 		}
 	}))
-	t.Cleanup(moved.Close)
-	t.Cleanup(func() { close(over) })
-	text = []byte(strings.ReplaceAll(string(text), w.discovery.Listener.Addr().String(), moved.Listener.Addr().String()))
+	t.Cleanup(newDiscovery.Close)
+	t.Cleanup(func() { close(done) })
+	text = []byte(strings.ReplaceAll(string(text), w.discovery.Listener.Addr().String(), newDiscovery.Listener.Addr().String()))
 	if err := os.WriteFile(p.config, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
 		p.cmd.Process.Signal(syscall.SIGHUP)
 	}
-	w.await(lists, "whole")
-	w.await(lists, "watch")
-	w.await(notices, `{"ref":"failed","result":"dead"}`)
-	w.await(notices, `{"ref":"second","result":"dead"}`)
+	w.awaitValue(lists, "whole")
+	w.awaitValue(lists, "watch")
+	w.awaitValue(notices, `{"ref":"failed","result":"dead"}`)
+	w.awaitValue(notices, `{"ref":"second","result":"dead"}`)
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.cmd.Process.Signal(syscall.SIGHUP) // as it stops
+	p.cmd.Process.Signal(syscall.SIGHUP) // during the shutdown
 	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("SIGHUP in a stop: %v", err)
+		t.Errorf("SIGHUP during the shutdown: %v", err)
 	}
 	if len(lists) > 0 {
-		t.Errorf("asked again, though nothing changed: %s", <-lists)
+		t.Errorf("unexpected request to discovery, though nothing changed: %s", <-lists)
 	}
 }
--- a/cmd/scaleroute/member.go
+++ b/cmd/scaleroute/member.go
@@ -22,160 +22,162 @@
 	"scaleroute/internal/straggler"
 )
 
-// How a member meets the others.
+// Timing and limits of the membership in a fleet.
 const (
-	beatEvery  = 200 * time.Millisecond // between two looks at what is to be done
-	whoEvery   = time.Second            // who is there
-	startEvery = 2 * time.Second        // between two starts of the process that speaks for this one
-	tellEvery  = 30 * time.Second       // news that have not changed
-	againAfter = 2 * time.Second        // news are told again so long after a change, and three times as long: by then the first have passed, and whoever missed them would take this member to be behind
-	newsFresh  = 4 * time.Second        // who is not there any more is found by the library; this is what comes on top
-	deathTime  = 15 * time.Second       // and this is how long the library takes at most, among some hundreds
-	settleTime = 20 * time.Second       // longer than the library takes to find a death among 300, and newsFresh
-	listGrace  = time.Second
-	lookFor    = 3 * time.Second
-	wantName   = "want"
-	mostWant   = 4 << 10
+	memberTickInterval     = 200 * time.Millisecond // between two steps of the evaluator
+	aliveInterval          = time.Second            // between two updates of which members are alive
+	sidecarRestartInterval = 2 * time.Second        // between two starts of the gossip sidecar
+	reportInterval         = 30 * time.Second       // between status reports that have not changed
+	reportRepeatDelay      = 2 * time.Second        // a changed status report is sent again after this time and after three times this time: the first one has spread by then, and a member that missed it would take this one to be out of date
+	reportTTL              = 4 * time.Second        // on top of the time in which the gossip library detects that a member is gone
+	detectionTime          = 15 * time.Second       // how long the library takes for that at most, among some hundreds of members
+	settleTime             = 20 * time.Second       // longer than the library takes to detect a death among 300 members plus reportTTL
+	newerListGrace         = time.Second
+	refreshTimeout         = 3 * time.Second
+	desiredFileName        = "want"
+	maxDesiredSize         = 4 << 10
 
-	speakerDescriptors = 6                        // for the process that speaks for this one, and for one that takes its place
-	quickFleet         = "SCALEROUTE_QUICK_FLEET" // for tests: times for a few members on one machine
-	quickSettle        = 1500 * time.Millisecond
-	quickFresh         = time.Second
-	quickAgain         = 300 * time.Millisecond
+	sidecarDescriptors = 6                        // for the gossip sidecar, and for a new one that replaces it
+	quickFleetVariable = "SCALEROUTE_QUICK_FLEET" // for tests: shorter times, for a few members on one machine
+	quickSettleTime    = 1500 * time.Millisecond
+	quickReportTTL     = time.Second
+	quickRepeatDelay   = 300 * time.Millisecond
 )
 
-// member is this forwarder among others: what is heard goes to the judge, and what the judge decides is carried out.
+// member is this forwarder as a member of the fleet. It passes the reports of other members to the evaluator and carries out the evaluator's decisions.
 type member struct {
-	p      *auditing
-	judge  *straggler.Evaluator // by mu
-	mu     sync.Mutex
-	began  time.Time
-	set    *gossip.Config                 // nil: it hears of nobody
-	gossip atomic.Pointer[gossip.Sidecar] // while it serves
-	read   chan struct{}                  // the operators' file is to be read again
-	out    atomic.Pointer[string]
-	looked atomic.Bool // discovery is being asked
-	again  time.Duration
+	fleet          *fleetState
+	evaluator      *straggler.Evaluator // guarded by mu
+	mu             sync.Mutex
+	started        time.Time
+	gossipConfig   *gossip.Config                 // nil: this forwarder does not gossip
+	sidecar        atomic.Pointer[gossip.Sidecar] // set while the member runs
+	reloadRequests chan struct{}                  // receives a value when the operators' file should be read again
+	fencedOff      atomic.Pointer[string]         // the reason; nil: it is not fenced off
+	refreshing     atomic.Bool                    // a refresh of the endpoint list is in progress
+	repeatDelay    time.Duration
 }
 
-// keptWant is the want as it outlasts the process.
-type keptWant struct {
-	Want straggler.Desired `json:"want"`
-	At   time.Time         `json:"at"` // when it was heard, by this machine's clock
+// savedDesired is the fleet's desired version as it is stored in the state folder.
+type savedDesired struct {
+	Desired    straggler.Desired `json:"want"`
+	ReceivedAt time.Time         `json:"at"` // by this machine's clock
 }
 
-func newMember(p *auditing) (*member, error) {
-	set := p.f.operators.now.Fleet
-	c := straggler.Config{Name: p.f.c.Name, Zone: p.f.c.Settings.Zone, MaxOutFraction: set.Share, ReportTTL: newsFresh, SettleTime: settleTime, DetectionTime: deathTime, NewerListGrace: listGrace, Seed: p.f.c.Settings.Seed}
-	quick := os.Getenv(quickFleet) != ""
-	if quick {
-		c.ReportTTL, c.SettleTime, c.DetectionTime = quickFresh, quickSettle, quickSettle
+func newMember(fleet *fleetState) (*member, error) {
+	config := fleet.forwarder.operators.current.Fleet
+	evaluatorConfig := straggler.Config{Name: fleet.forwarder.config.Name, Zone: fleet.forwarder.config.Settings.Zone, MaxOutFraction: config.Share, ReportTTL: reportTTL, SettleTime: settleTime, DetectionTime: detectionTime, NewerListGrace: newerListGrace, Seed: fleet.forwarder.config.Settings.Seed}
+	shortTimes := os.Getenv(quickFleetVariable) != ""
+	if shortTimes {
+		evaluatorConfig.ReportTTL, evaluatorConfig.SettleTime, evaluatorConfig.DetectionTime = quickReportTTL, quickSettleTime, quickSettleTime
 	}
-	m := &member{p: p, judge: straggler.New(c, ledger.Clock), began: p.began, read: make(chan struct{}, 1), again: againAfter}
-	if quick {
-		m.again = quickAgain
+	m := &member{fleet: fleet, evaluator: straggler.New(evaluatorConfig, ledger.Clock), started: fleet.started, reloadRequests: make(chan struct{}, 1), repeatDelay: reportRepeatDelay}
+	if shortTimes {
+		m.repeatDelay = quickRepeatDelay
 	}
-	m.resume()
-	if set.Gossip == nil {
+	m.restoreDesired()
+	if config.Gossip == nil {
 		return m, nil
 	}
-	listen := set.Gossip.Listen
-	if p.f.c.GossipListen != "" {
-		listen = p.f.c.GossipListen
+	listen := config.Gossip.Listen
+	if fleet.forwarder.config.GossipListen != "" {
+		listen = fleet.forwarder.config.GossipListen
 	}
-	advertise := cmp.Or(p.f.c.GossipAdvertise, set.Gossip.Advertise)
+	advertise := cmp.Or(fleet.forwarder.config.GossipAdvertise, config.Gossip.Advertise)
 	var key []byte
-	if file := set.Gossip.Key; file != "" {
+	if file := config.Gossip.Key; file != "" {
 		var err error
 		if key, err = os.ReadFile(file); err != nil {
 			return nil, fmt.Errorf("fleet.gossip.key_file: %w", err)
 		}
 	}
-	m.set = &gossip.Config{Name: c.Name, Started: p.began, Listen: listen, Advertise: advertise, Join: set.Gossip.Join, Key: key, Seed: c.Seed, ShortTimeouts: quick}
-	return m, m.set.Validate()
+	m.gossipConfig = &gossip.Config{Name: evaluatorConfig.Name, Started: fleet.started, Listen: listen, Advertise: advertise, Join: config.Gossip.Join, Key: key, Seed: evaluatorConfig.Seed, ShortTimeouts: shortTimes}
+	return m, m.gossipConfig.Validate()
 }
 
-func (m *member) heard(n straggler.Report) {
+func (m *member) receiveReport(n straggler.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.judge.Receive(m.now(), n)
+	m.evaluator.Receive(m.elapsed(), n)
 }
 
-// meet has a process meet the others.
-func (m *member) meet() {
-	g, err := gossip.Start(m.p.f.operators.gossip, *m.set, m.heard, func(w straggler.Desired) { m.want(w) })
+// startSidecar starts the process that gossips with the other members.
+func (m *member) startSidecar() {
+	sidecar, err := gossip.Start(m.fleet.forwarder.operators.gossipHostPath, *m.gossipConfig, m.receiveReport, func(w straggler.Desired) { m.setDesired(w) })
 	if err != nil {
-		slog.Warn("this forwarder hears of no other: put scaleroute-gossip beside it, or name it by -gossip-host", "again_in", startEvery, "err", err)
+		slog.Warn("the gossip sidecar can't be started, and no other forwarder can be reached: put scaleroute-gossip into the folder of scaleroute, or name it by -gossip-host", "again_in", sidecarRestartInterval, "err", err)
 		return
 	}
-	m.gossip.Store(g)
+	m.sidecar.Store(sidecar)
 	m.mu.Lock()
-	w, _ := m.judge.Desired()
+	w, _ := m.evaluator.Desired()
 	m.mu.Unlock()
 	if w != nil {
-		g.SendDesired(*w) // it fits: it came that way, or was checked
+		sidecar.SendDesired(*w) // it fits into a packet: it came by gossip, or was checked when an operator set it
 	}
 }
 
-func (m *member) now() time.Duration { return time.Since(m.began) }
+func (m *member) elapsed() time.Duration { return time.Since(m.started) }
 
-// resume goes on with the want of the process before.
-func (m *member) resume() {
-	text, err := os.ReadFile(m.wantFile())
-	var kept keptWant
-	if err == nil && len(text) <= mostWant {
-		err = json.Unmarshal(text, &kept)
+// restoreDesired loads the desired version that an earlier process stored.
+func (m *member) restoreDesired() {
+	text, err := os.ReadFile(m.desiredPath())
+	var saved savedDesired
+	if err == nil && len(text) <= maxDesiredSize {
+		err = json.Unmarshal(text, &saved)
 	}
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-	case err != nil || kept.Want.Gen == 0:
-		slog.Warn("the want that was kept can't be read: it is heard anew from others, or put anew by scaleroutectl fleet want", "file", m.wantFile(), "err", err)
+	case err != nil || saved.Desired.Gen == 0:
+		slog.Warn("the stored desired version can't be read: it will come from other forwarders, or set it again with scaleroutectl fleet want", "file", m.desiredPath(), "err", err)
 	default:
-		passed := min(max(0, time.Since(kept.At)), max(0, kept.Want.Deadline)) // a clock that was set says nothing more
-		m.judge.RestoreDesired(m.now(), kept.Want, passed)
+		age := min(max(0, time.Since(saved.ReceivedAt)), max(0, saved.Desired.Deadline)) // bounded, since the clock may have been set meanwhile
+		m.evaluator.RestoreDesired(m.elapsed(), saved.Desired, age)
 	}
 }
 
-func (m *member) wantFile() string { return filepath.Join(m.p.f.c.StateDir, wantName) }
+func (m *member) desiredPath() string {
+	return filepath.Join(m.fleet.forwarder.config.StateDir, desiredFileName)
+}
 
-// want takes a want, keeps it, and passes it on. It tells whether it is a newer one.
-func (m *member) want(w straggler.Desired) bool {
+// setDesired applies a desired version, stores it and passes it on to the other members. It reports whether it is newer than the one before.
+func (m *member) setDesired(desired straggler.Desired) bool {
 	m.mu.Lock()
-	took := m.judge.SetDesired(m.now(), w)
+	changed := m.evaluator.SetDesired(m.elapsed(), desired)
 	m.mu.Unlock()
-	if !took {
+	if !changed {
 		return false
 	}
-	slog.Info("wanted of the fleet", "want", w.Gen, "by", w.By, "deadline", w.Deadline)
-	text, err := json.Marshal(keptWant{w, time.Now()})
+	slog.Info("a new desired version of the fleet", "want", desired.Gen, "by", desired.By, "deadline", desired.Deadline)
+	text, err := json.Marshal(savedDesired{desired, time.Now()})
 	if err == nil {
-		next := m.wantFile() + ".next"
+		next := m.desiredPath() + ".next"
 		if err = os.WriteFile(next, text, 0o600); err == nil {
-			err = os.Rename(next, m.wantFile())
+			err = os.Rename(next, m.desiredPath())
 		} else {
 			os.Remove(next)
 		}
 	}
 	if err != nil {
-		slog.Warn("the want is not kept over a restart", "err", err)
+		slog.Warn("the desired version can't be stored: it does not survive a restart of this process", "err", err)
 	}
-	if g := m.gossip.Load(); g != nil {
-		if err := g.SendDesired(w); err != nil {
-			slog.Warn("the want is not passed on", "err", err)
+	if g := m.sidecar.Load(); g != nil {
+		if err := g.SendDesired(desired); err != nil {
+			slog.Warn("the desired version was not passed on to other forwarders", "err", err)
 		}
 	}
 	return true
 }
 
-// run does what is to be done until ctx ends.
-func (m *member) run(ctx context.Context, l *engine.Engine) {
-	tick := time.NewTicker(beatEvery)
+// run lets the evaluator step, carries out its decisions and exchanges reports with the other members until ctx ends.
+func (m *member) run(ctx context.Context, e *engine.Engine) {
+	tick := time.NewTicker(memberTickInterval)
 	defer tick.Stop()
-	defer m.leave()
+	defer m.closeSidecar()
 	var seq uint64
-	var who, started, told time.Time
+	var lastAlive, lastStart, lastReport time.Time
 	pending := true
-	var again []time.Time // news are told again
+	var repeats []time.Time // when the last changed report is sent again
 	for {
 		select {
 		case <-ctx.Done():
@@ -183,160 +185,160 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		g := m.gossip.Load()
-		if m.set != nil && (g == nil || g.Exited()) && now.Sub(started) >= startEvery {
-			started, pending = now, true
-			m.meet()
+		sidecar := m.sidecar.Load()
+		if m.gossipConfig != nil && (sidecar == nil || sidecar.Exited()) && now.Sub(lastStart) >= sidecarRestartInterval {
+			lastStart, pending = now, true
+			m.startSidecar()
 			continue
 		}
-		if g != nil {
-			g.SendHeartbeat()
+		if sidecar != nil {
+			sidecar.SendHeartbeat()
 		}
-		if g != nil && now.Sub(who) >= whoEvery {
-			who = now
-			alive := g.Members()
+		if sidecar != nil && now.Sub(lastAlive) >= aliveInterval {
+			lastAlive = now
+			alive := sidecar.Members()
 			m.mu.Lock()
 			for _, a := range alive {
-				m.judge.MarkAlive(m.now(), a.Name, a.Started)
+				m.evaluator.MarkAlive(m.elapsed(), a.Name, a.Started)
 			}
 			m.mu.Unlock()
 		}
 		m.mu.Lock()
-		if s := l.VersionStatus(); s.Seq != seq || seq == 0 {
+		if s := e.VersionStatus(); s.Seq != seq || seq == 0 {
 			seq = max(1, s.Seq)
-			m.judge.SetLocal(s.Vector, m.p.f.operators.sources.drains(), m.p.f.door)
+			m.evaluator.SetLocal(s.Vector, m.fleet.forwarder.operators.sources.drains(), m.fleet.forwarder.adminAddress)
 		}
-		m.judge.SetRetryAfters(m.now(), waitsLeft(l.RetryAfters(), now))
-		d := m.judge.Step(m.now())
-		withdrawn, held := m.judge.Withdrawn(), m.judge.TakePeerRetryAfters(m.now())
-		var news *straggler.Report
-		if d.ReportChanged {
-			again = []time.Time{now.Add(m.again), now.Add(3 * m.again)}
+		m.evaluator.SetRetryAfters(m.elapsed(), remainingRetryAfters(e.RetryAfters(), now))
+		decision := m.evaluator.Step(m.elapsed())
+		withdrawn, peerWaits := m.evaluator.Withdrawn(), m.evaluator.TakePeerRetryAfters(m.elapsed())
+		var report *straggler.Report
+		if decision.ReportChanged {
+			repeats = []time.Time{now.Add(m.repeatDelay), now.Add(3 * m.repeatDelay)}
 		}
-		if len(again) > 0 && now.After(again[0]) {
-			pending, again = true, again[1:]
+		if len(repeats) > 0 && now.After(repeats[0]) {
+			pending, repeats = true, repeats[1:]
 		}
-		if pending = pending || d.ReportChanged || now.Sub(told) >= tellEvery; pending && g != nil {
-			n := m.judge.NextReport(m.now())
-			news, pending, told = &n, false, now
+		if pending = pending || decision.ReportChanged || now.Sub(lastReport) >= reportInterval; pending && sidecar != nil {
+			n := m.evaluator.NextReport(m.elapsed())
+			report, pending, lastReport = &n, false, now
 		}
 		m.mu.Unlock()
-		if news != nil {
-			g.SendReport(*news)
+		if report != nil {
+			sidecar.SendReport(*report)
 		}
-		m.p.f.operators.sources.withdraw(withdrawn)
-		if len(held) > 0 {
-			l.NotifyPeerWaits(heldWaits(held))
+		m.fleet.forwarder.operators.sources.setPeerDrains(withdrawn)
+		if len(peerWaits) > 0 {
+			e.NotifyPeerWaits(peerRetryAfters(peerWaits))
 		}
-		m.carryOut(ctx, l, d)
+		m.apply(ctx, e, decision)
 	}
 }
 
-// waitsLeft says what is left of the waits that targets have told.
-func waitsLeft(list []engine.RetryAfter, now time.Time) (left []straggler.RetryAfter) {
+// remainingRetryAfters converts the retry-afters of endpoints to the time that is left of each.
+func remainingRetryAfters(list []engine.RetryAfter, now time.Time) (remaining []straggler.RetryAfter) {
 	for _, w := range list {
-		left = append(left, straggler.RetryAfter{Target: w.Endpoint, Remaining: w.Until.Sub(now)})
+		remaining = append(remaining, straggler.RetryAfter{Target: w.Endpoint, Remaining: w.Until.Sub(now)})
 	}
-	return left
+	return remaining
 }
 
-// heldWaits has those that others were told held here, too.
-func heldWaits(held []straggler.RetryAfter) (list []decide.PeerRetryAfter) {
-	for _, w := range held {
+// peerRetryAfters converts retry-afters that other forwarders received, so that this one observes them, too.
+func peerRetryAfters(waits []straggler.RetryAfter) (list []decide.PeerRetryAfter) {
+	for _, w := range waits {
 		slog.Info("held by a wait that another forwarder was told", "target", w.Target, "left", w.Remaining)
 		list = append(list, decide.PeerRetryAfter{Target: w.Target, RetryAfter: w.Remaining})
 	}
 	return list
 }
 
-// carryOut does what the judge has decided.
-func (m *member) carryOut(ctx context.Context, l *engine.Engine, d straggler.Decision) {
-	if d.RefreshList && m.looked.CompareAndSwap(false, true) {
-		slog.Info("behind the others, or what is wanted: discovery is asked again")
+// apply carries out a decision of the evaluator.
+func (m *member) apply(ctx context.Context, e *engine.Engine, decision straggler.Decision) {
+	if decision.RefreshList && m.refreshing.CompareAndSwap(false, true) {
+		slog.Info("the endpoint list is older than that of other forwarders, or than the desired version: refreshing it from discovery")
 		go func() {
-			defer m.looked.Store(false)
-			limit, cancel := context.WithTimeout(ctx, lookFor)
+			defer m.refreshing.Store(false)
+			refreshCtx, cancel := context.WithTimeout(ctx, refreshTimeout)
 			defer cancel()
-			m.p.f.platform.Refresh(limit) // silence is what made it look
+			m.fleet.forwarder.platform.Refresh(refreshCtx) // the error is ignored: that discovery does not answer is why the list is old
 		}()
 	}
-	if d.ReloadOperators {
-		slog.Info("behind what is wanted: the operators' file is read again")
+	if decision.ReloadOperators {
+		slog.Info("the operators' settings differ from the desired version: reading the operators' file again")
 		select {
-		case m.read <- struct{}{}:
+		case m.reloadRequests <- struct{}{}:
 		default:
 		}
 	}
 	switch {
-	case d.FenceOffReason != "":
-		m.out.Store(&d.FenceOffReason)
-		l.SetFencedOff(d.FenceOffReason, "the fleet")
-		if err := m.p.f.control.SetFencedOff(fmt.Errorf("shut out of the fleet: %s", d.FenceOffReason)); err != nil {
-			slog.Warn("clients are not sent away", "err", err)
+	case decision.FenceOffReason != "":
+		m.fencedOff.Store(&decision.FenceOffReason)
+		e.SetFencedOff(decision.FenceOffReason, "the fleet")
+		if err := m.fleet.forwarder.control.SetFencedOff(fmt.Errorf("shut out of the fleet: %s", decision.FenceOffReason)); err != nil {
+			slog.Warn("the clients can't be drained", "err", err)
 		}
-		// Once it is so: whoever reads this may count on it.
-		slog.Error("shut out: no message is taken and no call begun", "why", d.FenceOffReason)
-	case d.Readmitted:
-		m.out.Store(nil)
-		l.SetFencedOff("", "the fleet")
-		if err := m.p.f.control.SetFencedOff(nil); err != nil {
-			slog.Warn("clients are not taken again", "err", err)
+		// Logged after the fact, since readers of the log rely on it.
+		slog.Error("shut out: no message is accepted and no call begun", "why", decision.FenceOffReason)
+	case decision.Readmitted:
+		m.fencedOff.Store(nil)
+		e.SetFencedOff("", "the fleet")
+		if err := m.fleet.forwarder.control.SetFencedOff(nil); err != nil {
+			slog.Warn("draining of the clients can't be ended", "err", err)
 		}
 		slog.Info("let in again")
 	}
 }
 
-// leave leaves the others: another process is this member from now on, or none.
-func (m *member) leave() {
-	if g := m.gossip.Swap(nil); g != nil {
+// closeSidecar ends the gossip: from now on another process is this member, or none.
+func (m *member) closeSidecar() {
+	if g := m.sidecar.Swap(nil); g != nil {
 		g.Close()
 	}
 }
 
-// FleetView is what one member knows of the fleet, as its door tells it.
+// FleetView is the admin API's response with what one member knows of the fleet.
 type FleetView struct {
-	Name    string             `json:"name"`
-	Want    *straggler.Desired `json:"want,omitempty"`
-	Lost    *straggler.Desired `json:"lost,omitempty"` // of the same generation, that had to give way
-	Share   float64            `json:"share"`
-	Members []straggler.View   `json:"members"`
+	Name       string             `json:"name"`
+	Desired    *straggler.Desired `json:"want,omitempty"`
+	Superseded *straggler.Desired `json:"lost,omitempty"` // another one of the same generation, which Desired prevailed over
+	Share      float64            `json:"share"`
+	Members    []straggler.View   `json:"members"`
 }
 
 func (m *member) view() FleetView {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	v := FleetView{Name: m.p.f.c.Name, Share: m.p.f.operators.now.Fleet.Share, Members: m.judge.Fleet(m.now())}
-	v.Want, v.Lost = m.judge.Desired()
+	v := FleetView{Name: m.fleet.forwarder.config.Name, Share: m.fleet.forwarder.operators.current.Fleet.Share, Members: m.evaluator.Fleet(m.elapsed())}
+	v.Desired, v.Superseded = m.evaluator.Desired()
 	return v
 }
 
-// calls are those that the door answers for the fleet.
-func (m *member) calls() []door.Route {
+// routes returns the routes of the admin API that are about the member.
+func (m *member) routes() []door.Route {
 	return []door.Route{
 		{Pattern: "GET /fleet", Handler: func(w http.ResponseWriter, r *http.Request) { door.WriteJSON(w, m.view()) }},
-		{Pattern: "PUT /fleet/want", MaxBody: mostWant, Handler: m.put},
+		{Pattern: "PUT /fleet/want", MaxBody: maxDesiredSize, Handler: m.serveSetDesired},
 	}
 }
 
-// put takes a want from an operator.
-func (m *member) put(w http.ResponseWriter, r *http.Request) {
-	var want straggler.Desired
-	d := json.NewDecoder(r.Body)
-	d.DisallowUnknownFields()
-	if err := d.Decode(&want); err != nil {
+// serveSetDesired handles an operator's request to set the desired version.
+func (m *member) serveSetDesired(w http.ResponseWriter, r *http.Request) {
+	var desired straggler.Desired
+	decoder := json.NewDecoder(r.Body)
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&desired); err != nil {
 		http.Error(w, fmt.Sprintf("no want: %v: make it by scaleroutectl fleet want", err), http.StatusBadRequest)
 		return
 	}
-	if _, err := gossip.EncodeDesired(&want); err != nil || want.Gen == 0 || want.By == "" || want.Deadline < 0 {
+	if _, err := gossip.EncodeDesired(&desired); err != nil || desired.Gen == 0 || desired.By == "" || desired.Deadline < 0 {
 		http.Error(w, "a want has a generation above 0, says who wants it, and is no longer than a packet: make it by scaleroutectl fleet want", http.StatusBadRequest)
 		return
 	}
-	if !m.want(want) {
+	if !m.setDesired(desired) {
 		m.mu.Lock()
-		have, _ := m.judge.Desired()
+		current, _ := m.evaluator.Desired()
 		m.mu.Unlock()
-		if have == nil || have.Gen != want.Gen || have.By != want.By || have.Version != want.Version {
-			http.Error(w, fmt.Sprintf("want %d of %s holds: look at it (scaleroutectl fleet status), and put yours after it", have.Gen, have.By), http.StatusConflict)
+		if current == nil || current.Gen != desired.Gen || current.By != desired.By || current.Version != desired.Version {
+			http.Error(w, fmt.Sprintf("want %d of %s holds: look at it (scaleroutectl fleet status), and put yours after it", current.Gen, current.By), http.StatusConflict)
 			return
 		}
 	}
--- a/cmd/scaleroute/member_faults_test.go
+++ b/cmd/scaleroute/member_faults_test.go
@@ -23,16 +23,16 @@
 	"scaleroute/internal/version"
 )
 
-// newMembers starts forwarders that gossip, and waits until each sees all.
-func newMembers(t *testing.T, s fleet.Shape, set operator.Fleet, l *logs, prepare ...func(*fleet.Rig)) *fleet.Rig {
+// newGossipRig starts forwarders that gossip, and waits until each sees all the others.
+func newGossipRig(t *testing.T, s fleet.Shape, set operator.Fleet, l *fleetLogs, prepare ...func(*fleet.Rig)) *fleet.Rig {
 	t.Helper()
 	mesh, err := fleet.NewMesh(s.Forwarders, 17)
 	if err != nil {
 		t.Fatal(err)
 	}
 	set.Gossip = &operator.Gossip{Join: []string{mesh.Told(0)}}
-	s.Mesh, s.Set, s.Env = mesh, resolved(t, set), append(s.Env, quickFleet+"=1")
-	r := newRig(t, s, l, prepare...)
+	s.Mesh, s.Set, s.Env = mesh, operatorsFile(t, set), append(s.Env, quickFleetVariable+"=1")
+	r := newFleetRig(t, s, l, prepare...)
 	for _, one := range r.Nodes {
 		eventually(t, one.Name+" sees all", func() bool { return len(verdicts(t, one)) == s.Forwarders })
 	}
@@ -49,35 +49,36 @@
 	return r
 }
 
-// count is how many lines of a forwarder's log have some texts, one behind the other.
-func (l *logs) count(node string, texts ...string) (n int) {
+// count returns how many lines of a forwarder's log contain all the texts, in this order.
+func (l *fleetLogs) count(node string, texts ...string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range l.lines[node] {
-		has := true
+		hasAll := true
 		for _, text := range texts {
 			i := strings.Index(line, text)
-			if has = has && i >= 0; i >= 0 {
-				line = line[i+len(text)-1:] // two may share a space
+			if hasAll = hasAll && i >= 0; i >= 0 {
+				line = line[i+len(text)-1:] // two texts may share a space
 			}
 		}
-		if has {
+		if hasAll {
 			n++
 		}
 	}
 	return n
 }
 
-// finish ends the load, waits for what is owed, and checks the rules.
-func finish(t *testing.T, r *fleet.Rig, over chan struct{}, wait func()) {
+// stopLoadAndCheck ends the load, waits until all messages are completed, and checks the rules.
+func stopLoadAndCheck(t *testing.T, r *fleet.Rig, done chan struct{}, wait func()) {
 	t.Helper()
-	close(over)
+	close(done)
 	wait()
 	r.Settle(r.Nodes, 10*time.Second)
-	keptBy(t, r, standin.Rules)
+	checkLimits(t, r, standin.Rules)
 }
 
-func keptBy(t *testing.T, r *fleet.Rig, rules standin.Limits) {
+// checkLimits checks each forwarder's record of messages against the given limits.
+func checkLimits(t *testing.T, r *fleet.Rig, rules standin.Limits) {
 	t.Helper()
 	for _, one := range r.Nodes {
 		if v := one.Log.Check(rules); v.Broken() {
@@ -86,42 +87,44 @@
 	}
 }
 
-// exact has the audit's answer for each target and forwarder be what the target saw.
-func exact(t *testing.T, r *fleet.Rig, nodes ...*fleet.Node) *audit.Report {
+// checkAudit compares the audit's number of calls with each endpoint's own count, for each endpoint and forwarder.
+func checkAudit(t *testing.T, r *fleet.Rig, nodes ...*fleet.Node) *audit.Report {
 	t.Helper()
-	var doors []string
+	var addresses []string
 	for _, one := range nodes {
-		doors = append(doors, one.Process().Door())
+		addresses = append(addresses, one.Process().Door())
 	}
-	all := audit.CollectMembers(context.Background(), doors, 5*time.Second, nil)
+	all := audit.CollectMembers(context.Background(), addresses, 5*time.Second, nil)
 	for i, one := range nodes {
 		for _, e := range r.World.Endpoints {
 			seen, _ := one.Arrived(e.Name, time.Time{}, time.Time{})
 			a := audit.Merge(all[i:i+1], version.Desired{}, &audit.CallQuery{Target: e.Name}).Calls
 			if a.Total.Min > uint64(seen) || a.Total.Max < uint64(seen) {
-				t.Errorf("%s has seen %d calls of %s, and the audit says %d to %d", e.Name, seen, one.Name, a.Total.Min, a.Total.Max)
+				t.Errorf("%s has received %d calls from %s, and the audit says %d to %d", e.Name, seen, one.Name, a.Total.Min, a.Total.Max)
 			}
 		}
 	}
 	return audit.Merge(all, version.Desired{}, nil)
 }
 
-// TestFleetParted starts eight forwarders on whose edges to each other three packets in ten are lost and the rest is late. They are cut into halves; in each one forwarder hears nothing of
-// discovery, and behaves by what its half knows: what drains drains there, and a want that one half has heard of takes out the one behind there alone. One hears others and is not heard. Healed,
-// the want reaches all, both go out; cured, both come back. Nobody else ever goes out, and the audit's answers are what the targets saw.
-func TestFleetParted(t *testing.T) {
+// TestFleetPartition starts eight forwarders whose links to each other lose three packets in ten and delay the rest. A network partition cuts them
+// into halves, and in each half one forwarder receives nothing from discovery: it learns of a drain from its half, and a desired version that one
+// half has received fences off the stale forwarder of that half alone. One forwarder receives packets and its own are not received. After the
+// partition has healed, the desired version reaches all forwarders and both stale ones are fenced off; once discovery answers them, both are
+// readmitted. No other forwarder is ever fenced off, and the audit agrees with the endpoints' records.
+func TestFleetPartition(t *testing.T) {
 	t.Parallel()
-	l := newLogs()
+	l := newFleetLogs()
 	set := operator.Fleet{Ledger: 1 << 20, Fence: operator.Duration(time.Second), Unheard: operator.Duration(2 * time.Second), Share: 0.25}
-	r := newMembers(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 3 * time.Second}, set, l)
+	r := newGossipRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 3 * time.Second}, set, l)
 	n := r.Nodes
-	bad := fleet.Fault{Loss: 0.3, Delay: 5 * time.Millisecond, Jitter: 30 * time.Millisecond}
-	r.Between(n, bad)
+	lossy := fleet.Fault{Loss: 0.3, Delay: 5 * time.Millisecond, Jitter: 30 * time.Millisecond}
+	r.Between(n, lossy)
 	for _, e := range r.World.Endpoints {
 		e.Set(standin.Script{Latency: 80 * time.Millisecond})
 	}
-	over := make(chan struct{})
-	wait := r.Load(30, 8, 200, over)
+	done := make(chan struct{})
+	wait := r.Load(30, 8, 200, done)
 	seen := func(of *fleet.Node, verdict straggler.Verdict, nodes ...*fleet.Node) func() bool {
 		return func() bool {
 			v := verdicts(t, of)
@@ -133,39 +136,39 @@
 			return true
 		}
 	}
-	parted := bad
-	parted.Cut = true
-	r.Between(n[:4], parted)
-	eventually(t, "one half misses the other", seen(n[1], straggler.Silent, n[4:]...))
-	eventually(t, "and the other the one", seen(n[6], straggler.Silent, n[:4]...))
-	eventually(t, "n2 sees n3, which it is not cut from", seen(n[1], straggler.Current, n[2]))
+	partition := lossy
+	partition.Cut = true
+	r.Between(n[:4], partition)
+	eventually(t, "the first half sees the second as silent", seen(n[1], straggler.Silent, n[4:]...))
+	eventually(t, "the second half sees the first as silent", seen(n[6], straggler.Silent, n[:4]...))
+	eventually(t, "n2 sees n3, which is in its own half", seen(n[1], straggler.Current, n[2]))
 	n[0].List.Set(fleet.Fault{Silent: fleet.Down})
 	n[4].List.Set(fleet.Fault{Silent: fleet.Down})
 	r.World.Set(standin.Draining, r.World.Endpoints[0])
 	index := n[1].Discovery.Index()
 	l.await(t, "n1", "drained by what others know", 1)
 	l.await(t, "n5", "drained by what others know", 1)
-	deaf := time.Now().Add(200 * time.Millisecond)
-	if status, said := put(t, n[2], straggler.Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Index: index}}); status != http.StatusOK {
-		t.Fatalf("%d %s", status, said)
+	drainedAt := time.Now().Add(200 * time.Millisecond)
+	if status, body := putDesired(t, n[2], straggler.Desired{Gen: 1, By: "test", Deadline: time.Second, Version: version.Desired{Index: index}}); status != http.StatusOK {
+		t.Fatalf("%d %s", status, body)
 	}
 	l.await(t, "n1", "shut out", 1)
-	if w := ask[FleetView](t, n[4], "/fleet").Want; w != nil {
-		t.Errorf("n5 knows a want of the half that it is cut from: %+v", w)
+	if w := getJSON[FleetView](t, n[4], "/fleet").Desired; w != nil {
+		t.Errorf("n5 knows the desired version of the half that it is cut off from: %+v", w)
 	}
-	// n4 hears its half and is not heard: it is silent for the others, and stays in.
-	deafness := bad
-	deafness.Silent = fleet.Up
+	// n4 receives the packets of its half and its own are lost: the others see it as silent, and it is not fenced off.
+	isolation := lossy
+	isolation.Silent = fleet.Up
 	for _, other := range n[:3] {
-		r.Mesh.Set(3, indexOf(r, other), deafness)
+		r.Mesh.Set(3, indexOf(r, other), isolation)
 	}
-	eventually(t, "n4 is not heard", seen(n[1], straggler.Silent, n[3]))
-	r.Between(n, bad) // all is healed, but for what is lost and late
+	eventually(t, "n2 sees n4 as silent", seen(n[1], straggler.Silent, n[3]))
+	r.Between(n, lossy) // the partition heals; loss and delay remain
 	l.await(t, "n5", "shut out", 1)
-	eventually(t, "all know that two are out", func() bool {
+	eventually(t, "both halves see two forwarders as fenced off", func() bool {
 		return seen(n[6], straggler.FencedOff, n[0], n[4])() && seen(n[1], straggler.FencedOff, n[0], n[4])()
 	})
-	eventually(t, "n4 is heard", seen(n[1], straggler.Current, n[3]))
+	eventually(t, "n2 sees n4 as current", seen(n[1], straggler.Current, n[3]))
 	n[0].List.Set(fleet.Fault{})
 	n[4].List.Set(fleet.Fault{})
 	l.await(t, "n1", "let in again", 1)
@@ -173,18 +176,18 @@
 	for _, one := range n {
 		eventually(t, one.Name+" is ready", func() bool { return healthy(one) == nil })
 	}
-	finish(t, r, over, wait)
-	exact(t, r, n...)
+	stopLoadAndCheck(t, r, done, wait)
+	checkAudit(t, r, n...)
 	for i, one := range n {
 		if out := l.count(one.Name, "msg=\"shut out"); (out > 0) != (i == 0 || i == 4) {
-			t.Errorf("%s went out %d times", one.Name, out)
+			t.Errorf("%s was fenced off %d times", one.Name, out)
 		}
-		if c, _ := one.Arrived(r.World.Endpoints[0].Name, deaf, time.Time{}); c > 0 {
-			t.Errorf("%s has called what drains %d times since it could know", one.Name, c)
+		if c, _ := one.Arrived(r.World.Endpoints[0].Name, drainedAt, time.Time{}); c > 0 {
+			t.Errorf("%s has called the draining endpoint %d times after it was told of the drain", one.Name, c)
 		}
 	}
 	if m := r.Mesh.Passed(); m == 0 {
-		t.Error("nothing has passed between members")
+		t.Error("no packet has passed between members")
 	}
 }
 
@@ -197,21 +200,21 @@
 	return -1
 }
 
-// TestFleetWaits: what one forwarder is told to wait holds the others before they have called, and ends when it was told to; one whose build does not know of that is not held, and one that
-// speaks a later format is.
-func TestFleetWaits(t *testing.T) {
+// TestFleetSharesRetryAfter: a retry-after that one forwarder receives makes the others wait before they have called, and ends at its time. The format
+// of an older build can't carry it, so the others don't wait for one that such a forwarder receives; a later format carries it.
+func TestFleetSharesRetryAfter(t *testing.T) {
 	t.Parallel()
-	l := newLogs()
-	r := newMembers(t, fleet.Shape{Forwarders: 8, Destinations: 1, Targets: 2, Left: 20 * time.Second}, operator.Fleet{Share: 0.25}, l, func(r *fleet.Rig) {
-		r.Nodes[1].Env = []string{"SCALEROUTE_TEST_FORMAT=1"} // what it tells an older build would
+	l := newFleetLogs()
+	r := newGossipRig(t, fleet.Shape{Forwarders: 8, Destinations: 1, Targets: 2, Left: 20 * time.Second}, operator.Fleet{Share: 0.25}, l, func(r *fleet.Rig) {
+		r.Nodes[1].Env = []string{"SCALEROUTE_TEST_FORMAT=1"} // sends status reports in the format of an older build
 		r.Nodes[2].Env = []string{"SCALEROUTE_TEST_FORMAT=9"}
 	})
 	n := r.Nodes
-	const told = 4 * time.Second
+	const retryAfter = 4 * time.Second
 	for _, e := range r.World.Endpoints {
-		e.Set(standin.Script{Full: 1, Wait: told})
+		e.Set(standin.Script{Full: 1, Wait: retryAfter})
 	}
-	hand := func(one *fleet.Node, id string) {
+	send := func(one *fleet.Node, id string) {
 		jobs := make(chan standin.Job, 1)
 		jobs <- standin.Job{Class: standin.Safe, Left: 20 * time.Second, Body: []byte("body of " + id)}
 		close(jobs)
@@ -224,7 +227,7 @@
 		}
 		return c
 	}
-	hand(n[2], "first")
+	send(n[2], "first")
 	for _, one := range n {
 		if one != n[2] {
 			l.await(t, one.Name, "held by a wait that another forwarder was told", 1)
@@ -235,71 +238,72 @@
 		e.Set(standin.Script{})
 	}
 	for _, one := range n[3:] {
-		hand(one, "held-"+one.Name)
+		send(one, "held-"+one.Name)
 	}
 	for _, one := range n[3:] {
-		eventually(t, one.Name+" calls once the wait is over", func() bool { return calls(one, began) > 0 })
-		if c, last := calls(one, began), time.Since(began); last < told-2*time.Second {
-			t.Errorf("%s has called %d times after %v: it was not held", one.Name, c, last)
+		eventually(t, one.Name+" calls once the retry-after is over", func() bool { return calls(one, began) > 0 })
+		if c, last := calls(one, began), time.Since(began); last < retryAfter-2*time.Second {
+			t.Errorf("%s has called %d times after %v: it did not wait for the retry-after", one.Name, c, last)
 		}
 	}
-	// What n2 is told its format can't say: nobody is held, and nobody is confused.
+	// The older format of n2 can't carry a retry-after: no other forwarder waits, and all still see n2 as current.
 	held := l.count("n4", "held by a wait")
 	for _, e := range r.World.Endpoints {
 		e.Set(standin.Script{Full: 1, Wait: 2 * time.Second})
 	}
 	before := time.Now()
-	hand(n[1], "second")
-	eventually(t, "n2 was told to wait", func() bool { return calls(n[1], before) > 0 })
-	eventually(t, "all see n2", func() bool { return verdicts(t, n[3])["n2"].Verdict == straggler.Current })
+	send(n[1], "second")
+	eventually(t, "n2 has received a retry-after", func() bool { return calls(n[1], before) > 0 })
+	eventually(t, "n4 sees n2 as current", func() bool { return verdicts(t, n[3])["n2"].Verdict == straggler.Current })
 	if now := l.count("n4", "held by a wait"); now != held {
-		t.Errorf("n4 is held by what n2 can't have told")
+		t.Errorf("n4 waits for a retry-after that n2 can't have sent")
 	}
 }
 
-// TestFleetMixed starts eight forwarders that differ: two whose news are of an older format and one of a later one, clocks ten minutes before and behind, an agent that gives the same index to another
-// list, one whose index runs backwards, and one whose ledger runs over again and again while it is audited; noise and old packets come to all. The audit names each, by cause and not by clock; what was
-// overwritten is told; nobody is taken out by any of it.
-func TestFleetMixed(t *testing.T) {
+// TestFleetMixedVersions starts eight forwarders that differ: two send status reports in an older format and one in a later one, clocks are ten minutes
+// fast and slow, one agent gives the same index to another list, one agent's index goes backwards, and one audit log overflows
+// repeatedly while it is audited. All receive random and replayed packets. The audit names each difference by its cause, unaffected by the clocks, and
+// reports that entries were overwritten. No forwarder is fenced off.
+func TestFleetMixedVersions(t *testing.T) {
 	t.Parallel()
-	l := newLogs()
+	l := newFleetLogs()
 	set := operator.Fleet{Ledger: ledger.MinBytes, Fence: operator.Duration(time.Second), Unheard: operator.Duration(2 * time.Second), Share: 0.25}
-	r := newMembers(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 3 * time.Second}, set, l, func(r *fleet.Rig) {
+	r := newGossipRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 3 * time.Second}, set, l, func(r *fleet.Rig) {
 		for i, env := range []string{"FORMAT=1", "FORMAT=1", "FORMAT=7", "CLOCK=10m", "CLOCK=-10m"} {
 			r.Nodes[i].Env = []string{"SCALEROUTE_TEST_" + env}
 		}
 	})
 	n := r.Nodes
-	over := make(chan struct{})
-	wait := r.Load(30, 8, 200, over)
+	done := make(chan struct{})
+	wait := r.Load(30, 8, 200, done)
 
-	// Noise, and packets that came once before.
-	noise := rand.New(rand.NewPCG(3, 4))
+	// Random bytes, and a replayed packet.
+	random := rand.New(rand.NewPCG(3, 4))
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	old, err := hex.DecodeString("0c6e01026e31000100000000000000000000000000000000")
+	replayed, err := hex.DecodeString("0c6e01026e31000100000000000000000000000000000000")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range n {
-		at, err := net.ResolveUDPAddr("udp", r.Mesh.Told(i))
+		address, err := net.ResolveUDPAddr("udp", r.Mesh.Told(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 200 {
-			b := make([]byte, 1+noise.IntN(1400))
+			b := make([]byte, 1+random.IntN(1400))
 			for k := range b {
-				b[k] = byte(noise.Uint32())
+				b[k] = byte(random.Uint32())
 			}
-			conn.WriteTo(b, at)
-			conn.WriteTo(old, at)
+			conn.WriteTo(b, address)
+			conn.WriteTo(replayed, address)
 		}
 	}
 
-	// A new list for all; n6's agent gives its index to another one, n7's goes back.
+	// A new list for all; n6's agent gives the same index to another list, and the index of n7's agent goes backwards.
 	n[5].Discovery.Set(standin.Draining, r.World.Endpoints[4])
 	for i, one := range n {
 		if i != 5 {
@@ -308,24 +312,24 @@
 	}
 	index := n[0].Discovery.Index()
 	for _, one := range n {
-		eventually(t, one.Name+" has the list", func() bool { return ask[Versions](t, one, "/versions").Vector.List.Index >= index })
+		eventually(t, one.Name+" has the list", func() bool { return getJSON[VersionReport](t, one, "/versions").Vector.List.Index >= index })
 	}
 	eventually(t, "n6 is seen to have diverged", func() bool { return verdicts(t, n[1])["n6"].Verdict == straggler.Diverged })
 	for _, other := range []string{"n1", "n2", "n3", "n4", "n5", "n7", "n8"} {
 		eventually(t, other+" is seen to be current", func() bool { return verdicts(t, n[3])[other].Verdict == straggler.Current })
 	}
 	n[6].Discovery.Skip(-1)
-	n[6].List.Set(fleet.Fault{Cut: true}) // it asks anew, and is told of an index that it has passed
+	n[6].List.Set(fleet.Fault{Cut: true}) // n7 asks again from scratch, and is answered with a lower index than it has
 	n[6].List.Set(fleet.Fault{})
 
-	// n8's ledger runs over, while it is audited.
+	// n8's audit log overflows while it is audited.
 	changes := 0
-	audited := make(chan struct{})
+	stopAudit := make(chan struct{})
 	var auditing sync.WaitGroup
 	auditing.Go(func() {
 		for {
 			select {
-			case <-audited:
+			case <-stopAudit:
 				return
 			default:
 			}
@@ -335,12 +339,12 @@
 				after, _ := n[7].Arrived(e.Name, time.Time{}, time.Time{})
 				a := audit.Merge(all, version.Desired{}, &audit.CallQuery{Target: e.Name})
 				if all[0].Ledger == nil {
-					t.Errorf("n8 is not audited: %s", all[0].Err)
+					t.Errorf("the audit can't read n8: %s", all[0].Err)
 					return
 				}
-				out := uint64(4) // begun, and not at the target yet, when either was read
-				if a.Calls.Total.Min > uint64(after)+out || a.Calls.Total.Max+out < uint64(before) && len(a.Caveats) == 0 {
-					t.Errorf("%s has seen %d to %d calls of n8, and the audit says %+v, %v", e.Name, before, after, a.Calls.Total, a.Caveats)
+				inFlight := uint64(4) // calls that have begun and not reached the endpoint when either count is read
+				if a.Calls.Total.Min > uint64(after)+inFlight || a.Calls.Total.Max+inFlight < uint64(before) && len(a.Caveats) == 0 {
+					t.Errorf("%s has received %d to %d calls from n8, and the audit says %+v, %v", e.Name, before, after, a.Calls.Total, a.Caveats)
 				}
 			}
 		}
@@ -354,38 +358,38 @@
 				state = standin.Serving
 			}
 			n[7].Discovery.Set(state, r.World.Endpoints[5])
-			eventually(t, "n8 has the list", func() bool { return ask[Versions](t, n[7], "/versions").Vector.List.Index > at })
+			eventually(t, "n8 has the list", func() bool { return getJSON[VersionReport](t, n[7], "/versions").Vector.List.Index > at })
 		}
-		if record = ask[ledger.Snapshot](t, n[7], "/ledger"); changes > 4000 {
-			t.Fatalf("the ledger does not run over: %+v", record.Overwritten)
+		if record = getJSON[ledger.Snapshot](t, n[7], "/ledger"); changes > 4000 {
+			t.Fatalf("the audit log does not overflow: %+v", record.Overwritten)
 		}
 	}
-	close(audited)
+	close(stopAudit)
 	auditing.Wait()
-	finish(t, r, over, wait)
-	report := exact(t, r, n[:7]...)
+	stopLoadAndCheck(t, r, done, wait)
+	report := checkAudit(t, r, n[:7]...)
 	for _, m := range report.Members {
 		skew := map[string]time.Duration{"n4": 10 * time.Minute, "n5": -10 * time.Minute}[m.Name]
 		if d := m.Offset - skew; d < -m.OffsetError-time.Millisecond || d > m.OffsetError+time.Millisecond {
-			t.Errorf("%s: its clock is said to be off by %v within %v, and is by %v", m.Name, m.Offset, m.OffsetError, skew)
+			t.Errorf("%s: the audit says its clock is off by %v, within %v; it is off by %v", m.Name, m.Offset, m.OffsetError, skew)
 		}
 		if want := m.Name == "n6"; (m.Verdict == straggler.Diverged) != want {
 			t.Errorf("%s is %s", m.Name, m.Verdict)
 		}
 	}
-	// Lists went through the fleet within seconds, whatever the clocks say.
+	// By the audit, each list reached the fleet within seconds, whatever the clocks show.
 	for _, o := range report.Lists {
 		for _, s := range o.Steps {
 			if s.After > 30*time.Second {
-				t.Errorf("list %d: %s acted on it after %v, by a clock", o.Index, s.Name, s.After)
+				t.Errorf("list %d: %s acted on it after %v: the audit was misled by a clock", o.Index, s.Name, s.After)
 			}
 		}
 		if want := o.Index == index; want != (o.Digests == 2) {
-			t.Errorf("list %d has %d contents", o.Index, o.Digests)
+			t.Errorf("list %d has %d digests", o.Index, o.Digests)
 		}
 	}
-	// What n8 has, has lost and had no room for is all that it called.
-	record := ask[ledger.Snapshot](t, n[7], "/ledger")
+	// The calls that n8 has logged, has overwritten and had no room for add up to all its calls.
+	record := getJSON[ledger.Snapshot](t, n[7], "/ledger")
 	var least, most, seen uint64
 	for _, e := range r.World.Endpoints {
 		c, _ := n[7].Arrived(e.Name, time.Time{}, time.Time{})
@@ -394,27 +398,28 @@
 		least, most = least+got.Arrived.Min, most+got.Begun.Max
 	}
 	if least > seen || most+record.Overwritten.Calls+record.Unrecorded.Calls.Max < seen || record.Overwritten.Calls == 0 {
-		t.Errorf("n8 has made %d calls; its ledger has %d to %d, and says that %d are gone", seen, least, most, record.Overwritten.Calls)
+		t.Errorf("n8 has made %d calls; its audit log has %d to %d, and says that %d were overwritten", seen, least, most, record.Overwritten.Calls)
 	}
 	for _, one := range n {
 		if out := l.count(one.Name, "msg=\"shut out"); out > 0 {
-			t.Errorf("%s went out", one.Name)
+			t.Errorf("%s was fenced off", one.Name)
 		}
 	}
 }
 
-// TestFleetUpgradeOut: three of eight forwarders lack a file that is wanted, and are shut out. Each is upgraded by take-over meanwhile, and either process is killed at each step of that. Whoever is
-// left is out again within the settling time, has begun no call while it was, and comes back once nothing is wanted any more.
-func TestFleetUpgradeOut(t *testing.T) {
+// TestFleetUpgradeWhileFencedOff: three of eight forwarders lack a desired operators' file and are fenced off. Each is upgraded meanwhile by a hot restart, and the
+// old or the new process is killed at each step of it. The process that is left is fenced off again within the settling time, has begun no call
+// meanwhile, and is readmitted once no version is desired any more.
+func TestFleetUpgradeWhileFencedOff(t *testing.T) {
 	t.Parallel()
-	l := newLogs()
+	l := newFleetLogs()
 	set := operator.Fleet{Ledger: 1 << 20, Share: 0.5}
-	r := newMembers(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 2, Left: 2 * time.Second, Inherited: true}, set, l)
+	r := newGossipRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 2, Left: 2 * time.Second, Inherited: true}, set, l)
 	n := r.Nodes
-	over := make(chan struct{})
-	wait := r.Load(20, 4, 200, over)
+	done := make(chan struct{})
+	wait := r.Load(20, 4, 200, done)
 	set.Gossip = &operator.Gossip{Join: []string{r.Mesh.Told(0)}}
-	changed := resolved(t, set, operator.Limit{Name: "few", Attempts: 4})
+	changed := operatorsFile(t, set, operator.Limit{Name: "few", Attempts: 4})
 	for _, one := range n[3:] {
 		if err := one.SetOperators(changed); err != nil {
 			t.Fatal(err)
@@ -423,11 +428,11 @@
 			t.Fatal(err)
 		}
 		eventually(t, one.Name+" has read the file", func() bool {
-			return ask[Versions](t, one, "/versions").Vector.Operators.Digest == decoded(t, changed).Digest()
+			return getJSON[VersionReport](t, one, "/versions").Vector.Operators.Digest == decodeConfig(t, changed).Digest()
 		})
 	}
-	if status, said := put(t, n[3], straggler.Desired{Gen: 1, By: "test", Deadline: 100 * time.Millisecond, Version: version.Desired{Operators: decoded(t, changed).Digest()}}); status != http.StatusOK {
-		t.Fatalf("%d %s", status, said)
+	if status, body := putDesired(t, n[3], straggler.Desired{Gen: 1, By: "test", Deadline: 100 * time.Millisecond, Version: version.Desired{Operators: decodeConfig(t, changed).Digest()}}); status != http.StatusOK {
+		t.Fatalf("%d %s", status, body)
 	}
 	for _, one := range n[:3] {
 		l.await(t, one.Name, "msg=\"shut out", 1)
@@ -439,7 +444,7 @@
 			t.Run(one.Name, func(t *testing.T) {
 				t.Parallel()
 				for k := i; k < len(steps); k += 3 {
-					if err := upgradeOut(t, l, one, steps[k]); err != nil {
+					if err := upgradeAndKill(t, l, one, steps[k]); err != nil {
 						t.Fatalf("%s: %v", steps[k], err)
 					}
 				}
@@ -449,7 +454,7 @@
 	if t.Failed() {
 		return
 	}
-	put(t, n[4], straggler.Desired{Gen: 2, By: "test", Deadline: time.Minute})
+	putDesired(t, n[4], straggler.Desired{Gen: 2, By: "test", Deadline: time.Minute})
 	for _, one := range n {
 		eventually(t, one.Name+" is ready", func() bool { return healthy(one) == nil })
 	}
@@ -464,37 +469,37 @@
 			return false
 		})
 	}
-	finish(t, r, over, wait)
-	exact(t, r, n...)
+	stopLoadAndCheck(t, r, done, wait)
+	checkAudit(t, r, n...)
 	for i, one := range n {
-		out, isOut, process := 0, false, time.Time{}
-		for _, e := range ask[ledger.Snapshot](t, one, "/ledger").Entries {
+		fencedOff, isOut, process := 0, false, time.Time{}
+		for _, e := range getJSON[ledger.Snapshot](t, one, "/ledger").Entries {
 			if e.Cause == ledger.CauseFencedOff {
-				out++
+				fencedOff++
 				isOut, process = true, e.Vector.Started
-			} else if e.Cause == ledger.CauseReadmitted || !e.Vector.Started.Equal(process) { // the next process begins in
+			} else if e.Cause == ledger.CauseReadmitted || !e.Vector.Started.Equal(process) { // a new process starts in rotation
 				isOut = false
 			}
 			if isOut && len(e.Calls) > 0 {
-				t.Errorf("%s has called while it was shut out (%s): %+v", one.Name, e.Cause, e.Calls)
+				t.Errorf("%s made calls while it was fenced off (%s): %+v", one.Name, e.Cause, e.Calls)
 			}
 		}
-		if (out > 0) != (i < 3) {
-			t.Errorf("%s was out %d times", one.Name, out)
+		if (fencedOff > 0) != (i < 3) {
+			t.Errorf("%s was fenced off %d times", one.Name, fencedOff)
 		}
 	}
 }
 
-// upgradeOut upgrades a forwarder that is shut out, with a kill at a step; it ends with one that is.
-func upgradeOut(t *testing.T, l *logs, one *fleet.Node, step string) error {
+// upgradeAndKill upgrades a forwarder that is fenced off and kills a process at a step. The forwarder is fenced off again when it returns.
+func upgradeAndKill(t *testing.T, l *fleetLogs, one *fleet.Node, step string) error {
 	isNew := strings.HasPrefix(step, "new")
-	ended := func(p *fleet.Process) (time.Time, error) {
-		one.SetAway(true) // clients are told: what they have handed in may get no answer
+	kill := func(p *fleet.Process) (time.Time, error) {
+		one.SetAway(true) // the clients then expect that messages in transit may get no answer
 		at := time.Now()
 		return at, p.Kill()
 	}
 	reached := l.count(one.Name, "reached "+step)
-	if !isNew && step != "none" { // the process that hands over is to stop at a step
+	if !isNew && step != "none" { // starts an old process that stops at the step
 		one.Env = []string{"SCALEROUTE_TEST_STEP=" + step}
 		out := l.count(one.Name, "msg=\"shut out")
 		if err := one.Restart(one.Kill, nil); err != nil {
@@ -507,7 +512,7 @@
 		one.Env = []string{"SCALEROUTE_TEST_STEP=" + step}
 	}
 	out := l.count(one.Name, "msg=\"shut out")
-	back := l.count(one.Name, "did not take over")
+	failedHandovers := l.count(one.Name, "did not take over")
 	old := one.Process()
 	next, err := one.Next()
 	one.Env = nil
@@ -519,17 +524,17 @@
 	case step == "none":
 	case isNew:
 		l.await(t, one.Name, "reached "+step, reached+1)
-		if killed, err = ended(next); err != nil {
+		if killed, err = kill(next); err != nil {
 			return err
 		}
-		if step != "new: owned" && step != "new: serving" { // the old one goes on, out as it was
-			l.await(t, one.Name, "did not take over", back+1)
-			eventually(t, "the old process says no again", func() bool {
-				got, err := ping(old.Address())
+		if step != "new: owned" && step != "new: serving" { // the old process goes on, fenced off as before
+			l.await(t, one.Name, "did not take over", failedHandovers+1)
+			eventually(t, "the old process rejects PING again", func() bool {
+				got, err := pingForwarder(old.Address())
 				return err == nil && got != "+PONG"
 			})
 			if healthy(one) == nil {
-				return errors.New("ready, though it is shut out")
+				return errors.New("the forwarder is ready, though it is fenced off")
 			}
 			one.SetAway(false)
 			return nil
@@ -547,7 +552,7 @@
 		return nil
 	default:
 		l.await(t, one.Name, "reached "+step, reached+1)
-		if killed, err = ended(old); err != nil {
+		if killed, err = kill(old); err != nil {
 			return err
 		}
 	}
@@ -565,7 +570,8 @@
 	return nil
 }
 
-func ping(address string) (string, error) {
+// pingForwarder sends PING on a new connection and returns the answer.
+func pingForwarder(address string) (string, error) {
 	conn, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
 		return "", err
--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -27,64 +27,65 @@
 )
 
 const (
-	lookupWait    = 250 * time.Millisecond // from when a message was read: its client waits for 400 ms
-	firstPartWait = 2 * time.Second        // for control servers to tell the part, at a start
-	partialCalls  = "GET /control"         // of the operators' door
+	lookupTimeout        = 250 * time.Millisecond // counted from when the message was read; its client waits for 400 ms
+	initialPartTimeout   = 2 * time.Second        // for the forwarder's part of the list from control servers, at a start
+	controlStatusPattern = "GET /control"         // route of the admin API
 
 	controlDescriptors = 8 // connections to control servers, in use and idle
 )
 
-// partialList has the forwarder know a part of the endpoint list, by control servers, in place of the whole of it by discovery. A nil one is off.
+// partialList keeps a part of the endpoint list, which it receives from control servers, in place of the whole list from discovery. It is nil if the
+// forwarder watches the whole list.
 type partialList struct {
-	f         *forwarder
+	forwarder *forwarder
 	client    *control.Client
 	limits    partial.Limits
-	follower  atomic.Pointer[control.Follower] // of the present tenure
-	recovered []int                            // destinations that its start has asked for
+	follower  atomic.Pointer[control.Follower] // of the present serving generation
+	recovered []int                            // destinations of recovered messages, which start holds
 }
 
-// newPartialList is that of what operators have set; nil: the whole list is watched.
+// newPartialList returns the partialList for the control block of the operators' file; nil if there is none.
 func newPartialList(f *forwarder) *partialList {
-	set := f.operators.now.Control
+	set := f.operators.current.Control
 	if set == nil {
 		return nil
 	}
-	seed := fnv.New64a() // another order of the servers in each forwarder
-	seed.Write([]byte(f.c.Name + " " + f.c.Seed))
+	seed := fnv.New64a() // so that each forwarder tries the servers in another order
+	seed.Write([]byte(f.config.Name + " " + f.config.Seed))
 	limits := partial.DefaultLimits()
 	limits.MaxFetched, limits.LookupBytesPerSecond, limits.Burst = set.Fetched, float64(set.LookupBytes), 2*float64(set.LookupBytes)
-	return &partialList{f: f, limits: limits, client: control.New(control.Config{Servers: set.Servers, Name: f.c.Name, Zone: f.c.Settings.Zone, Seed: seed.Sum64(),
+	return &partialList{forwarder: f, limits: limits, client: control.New(control.Config{Servers: set.Servers, Name: f.config.Name, Zone: f.config.Settings.Zone, Seed: seed.Sum64(),
 		Layout: ownership.Layout{Partitions: set.Partitions, Replicas: set.Replicas}})}
 }
 
-// start has a new tenure know what the process before knew, or what control servers answer within a bounded time, or else the list of the configuration: no call
-// begins by less. The destinations of recovered messages are among what is asked for.
-func (p *partialList) start(configured *agent.List, from *bundle, j *journal.Journal) *agent.List {
-	follower := control.NewFollower(control.FollowerConfig{Client: p.client, Limits: p.limits, FleetSize: p.f.settings.Forwarders, Deliver: p.deliver})
+// start returns the list that a new serving generation starts with: the one that the previous process handed over, or what control servers answer within
+// initialPartTimeout, or else the configured list. No call begins before that. The destinations of recovered messages are requested as well.
+func (p *partialList) start(configured *agent.List, previous *handoverState, j *journal.Journal) *agent.List {
+	follower := control.NewFollower(control.FollowerConfig{Client: p.client, Limits: p.limits, FleetSize: p.forwarder.settings.Forwarders, Deliver: p.deliver})
 	p.follower.Store(follower)
 	p.recovered = nil
-	if from != nil && from.part != nil && follower.Resume(*from.part) {
+	if previous != nil && previous.partialList != nil && follower.Resume(*previous.partialList) {
 		known, _ := follower.StartDelivery()
 		return &known
 	}
-	if from != nil && from.list != nil { // that process watched the whole list: no client waits for control servers
-		follower.SetInitialList(from.list)
+	if previous != nil && previous.list != nil { // the previous process watched the whole list, so clients need not wait for control servers
+		follower.SetInitialList(previous.list)
 		known, _ := follower.StartDelivery()
 		return &known
 	}
 	follower.SetInitialList(configured)
 	p.recovered = recoveredDestinations(j)
-	ctx, cancel := context.WithTimeout(context.Background(), firstPartWait)
+	ctx, cancel := context.WithTimeout(context.Background(), initialPartTimeout)
 	defer cancel()
 	if err := follower.FetchInitial(ctx, p.recovered); err != nil {
-		slog.Warn("no control server has told this forwarder's part: starting with the list of the configuration", "endpoints", len(configured.Endpoints), "err", err)
+		slog.Warn("control servers have not sent this forwarder's part of the endpoint list: starting with the configured list", "endpoints", len(configured.Endpoints), "err", err)
 	}
 	known, changed := follower.StartDelivery()
-	p.f.withdrawn.Update(&agent.List{Index: known.Index, Endpoints: changed})
+	p.forwarder.withdrawn.Update(&agent.List{Index: known.Index, Endpoints: changed})
 	return &known
 }
 
-// recoveredDestinations are those of the messages that the journal holds.
+// recoveredDestinations returns the destinations of the uncompleted messages in the journal.
 func recoveredDestinations(j *journal.Journal) []int {
 	var list []int
 	seen := map[int]bool{}
@@ -97,8 +98,8 @@
 	return list
 }
 
-// started ends what start did for recovered messages: the engine has them.
-func (p *partialList) started() {
+// releaseRecovered releases the destinations that start holds for recovered messages, once the engine holds them itself.
+func (p *partialList) releaseRecovered() {
 	if p == nil {
 		return
 	}
@@ -109,60 +110,60 @@
 	p.recovered = nil
 }
 
-// holding notes for which destinations the engine holds messages.
-func (p *partialList) holding(destination int, begins bool) {
-	if follower := p.follower.Load(); begins {
+// queueChanged holds a destination while the engine has messages queued for it.
+func (p *partialList) queueChanged(destination int, added bool) {
+	if follower := p.follower.Load(); added {
 		follower.Hold(destination)
 	} else {
 		follower.Release(destination)
 	}
 }
 
-// deliver has the engine know of an update.
-func (p *partialList) deliver(u partial.Update) {
-	sources := p.f.operators.sources
-	if len(u.Evicted) > 0 {
-		sources.evict(u.Evicted, u.Index)
+// deliver passes an update from control servers to the engine.
+func (p *partialList) deliver(update partial.Update) {
+	sources := p.forwarder.operators.sources
+	if len(update.Evicted) > 0 {
+		sources.evict(update.Evicted, update.Index)
 	}
-	if len(u.Changed) > 0 {
-		list := &agent.List{Index: u.Index, Endpoints: u.Changed}
-		p.f.withdrawn.Update(list)
-		sources.hear(list)
+	if len(update.Changed) > 0 {
+		list := &agent.List{Index: update.Index, Endpoints: update.Changed}
+		p.forwarder.withdrawn.Update(list)
+		sources.updateFromDiscovery(list)
 	}
 }
 
-// front has messages for destinations outside the part wait for their look-up before they go on.
+// front returns an acceptor that looks up destinations outside the part before it passes messages for them on to next.
 func (p *partialList) front(next runner.Taker) runner.Taker {
 	if p == nil {
 		return next
 	}
-	return lookupFront{p.follower.Load(), p.f.operators, next}
+	return lookupFront{p.follower.Load(), p.forwarder.operators, next}
 }
 
 type lookupFront struct {
 	follower *control.Follower
-	set      *settings
+	settings *settings
 	next     runner.Taker
 }
 
 func (t lookupFront) Accept(m *message.Message) engine.Answer {
-	d := t.follower.Arrive(m.Destination, m.ReadAt.Add(lookupWait))
-	if d.Action == partial.Reject {
-		if t.set.sources.inFile(m.Destination) { // its endpoints in the operators' file are known
+	decision := t.follower.Arrive(m.Destination, m.ReadAt.Add(lookupTimeout))
+	if decision.Action == partial.Reject {
+		if t.settings.sources.inFile(m.Destination) { // the operators' file has endpoints for it
 			return t.next.Accept(m)
 		}
-		return engine.Answer{Kind: engine.Refused, RetryAfter: d.RetryAfter}
+		return engine.Answer{Kind: engine.Refused, RetryAfter: decision.RetryAfter}
 	}
 	defer t.follower.Release(m.Destination)
 	return t.next.Accept(m)
 }
 
-// calls are those that the operators' door answers for it.
-func (p *partialList) calls() []door.Route {
+// routes returns the route of the admin API for the state of the partial list.
+func (p *partialList) routes() []door.Route {
 	if p == nil {
 		return nil
 	}
-	return []door.Route{{Pattern: partialCalls, Handler: func(w http.ResponseWriter, r *http.Request) {
+	return []door.Route{{Pattern: controlStatusPattern, Handler: func(w http.ResponseWriter, r *http.Request) {
 		follower := p.follower.Load()
 		if follower == nil {
 			http.Error(w, "it does not serve yet", http.StatusServiceUnavailable)
@@ -172,7 +173,7 @@
 	}}}
 }
 
-// descriptors is how many it may hold.
+// descriptors returns how many file descriptors the connections to control servers may use.
 func (p *partialList) descriptors() int {
 	if p == nil {
 		return 0
@@ -180,8 +181,8 @@
 	return controlDescriptors
 }
 
-// leave is what the next process goes on with.
-func (p *partialList) leave() *control.SavedState {
+// save returns the state for the next process.
+func (p *partialList) save() *control.SavedState {
 	if p == nil {
 		return nil
 	}
@@ -189,31 +190,32 @@
 	return &saved
 }
 
-// followList follows the list until ctx ends: by control servers, or by discovery.
-func (f *forwarder) followList(ctx context.Context, known *agent.List, l *engine.Engine) {
+// followList watches the endpoint list until ctx ends, from control servers or from discovery.
+func (f *forwarder) followList(ctx context.Context, known *agent.List, e *engine.Engine) {
 	if f.partial != nil {
 		f.partial.follower.Load().Run(ctx)
 		return
 	}
-	heard := func(list *agent.List) { l.UpdateEndpoints(list.EngineUpdate()) }
+	update := func(list *agent.List) { e.UpdateEndpoints(list.EngineUpdate()) }
 	if sources := f.operators.sources; sources != nil {
-		heard = sources.hear
+		update = sources.updateFromDiscovery
 	}
 	f.platform.Watch(ctx, known, func(list *agent.List) {
 		f.withdrawn.Update(list)
-		heard(list)
+		update(list)
 	})
 }
 
-// look asks for what the list is now, and returns once that has been applied.
-func (f *forwarder) look(ctx context.Context) error {
+// refreshList requests the current endpoint list and returns once it has been applied.
+func (f *forwarder) refreshList(ctx context.Context) error {
 	if f.partial != nil {
 		return f.partial.follower.Load().Refresh(ctx)
 	}
 	return f.platform.Refresh(ctx)
 }
 
-// evict has destinations that are not needed forgotten, unless the operators' file has endpoints of them.
+// evict removes the endpoints of destinations that are not needed any more, and makes the engine forget those destinations for which the operators' file
+// has no endpoints.
 func (s *sources) evict(list []partial.Eviction, index int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,7 +223,7 @@
 	var destinations []int
 	for _, e := range list {
 		names = append(names, e.Endpoints...)
-		if !s.file[e.Destination] {
+		if !s.fileDestinations[e.Destination] {
 			destinations = append(destinations, e.Destination)
 		}
 	}
@@ -230,32 +232,32 @@
 		gone[i] = version.Entry{Name: name, Gone: true}
 	}
 	l := s.set.Forget(membership.Agent, names)
-	if now := s.targets.Update(index, false, gone); now != s.list {
+	if now := s.listTracker.Update(index, false, gone); now != s.list {
 		s.list = now
 		l.Version = &version.Change{Cause: ledger.CauseEndpointList, Apply: func(v *version.Vector) { v.List = now }}
 	}
-	s.to.Evict(l, destinations)
+	s.engine.Evict(l, destinations)
 }
 
-// inFile tells whether the operators' file has endpoints of a destination.
+// inFile reports whether the operators' file has endpoints for a destination.
 func (s *sources) inFile(destination int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.file[destination]
+	return s.fileDestinations[destination]
 }
 
-// noteFile notes the destinations of which the operators' file has endpoints. The lock is held, or nobody else is there yet.
-func (s *sources) noteFile(set *operator.Config) {
-	s.file = map[int]bool{}
-	for _, e := range set.Endpoints().Endpoints {
-		s.file[e.Destination] = true
+// setFileDestinations records the destinations for which the operators' file has endpoints. The caller holds the lock, or no other goroutine uses s yet.
+func (s *sources) setFileDestinations(config *operator.Config) {
+	s.fileDestinations = map[int]bool{}
+	for _, e := range config.Endpoints().Endpoints {
+		s.fileDestinations[e.Destination] = true
 	}
 }
 
-// keepControl warns of a block control that a reload would change.
-func keepControl(now, next *operator.Config) {
-	if !reflect.DeepEqual(now.Control, next.Control) {
-		slog.Warn("the block control can't change while it runs: restart", "where", cmp.Or(next.Where["control"], "control"))
-		next.Control = now.Control
+// keepControlBlock keeps the control block, which a reload can't change, and logs a warning if the new file has another one.
+func keepControlBlock(current, next *operator.Config) {
+	if !reflect.DeepEqual(current.Control, next.Control) {
+		slog.Warn("the control block can't change while the process runs: restart", "where", cmp.Or(next.Where["control"], "control"))
+		next.Control = current.Control
 	}
 }
--- a/cmd/scaleroute/profile.go
+++ b/cmd/scaleroute/profile.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// For the lab alone, which builds with this tag: a CPU profile of the first
-// seconds. The daemon as it is deployed has none of it.
+// Writes a CPU profile of the first seconds. Only the load test tool builds
+// with this tag; the deployed daemon has no profiling.
 func init() {
 	path := os.Getenv("SCALEROUTE_CPUPROFILE")
 	if path == "" {
--- a/cmd/scaleroute/ready_test.go
+++ b/cmd/scaleroute/ready_test.go
@@ -14,35 +14,36 @@
 	"scaleroute/internal/message"
 )
 
-// readyWithin is how long nine in ten restarted processes may take until they are used.
-const readyWithin = 10 * time.Second
+// readyLimit is how long nine in ten restarted processes may take until they serve.
+const readyLimit = 10 * time.Second
 
-// TestReadyWhateverIsHeld: the journal is full, to the last message that it has room for, of each kind of message that a restart can find, and is damaged besides. Nine in
-// ten processes that are started on them, two on each, and killed once they are ready, answer PING within 10 s.
-func TestReadyWhateverIsHeld(t *testing.T) {
+// TestReadyWithFullJournal guards against restarts that take too long to recover a large journal. The journal is filled to the last message that it has room for,
+// with each kind of message that a restart can find, and in one case is corrupt. Two processes are started on each journal, one after the other, and killed once
+// they are ready: nine in ten of them must answer PING within 10 s.
+func TestReadyWithFullJournal(t *testing.T) {
 	const restarts, allowedLate = 2, 1
 	late := 0
 	for name, c := range map[string]struct {
 		diskMB  float64
 		body    int
-		damaged bool
+		corrupt bool
 		mark    func(j *journal.Journal, s *journal.MessageState)
 	}{
-		"untried, small":       {12, 10, false, func(*journal.Journal, *journal.MessageState) {}},
-		"untried, large":       {12, 60 << 10, false, func(*journal.Journal, *journal.MessageState) {}},
-		"calls that were out":  {12, 200, false, func(j *journal.Journal, s *journal.MessageState) { j.RecordSending(s.ID) }},
-		"notices that are due": {12, 200, false, func(j *journal.Journal, s *journal.MessageState) { j.RecordCompletion(s.ID, 'd', 0) }},
-		"damaged":              {12, 200, true, func(*journal.Journal, *journal.MessageState) {}},
+		"unsent, small":      {12, 10, false, func(*journal.Journal, *journal.MessageState) {}},
+		"unsent, large":      {12, 60 << 10, false, func(*journal.Journal, *journal.MessageState) {}},
+		"calls in flight":    {12, 200, false, func(j *journal.Journal, s *journal.MessageState) { j.RecordSending(s.ID) }},
+		"notices to be sent": {12, 200, false, func(j *journal.Journal, s *journal.MessageState) { j.RecordCompletion(s.ID, 'd', 0) }},
+		"corrupt":            {12, 200, true, func(*journal.Journal, *journal.MessageState) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, func(rw http.ResponseWriter, _ string) {
-				rw.Header().Set("X-RateLimit-Wait-Ms", "200000") // what is held stays so
+			w := newTestEnv(t, func(rw http.ResponseWriter, _ string) {
+				rw.Header().Set("X-RateLimit-Wait-Ms", "200000") // queued messages stay queued
 				rw.WriteHeader(http.StatusTooManyRequests)
 			})
-			w.diskMB, w.dead = c.diskMB, true
-			held := fillJournal(t, w.state, c.diskMB, c.body, c.mark)
-			if c.damaged {
-				damage(t, w.state)
+			w.diskMB, w.rejectNotices = c.diskMB, true
+			queued := fillJournal(t, w.state, c.diskMB, c.body, c.mark)
+			if c.corrupt {
+				corruptSegments(t, w.state)
 			}
 			var longest time.Duration
 			for range restarts {
@@ -50,21 +51,21 @@
 				p := w.start()
 				took := time.Since(began)
 				longest = max(longest, took)
-				if took > readyWithin {
+				if took > readyLimit {
 					late++
 				}
 				p.kill()
 			}
-			t.Logf("%d messages held; ready after %v at most", held, longest)
+			t.Logf("%d messages queued; ready after %v at most", queued, longest)
 		})
 	}
 	if late > allowedLate {
-		t.Errorf("%d were ready after more than %v", late, readyWithin)
+		t.Errorf("%d processes were ready only after more than %v", late, readyLimit)
 	}
 }
 
-// fillJournal accepts messages until there is no room for one more, marks each, and tells how many they are.
-func fillJournal(t *testing.T, folder string, diskMB float64, body int, mark func(*journal.Journal, *journal.MessageState)) (held int) {
+// fillJournal records accepted messages until the journal has no room for one more, calls mark for each, and returns how many there are.
+func fillJournal(t *testing.T, folder string, diskMB float64, body int, mark func(*journal.Journal, *journal.MessageState)) (queued int) {
 	t.Helper()
 	j, err := journal.Open(folder, journal.Options{DiskLimit: int64(diskMB * 1e6)})
 	if err != nil {
@@ -72,8 +73,8 @@
 	}
 	defer j.Close()
 	text := message.Bytes(strings.Repeat("x", body))
-	for ; ; held++ {
-		s := &journal.MessageState{ID: fmt.Sprint("m", held), Class: []string{"harmless", "unsafe"}[held%2], Dest: 7, Body: text, Deadline: time.Now().Add(5 * time.Minute)}
+	for ; ; queued++ {
+		s := &journal.MessageState{ID: fmt.Sprint("m", queued), Class: []string{"harmless", "unsafe"}[queued%2], Dest: 7, Body: text, Deadline: time.Now().Add(5 * time.Minute)}
 		room, err := j.Reserve(s.Size())
 		if err == nil && room {
 			err = j.RecordAccepted(s)
@@ -85,7 +86,7 @@
 			break
 		}
 		mark(j, s)
-		if held%100 == 0 {
+		if queued%100 == 0 {
 			if err := j.Flush(); err != nil {
 				t.Fatal(err)
 			}
@@ -94,11 +95,11 @@
 	if err := j.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	return held
+	return queued
 }
 
-// damage writes over some bytes of each of the journal's files.
-func damage(t *testing.T, folder string) {
+// corruptSegments overwrites some bytes of each of the journal's files.
+func corruptSegments(t *testing.T, folder string) {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(folder, "*.seg"))
 	if err != nil || len(names) == 0 {
--- a/cmd/scaleroute/tighten_test.go
+++ b/cmd/scaleroute/reload_limits_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// TestReloadTightens: a reload that allows fewer attempts than a held message has used leaves that one its own; the next message has the new
-// ones. A reload in the middle of a planned stop is taken, and the stop goes on in order.
-func TestReloadTightens(t *testing.T) {
+// TestReloadLowersAttemptLimit: a reload lowers the attempt limit below what a queued message has used. That message keeps its limit, and the next
+// message has the new one. A reload during a planned shutdown is applied, and the shutdown completes in order.
+func TestReloadLowersAttemptLimit(t *testing.T) {
 	reloaded := make(chan bool)
-	var w *world
-	w = newWorld(t, func(rw http.ResponseWriter, id string) {
-		switch n := w.count(id); {
+	var w *testEnv
+	w = newTestEnv(t, func(rw http.ResponseWriter, id string) {
+		switch n := w.callCount(id); {
 		case id == "held" && n == 2:
 			<-reloaded
 			rw.WriteHeader(http.StatusInternalServerError)
@@ -33,24 +33,24 @@
 	set(4)
 	w.args = []string{"-operators", path}
 	p := w.start()
-	c := p.client()
-	for n := range 30 { // first tries, of which further ones may be a fifth
+	c := p.connect()
+	for n := range 30 { // first attempts; retries may be a fifth of them
 		id := fmt.Sprint("plain", n)
-		c.enqueue(id, "harmless", 60000)
-		w.await(w.called, id)
+		c.mustEnqueue(id, "harmless", 60000)
+		w.awaitValue(w.called, id)
 	}
-	c.enqueue("held", "harmless", 60000)
-	w.await(w.called, "held")
-	w.await(w.called, "held")
+	c.mustEnqueue("held", "harmless", 60000)
+	w.awaitValue(w.called, "held")
+	w.awaitValue(w.called, "held")
 	set(1)
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.awaitLog("set by operators")
 	close(reloaded)
-	w.await(w.called, "held")
-	c.enqueue("next", "harmless", 60000)
-	w.await(w.notices, "next bounced")
-	if n := w.count("next"); n != 1 {
-		t.Errorf("%d attempts after the reload, 1 is allowed", n)
+	w.awaitValue(w.called, "held")
+	c.mustEnqueue("next", "harmless", 60000)
+	w.awaitValue(w.notices, "next bounced")
+	if n := w.callCount("next"); n != 1 {
+		t.Errorf("%d attempts after the reload, the limit is 1", n)
 	}
 	set(2)
 	p.cmd.Process.Signal(syscall.SIGTERM)
@@ -59,6 +59,6 @@
 	p.awaitLog("set by operators")
 	p.awaitLog("stopped")
 	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("the stop ended with %v", err)
+		t.Errorf("the shutdown ended with %v", err)
 	}
 }
--- a/cmd/scaleroute/restart_test.go
+++ b/cmd/scaleroute/restart_test.go
@@ -8,18 +8,19 @@
 	"testing"
 )
 
-// TestRestartWithWorkInHand: a destination has told a wait, so that a hold full of messages waits untried as the process is told to end, or is killed. The
-// next process finds them, and clients come again at once with what is worth more, while the target hangs on the first calls. Each that was taken on is tried, by
-// the target's own record: those before the end, one that came while the process was ending, and nobody's effect comes twice.
-func TestRestartWithWorkInHand(t *testing.T) {
-	const held, come = 80, 40
-	for name, end := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGKILL": syscall.SIGKILL} {
+// TestRestartWithQueuedMessages: a destination has answered with a long retry-after, so that its queue is full of messages that were not sent when the
+// process is terminated or killed. The next process recovers them. Clients at once send messages of a higher value, while the endpoint does not answer
+// the first calls. By the endpoint's own record, each accepted message is sent exactly once: those from before the shutdown, one that was accepted
+// during it, and those from after it.
+func TestRestartWithQueuedMessages(t *testing.T) {
+	const queued, sentAfterRestart = 80, 40
+	for name, signal := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGKILL": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var again atomic.Bool
+			var isRestarted atomic.Bool
 			release := make(chan bool)
-			w := newWorld(t, func(rw http.ResponseWriter, id string) {
-				if !again.Load() {
+			w := newTestEnv(t, func(rw http.ResponseWriter, id string) {
+				if !isRestarted.Load() {
 					rw.Header().Set("X-RateLimit-Wait-Ms", "200000")
 					rw.WriteHeader(http.StatusTooManyRequests)
 					return
@@ -27,57 +28,57 @@
 				<-release
 			})
 			p := w.start()
-			c := p.client()
-			c.enqueue("told", "harmless", 250000)
-			w.await(w.called, "told")
+			c := p.connect()
+			c.mustEnqueue("told", "harmless", 250000)
+			w.awaitValue(w.called, "told")
 			class := func(i int) string { return []string{"harmless", "harmless", "unsafe"}[i%3] }
-			taken := map[string]bool{}
-			for i := range held {
+			accepted := map[string]bool{}
+			for i := range queued {
 				id := fmt.Sprint("old", i)
-				c.enqueue(id, class(i), 250000)
-				taken[id] = true
+				c.mustEnqueue(id, class(i), 250000)
+				accepted[id] = true
 			}
-			if err := p.cmd.Process.Signal(end); err != nil {
+			if err := p.cmd.Process.Signal(signal); err != nil {
 				t.Fatal(err)
 			}
-			if end == syscall.SIGTERM {
+			if signal == syscall.SIGTERM {
 				p.awaitLog("msg=stopping")
-				c.enqueue("as-it-stops", "unsafe", 250000)
-				taken["as-it-stops"] = true
+				c.mustEnqueue("as-it-stops", "unsafe", 250000)
+				accepted["as-it-stops"] = true
 			}
-			if err := p.cmd.Wait(); end == syscall.SIGTERM && err != nil {
+			if err := p.cmd.Wait(); signal == syscall.SIGTERM && err != nil {
 				t.Errorf("SIGTERM: %v", err)
 			}
-			again.Store(true) // a restart ends a wait
+			isRestarted.Store(true) // the next process does not keep the retry-after
 
 			p = w.start()
-			c = p.client()
-			turnedAway := 0
-			for i := range come {
+			c = p.connect()
+			rejected := 0
+			for i := range sentAfterRestart {
 				id := fmt.Sprint("new", i)
-				switch got := c.say("ENQUEUE", "0", id, "c=unsafe,d=250000,dest=7", "x"); {
+				switch got := c.do("ENQUEUE", "0", id, "c=unsafe,d=250000,dest=7", "x"); {
 				case got == "+OK":
-					taken[id] = true
+					accepted[id] = true
 				default:
-					turnedAway++
+					rejected++
 				}
 			}
-			if turnedAway == 0 {
-				t.Error("nobody was turned away: the hold was not full")
+			if rejected == 0 {
+				t.Error("no message was rejected: the queue was not full")
 			}
 			close(release)
-			for len(taken) > 0 {
+			for len(accepted) > 0 {
 				select {
 				case <-w.called:
-					for id := range taken {
-						if n := w.count(id); n > 1 {
+					for id := range accepted {
+						if n := w.callCount(id); n > 1 {
 							t.Errorf("%s was sent %d times", id, n)
 						} else if n == 1 {
-							delete(taken, id)
+							delete(accepted, id)
 						}
 					}
 				case n := <-w.notices:
-					t.Fatalf("given up: %s; %d still to be tried", n, len(taken))
+					t.Fatalf("notice %s, with %d messages not sent yet", n, len(accepted))
 				}
 			}
 		})
--- a/cmd/scaleroute/routes.go
+++ b/cmd/scaleroute/routes.go
@@ -7,32 +7,32 @@
 	"scaleroute/internal/route"
 )
 
-// router leads messages to where the operators' routes say, before plug-ins are asked.
+// router applies the operators' routes to messages before the plug-ins see them.
 type router struct {
-	set  *settings
-	next runner.Taker
+	settings *settings
+	next     runner.Taker
 }
 
 func (r router) Accept(m *message.Message) engine.Answer {
-	routes := r.set.routes.Load()
+	routes := r.settings.routes.Load()
 	if routes.Empty() {
 		return r.next.Accept(m)
 	}
-	way := routes.Find(&route.Message{Front: front(m), Class: m.Class, Destination: m.Destination, Field: m.Field})
+	found := routes.Find(&route.Message{Front: frontName(m), Class: m.Class, Destination: m.Destination, Field: m.Field})
 	switch {
-	case way == nil && routes.Rejects():
+	case found == nil && routes.Rejects():
 		return engine.Answer{Kind: engine.Rejected, Reason: "no route"}
-	case way == nil:
+	case found == nil:
 		return r.next.Accept(m)
 	}
-	led := *m // the client's goroutine holds the other
-	led.Extras = &message.Extras{Route: way.Name, Requested: m.Destination}
-	led.Destination = way.To
-	return r.next.Accept(&led)
+	routed := *m // a copy, since the client's goroutine still uses m
+	routed.Extras = &message.Extras{Route: found.Name, Requested: m.Destination}
+	routed.Destination = found.To
+	return r.next.Accept(&routed)
 }
 
-// front is the name of the one that a message came by, for routes: that of RESP2 stands in no journal.
-func front(m *message.Message) string {
+// frontName returns the name of the front that a message came by, as routes match it. The journal has no name for RESP2.
+func frontName(m *message.Message) string {
 	if m.Origin == "" {
 		return "resp2"
 	}
