--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -28,51 +28,50 @@
 	"scaleroute/internal/takeover"
 )
 
-// How a planned stop goes, counted from SIGTERM. SIGKILL can come 3.7 s after it.
+// The steps of a planned stop, counted from SIGTERM. SIGKILL may follow 3.7 s after it.
 const (
-	acceptOn  = 500 * time.Millisecond  // new connections are taken for so long
-	serveOn   = 2400 * time.Millisecond // and those there are served while calls can still be started
-	lastCall  = 3400 * time.Millisecond // calls are to end by then
-	lastEnd   = 3600 * time.Millisecond // what is still out then is left to the journal
-	lastWrite = 50 * time.Millisecond   // for answers still to be written
-	listWait  = 500 * time.Millisecond  // for the first list, at a start
+	acceptPeriod       = 500 * time.Millisecond  // until then new connections are accepted
+	servePeriod        = 2400 * time.Millisecond // until then requests on open connections are served, since calls can still be started
+	callsDeadline      = 3400 * time.Millisecond // by then calls have to end
+	stopDeadline       = 3600 * time.Millisecond // calls still in flight then stay in the journal for the next start
+	finalWriteTimeout  = 50 * time.Millisecond   // for replies that are still to be written
+	initialListTimeout = 500 * time.Millisecond  // for the first endpoint list at a start
 
-	heldShare = 25 // of a hundred parts of the memory: for what is held
+	queueMemoryPercent = 25 // of the memory limit, for queued messages
 
-	reloadPause = 100 * time.Millisecond // until a configuration that can't be read is read again
+	configRetryInterval = 100 * time.Millisecond // between attempts to read a configuration that can't be read
 )
 
 var (
-	errDisk       = errors.New("the journal can't be kept, and nothing may be taken on without it")
+	errDisk       = errors.New("the journal can't be kept, and no message may be accepted without it")
 	errStopping   = errors.New("stopping")
 	errHandedOver = errors.New("another process has taken over")
 )
 
 // forwarder is one process of a forwarder.
 type forwarder struct {
-	c         *config.Config
+	config    *config.Config
 	operators *settings
 	control   *operations.Control
 	stop      <-chan struct{}
 	hup       <-chan os.Signal
-	settings  decide.Settings // with what operators have set
+	settings  decide.Settings // the platform's settings with those of operators applied
 	platform  *agent.Platform
 	withdrawn *agent.WithdrawnStore
 
-	inherited net.Listener // the clients' socket that the platform holds; nil if it does not
-	id        takeover.Identity
-	door      string        // the operators' address
-	before    *engine.Stats // of what served before in this process
-	fleet     *auditing     // nil: it is none that can be audited
-	partial   *partialList  // nil: it knows the whole list
+	inherited     net.Listener // the clients' socket that the platform passes on; nil if it does not
+	identity      takeover.Identity
+	adminAddress  string        // where the admin API listens; empty: nowhere
+	previousStats *engine.Stats // of the engine that served before in this process; nil if none did
+	fleet         *fleetState   // nil: the operators' file has no fleet block
+	partial       *partialList  // nil: this forwarder watches the whole endpoint list
 }
 
-// run runs the forwarder until stop is closed and the planned stop is over, or another process has taken over. On
-// each value from hup it reads its configuration again. An error means that it
-// could not start or can't go on.
+// run runs the forwarder until stop is closed and the planned stop is complete, or until another process has taken over.
+// On each value from hup it reads its configuration again. An error means that it could not start or can't continue.
 func run(c *config.Config, operators *settings, stop <-chan struct{}, hup <-chan os.Signal) error {
 	memory := int64(c.Limits.MemoryMB) << 20
-	// The journal's file counts as memory too; connections and the runtime need some.
+	// The rest of the memory is for the journal's file, which counts as memory too, for connections and for the runtime.
 	debug.SetMemoryLimit(memory * 6 / 10)
 	descriptors, err := operators.startPlugins()
 	if operators.plugins != nil {
@@ -81,116 +80,116 @@
 	if err != nil {
 		return err
 	}
-	if operators.mail = operators.now.HasMail(); operators.mail {
-		descriptors += mailIdle
+	if operators.mailReserved = operators.current.HasMail(); operators.mailReserved {
+		descriptors += maxIdleMailConns
 	}
 	if c.AdminListen != "" {
 		descriptors += door.MaxDescriptors
 	}
-	if set := operators.now.Fleet; set != nil && set.Gossip != nil {
-		descriptors += speakerDescriptors
+	if set := operators.current.Fleet; set != nil && set.Gossip != nil {
+		descriptors += sidecarDescriptors
 	}
-	f := &forwarder{c: c, operators: operators, control: operations.NewControl(), stop: stop, hup: hup}
+	f := &forwarder{config: c, operators: operators, control: operations.NewControl(), stop: stop, hup: hup}
 	f.partial = newPartialList(f)
 	descriptors += f.partial.descriptors()
 	if c.Limits.Sockets -= descriptors; c.Limits.MaxEndpointConnections() < 1 {
-		return fmt.Errorf("plug-ins, connections for mail and the operators' door need %d descriptors, which leaves %d: allow more, or set fewer processes", descriptors, c.Limits.Sockets)
+		return fmt.Errorf("plug-ins, mail connections, the admin API and the connections to other forwarders and control servers need %d descriptors, which leaves %d: allow more sockets, or set fewer plug-in processes", descriptors, c.Limits.Sockets)
 	}
-	if most := c.Limits.MaxEndpointConnections(); c.Settings.Slots > most { // with each slot in use there is a connection for each call, or the descriptors run out
-		slog.Warn("fewer calls are out at once than the settings let", "slots", c.Settings.Slots, "calls", most, "sockets", c.Limits.Sockets)
-		c.Settings.Slots = most
+	if limit := c.Limits.MaxEndpointConnections(); c.Settings.Slots > limit { // each slot in use needs a connection, and more slots would exhaust the descriptors
+		slog.Warn("the limit of sockets allows fewer calls in flight than the settings", "slots", c.Settings.Slots, "calls", limit, "sockets", c.Limits.Sockets)
+		c.Settings.Slots = limit
 	}
 	f.settings = c.Settings
 	f.platform = agent.New(c.Discovery, agent.Fleet{Forwarders: c.Settings.Forwarders, MustSubscribe: c.Settings.MustSubscribe, ResubscribeInterval: c.Settings.ResubscribeInterval})
 	if err := operators.apply(&f.settings); err != nil {
 		return err
 	}
-	if f.fleet, err = newFleet(f); err != nil {
+	if f.fleet, err = newFleetState(f); err != nil {
 		return err
 	}
-	if c.AdminListen != "" { // before what may take a while
+	if c.AdminListen != "" { // before the steps that may take long, so that operators can ask whether the process is ready
 		ln, err := net.Listen("tcp", c.AdminListen)
 		if err != nil {
-			return fmt.Errorf("listening for operators (NODE_OPS, or ops in the configuration): give each process an address of its own: %w", err)
+			return fmt.Errorf("listening for the admin API (NODE_OPS, or ops in the configuration): give each process its own address: %w", err)
 		}
-		d := door.New(f.control, append(f.fleet.calls(), f.partial.calls()...)...)
-		defer d.Close()
-		go d.Serve(ln)
-		f.door = ln.Addr().String()
+		admin := door.New(f.control, append(f.fleet.routes(), f.partial.routes()...)...)
+		defer admin.Close()
+		go admin.Serve(ln)
+		f.adminAddress = ln.Addr().String()
 		slog.Info("operators' door", "address", ln.Addr())
 	}
 	if c.SocketFD != 0 {
-		if err := f.inherit(); err != nil {
+		if err := f.inheritSocket(); err != nil {
 			return err
 		}
 		f.platform.RetainLatest()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if c.Limits.MemoryMB >= roomyMB {
-		go spendMemory(ctx, memory/spentPart)
+	if c.Limits.MemoryMB >= gcTuningMinMB {
+		go tuneGC(ctx, memory/heapGrowthDivisor)
 	}
-	j, from, taker, err := f.begin()
+	j, previous, receiver, err := f.acquireState()
 	if err != nil {
 		return err
 	}
 	for {
-		left, giver, err := f.serve(j, from, taker)
-		if giver == nil || err != nil {
+		saved, sender, err := f.serve(j, previous, receiver)
+		if sender == nil || err != nil {
 			return err
 		}
-		taker = nil
-		if j, err = f.give(giver, left); err != nil || j == nil {
+		receiver = nil
+		if j, err = f.handOver(sender, saved); err != nil || j == nil {
 			return err
 		}
-		from = left
+		previous = saved
 	}
 }
 
-// The edges to the system at which faults are injected: tests and builds with the tag faults replace them.
+// System calls into which faults can be injected: tests and builds with the tag faults replace these functions.
 var (
-	folderFS      = journal.DirFS // the folder that lasts
+	folderFS      = journal.DirFS // opens the state folder
 	listenClients = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
-	dialControl   func(network, address string, c syscall.RawConn) error // before each connect; nil: nothing is done
+	dialControl   func(network, address string, c syscall.RawConn) error // called before each connect, unless it is nil
 )
 
-// diskPause is how long a start waits before it tries a disk again that has refused.
-const diskPause = 100 * time.Millisecond
+// diskRetryInterval is how long a start waits before it opens the journal again after a disk error.
+const diskRetryInterval = 100 * time.Millisecond
 
-// openJournal opens the journal, as soon as its disk lets it. It returns errStopping if the process is to end before.
+// openJournal opens the journal and retries on disk errors until it succeeds. It returns errStopping if the process is told to stop before.
 func (f *forwarder) openJournal() (*journal.Journal, error) {
 	for refusals := 0; ; refusals++ {
-		j, err := f.tryJournal()
+		j, err := f.openJournalOnce()
 		if err == nil || !journal.IsDiskError(err) {
 			return j, err
 		}
 		if refusals == 0 {
-			slog.Error("the journal can't be opened: nothing is served until its disk lets it", "folder", f.c.StateDir, "err", err)
+			slog.Error("the journal can't be opened: this process does not serve until its disk works again", "folder", f.config.StateDir, "err", err)
 		}
 		select {
 		case <-f.stop:
 			return nil, fmt.Errorf("%w: %w", errStopping, err)
-		case <-time.After(diskPause):
+		case <-time.After(diskRetryInterval):
 		}
 	}
 }
 
-func (f *forwarder) tryJournal() (*journal.Journal, error) {
-	return journal.Open(f.c.StateDir, journal.Options{FS: folderFS(f.c.StateDir), DiskLimit: int64(f.c.Limits.DiskMB*1e6) - f.fleet.disk(), MemoryLimit: int64(f.c.Limits.MemoryMB) << 20 * heldShare / 100,
-		Durability: operator.Durabilities[f.operators.now.Journal.Durability], AllowExtras: f.operators.file != ""})
+func (f *forwarder) openJournalOnce() (*journal.Journal, error) {
+	return journal.Open(f.config.StateDir, journal.Options{FS: folderFS(f.config.StateDir), DiskLimit: int64(f.config.Limits.DiskMB*1e6) - f.fleet.ledgerSize(), MemoryLimit: int64(f.config.Limits.MemoryMB) << 20 * queueMemoryPercent / 100,
+		Durability: operator.Durabilities[f.operators.current.Journal.Durability], AllowExtras: f.operators.file != ""})
 }
 
-// back makes the calls; http is the part of it for HTTP.
-func (f *forwarder) back() (back engine.Back, http *httpcall.Back) {
+// newBack returns the back that makes all calls, and the part of it that makes calls over HTTP.
+func (f *forwarder) newBack() (back engine.Back, http *httpcall.Back) {
 	set := &f.settings
-	http = httpcall.New(httpcall.Config{MaxConnections: f.c.Limits.MaxEndpointConnections(), EndpointIdleTimeout: set.ConnIdle, ConnectTimeout: set.ConnectTimeout, DialControl: dialControl})
+	http = httpcall.New(httpcall.Config{MaxConnections: f.config.Limits.MaxEndpointConnections(), EndpointIdleTimeout: set.ConnIdle, ConnectTimeout: set.ConnectTimeout, DialControl: dialControl})
 	back = http
-	if f.operators.mail {
-		name := f.c.Name
+	if f.operators.mailReserved {
+		name := f.config.Name
 		if name == "" || strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' }) {
 			name = "scaleroute"
 		}
-		back = backs{http, smtpcall.New(smtpcall.Config{Hostname: name, MaxIdle: mailIdle, IdleTimeout: set.ConnIdle, ConnectTimeout: set.ConnectTimeout})}
+		back = backByScheme{http, smtpcall.New(smtpcall.Config{Hostname: name, MaxIdle: maxIdleMailConns, IdleTimeout: set.ConnIdle, ConnectTimeout: set.ConnectTimeout})}
 	}
 	if f.operators.plugins != nil {
 		back = f.operators.plugins.Back(back)
@@ -198,100 +197,101 @@
 	return back, http
 }
 
-// start makes the engine and has it go on with what the journal holds, and with what another one left.
-func (f *forwarder) start(j *journal.Journal, from *bundle) (l *engine.Engine, http *httpcall.Back, known *agent.List, err error) {
-	back, http := f.back()
-	configuration := engine.Config{Settings: f.settings, Journal: j, Back: back, Resumer: http, Limits: f.operators.intake(), SyncEvery: time.Duration(f.operators.now.Journal.SyncEvery),
-		CompletionNotifiers: map[string]engine.CompletionNotifier{"": f.platform}, PublishStats: f.c.AdminListen != "", PreviousStats: f.before}
+// startEngine creates the engine and lets it recover from the journal, or resume from the state that the previous process handed over.
+func (f *forwarder) startEngine(j *journal.Journal, previous *handoverState) (e *engine.Engine, http *httpcall.Back, known *agent.List, err error) {
+	back, http := f.newBack()
+	configuration := engine.Config{Settings: f.settings, Journal: j, Back: back, Resumer: http, Limits: f.operators.engineLimits(), SyncEvery: time.Duration(f.operators.current.Journal.SyncEvery),
+		CompletionNotifiers: map[string]engine.CompletionNotifier{"": f.platform}, PublishStats: f.config.AdminListen != "", PreviousStats: f.previousStats}
 	if f.operators.plugins != nil {
 		configuration.OnOutcome = f.operators.plugins.Ended
 	}
 	if f.partial != nil {
-		configuration.OnQueueChange = f.partial.holding
+		configuration.OnQueueChange = f.partial.queueChanged
 	}
 	if f.operators.logSteps {
 		configuration.OnStep = steplog.NewWriter(os.Stderr).Step
 	}
-	f.withdrawn = agent.OpenWithdrawnStore(f.c.StateDir, &f.c.InitialList)
+	f.withdrawn = agent.OpenWithdrawnStore(f.config.StateDir, &f.config.InitialList)
 	list := f.withdrawn.InitialList()
 	lists := []engine.List{list.ToEngineList(decide.LastKnown)}
 	if f.partial != nil {
-		list = f.partial.start(list, from, j)
+		list = f.partial.start(list, previous, j)
 		lists = []engine.List{list.ToEngineList(decide.Snapshot)}
-		defer f.partial.started()
-	} else if known = f.knownFrom(from); known != nil {
+		defer f.partial.releaseRecovered()
+	} else if known = f.initialList(previous); known != nil {
 		lists = append(lists, known.ToEngineList(decide.Snapshot))
 		f.withdrawn.Update(known)
 		list = known
 	} else if f.settings.MustSubscribe && len(list.Endpoints) > 0 {
-		known = list // what has changed since is less work than the whole list
+		known = list // to subscribe for the changes since then is less work than to fetch the whole list
 	}
-	if configuration.Accounting, err = f.fleet.acting(list, from); err != nil {
+	if configuration.Accounting, err = f.fleet.accounting(list, previous); err != nil {
 		return nil, nil, nil, err
 	}
-	if l, err = engine.New(configuration); err != nil {
+	if e, err = engine.New(configuration); err != nil {
 		return nil, nil, nil, err
 	}
-	if f.operators.file != "" || f.c.AdminListen != "" {
-		f.operators.sources = &sources{to: l, leftOut: operations.NewDisabledFile(f.c.StateDir)}
-		lists = f.operators.sources.start(f.operators.now.Endpoints(), lists...)
-		f.operators.sources.noteFile(f.operators.now)
-		f.operators.sources.list = f.operators.sources.targets.Update(list.Index, true, list.VersionEntries())
+	if f.operators.file != "" || f.config.AdminListen != "" {
+		f.operators.sources = &sources{engine: e, disabledFile: operations.NewDisabledFile(f.config.StateDir)}
+		lists = f.operators.sources.start(f.operators.current.Endpoints(), lists...)
+		f.operators.sources.setFileDestinations(f.operators.current)
+		f.operators.sources.list = f.operators.sources.listTracker.Update(list.Index, true, list.VersionEntries())
 	}
-	if from != nil && from.engine.ForwarderState != nil {
-		err := l.Resume(&from.engine, lists[len(lists)-1])
+	if previous != nil && previous.engine.ForwarderState != nil {
+		err := e.Resume(&previous.engine, lists[len(lists)-1])
 		if err == nil {
-			return l, http, known, nil
+			return e, http, known, nil
 		}
-		from.forget(err)
+		previous.discardEngine(err)
 	}
-	l.Recover(lists...) // before any PING is answered
-	return l, http, known, nil
+	e.Recover(lists...) // before the first PING is answered
+	return e, http, known, nil
 }
 
-// knownFrom is the list as this forwarder knows it. The one that it is started with may be older than what it was last told: recovered
-// messages must not go to targets that drain since. Without an answer it has to do.
-func (f *forwarder) knownFrom(from *bundle) *agent.List {
-	if from != nil && from.list != nil {
-		return from.list
-	}
-	first, err := f.platform.FetchSnapshot(listWait)
+// initialList returns the endpoint list of the previous process, or else fetches it. The list in the configuration may be older than the last one that this
+// forwarder received, and recovered messages must not go to endpoints that have begun to drain since. If discovery does not answer, initialList returns nil
+// and the configured list is used.
+func (f *forwarder) initialList(previous *handoverState) *agent.List {
+	if previous != nil && previous.list != nil {
+		return previous.list
+	}
+	snapshot, err := f.platform.FetchSnapshot(initialListTimeout)
 	if err != nil {
-		slog.Warn("starting with the list as last known", "err", err)
+		slog.Warn("discovery has not answered: starting with the last known endpoint list", "err", err)
 	}
-	return first
+	return snapshot
 }
 
-// serve owns the forwarder from here on: until the planned stop is over, or another process asks to take over. Then it returns what it
-// leaves to that one, with the journal closed.
-func (f *forwarder) serve(j *journal.Journal, from *bundle, taker *takeover.Receiver) (left *bundle, giver *takeover.Sender, err error) {
+// serve runs the engine and the clients' front until the planned stop is complete, or until another process requests the handover. In that case it returns
+// the state for that process and the sender for it, with the journal closed.
+func (f *forwarder) serve(j *journal.Journal, previous *handoverState, receiver *takeover.Receiver) (saved *handoverState, sender *takeover.Sender, err error) {
 	defer j.Close()
 	takeover.StepReached("new: locked")
-	l, http, known, err := f.start(j, from)
+	e, http, known, err := f.startEngine(j, previous)
 	if err != nil {
 		return nil, nil, err
 	}
 	takeover.StepReached("new: recovered")
-	if taker != nil {
-		if err := taker.ConfirmOwnership(f.door); err != nil { // it has ended: nobody else owns what it had
-			slog.Warn("the process before has not heard that this one has taken over", "err", err)
+	if receiver != nil {
+		if err := receiver.ConfirmOwnership(f.adminAddress); err != nil { // the previous process has ended, so no other process owns the state
+			slog.Warn("the previous process was not notified that this one has taken over", "err", err)
 		}
-		taker.Close()
+		receiver.Close()
 		takeover.StepReached("new: owned")
 	}
 	ln := f.inherited
 	if ln == nil {
-		if ln, err = listenClients(f.c.Listen); err != nil {
+		if ln, err = listenClients(f.config.Listen); err != nil {
 			return nil, nil, fmt.Errorf("listening for clients: %w", err)
 		}
 	}
-	var intake resp2.Acceptor = l
+	var intake resp2.Acceptor = e
 	if f.operators.plugins != nil {
-		intake = router{f.operators, f.operators.plugins.Front(f.partial.front(l))}
+		intake = router{f.operators, f.operators.plugins.Front(f.partial.front(e))}
 	}
-	clients := resp2.New(ln, f.c.Limits.MaxClientConnections(), intake)
+	clients := resp2.New(ln, f.config.Limits.MaxClientConnections(), intake)
 	clients.HandoverEnabled = f.inherited != nil
-	if from != nil && from.drained {
+	if previous != nil && previous.drained {
 		clients.Drain()
 	}
 
@@ -299,40 +299,40 @@
 	watching, unwatch := context.WithCancel(ctx)
 	defer unwatch()
 	var all, lists, accepting sync.WaitGroup
-	defer func() { // what has not ended in order ends now
-		if giver == nil {
+	defer func() { // ends whatever a planned stop or a handover has not ended
+		if sender == nil {
 			clients.Close()
 		}
 		cancel()
 		all.Wait()
 		lists.Wait()
 		accepting.Wait()
-		if giver == nil {
-			clients.Wait(lastWrite)
+		if sender == nil {
+			clients.Wait(finalWriteTimeout)
 		}
-		f.fleet.close(giver != nil)
+		f.fleet.close(sender != nil)
 	}()
 	failed := make(chan error, 1)
 	all.Go(func() {
-		if err := l.Run(ctx); err != nil {
+		if err := e.Run(ctx); err != nil {
 			failed <- fmt.Errorf("%w: %w", errDisk, err)
 		}
 	})
-	lists.Go(func() { f.followList(watching, known, l) })
-	lists.Go(func() { reload(watching, f.hup, f.fleet.again(), f.c.File, f.platform, f.operators) })
-	all.Go(func() { f.platform.DeliverNotices(ctx, l.Acknowledge) })
-	if from != nil {
-		http.AdoptIdle(from.idle)
-		clients.Adopt(from.clients, from.stopped)
+	lists.Go(func() { f.followList(watching, known, e) })
+	lists.Go(func() { reloadLoop(watching, f.hup, f.fleet.reloadRequests(), f.config.File, f.platform, f.operators) })
+	all.Go(func() { f.platform.DeliverNotices(ctx, e.Acknowledge) })
+	if previous != nil {
+		http.AdoptIdle(previous.idle)
+		clients.Adopt(previous.clients, previous.stopped)
 	}
 	accepting.Go(func() { clients.Serve(ctx) })
-	if file := f.operators.now.PluginStatus; file != "" {
-		all.Go(func() { f.operators.plugins.Publish(ctx, file, publishEvery) })
+	if file := f.operators.current.PluginStatus; file != "" {
+		all.Go(func() { f.operators.plugins.Publish(ctx, file, publishInterval) })
 	}
-	f.fleet.serve(watching, &lists, l)
-	asks := f.listenForNext(ctx, &all)
-	f.control.SetServing(operations.Components{Clients: clients, Endpoints: f.operators.sources, Stats: l.Stats, JournalFailing: l.JournalFailing})
-	slog.Info("serving", "name", f.c.Name, "address", ln.Addr(), "discovery", f.c.Discovery)
+	f.fleet.serve(watching, &lists, e)
+	requests := f.listenForNext(ctx, &all)
+	f.control.SetServing(operations.Components{Clients: clients, Endpoints: f.operators.sources, Stats: e.Stats, JournalFailing: e.JournalFailing})
+	slog.Info("serving", "name", f.config.Name, "address", ln.Addr(), "discovery", f.config.Discovery)
 	takeover.StepReached("new: serving")
 
 	for {
@@ -340,52 +340,52 @@
 		case err := <-failed:
 			return nil, nil, err
 		case <-f.stop:
-			return nil, nil, f.end(l, clients, failed)
-		case next := <-asks:
-			if since := l.JournalFailing(); !since.IsZero() {
-				slog.Warn("no other process takes over while the journal can't be kept: it may ask again", "since", since)
-				next.Close()
+			return nil, nil, f.shutDown(e, clients, failed)
+		case request := <-requests:
+			if since := e.JournalFailing(); !since.IsZero() {
+				slog.Warn("a handover was refused since the journal can't be kept: the other process may ask again", "since", since)
+				request.Close()
 				continue
 			}
-			if err := next.Accept(); err != nil {
-				slog.Warn("a process that asked to take over is gone", "err", err)
-				next.Close()
+			if err := request.Accept(); err != nil {
+				slog.Warn("the process that requested the handover is gone", "err", err)
+				request.Close()
 				continue
 			}
 			slog.Info("handing over")
 			f.control.BeginHandover(errHandedOver)
 			takeover.StepReached("old: asked")
-			// In the order in which things come: lists, then requests, then calls.
+			// What produces work stops first: list updates, then clients' requests, then calls.
 			unwatch()
 			lists.Wait()
-			left = &bundle{list: f.platform.Latest(), part: f.partial.leave(), drained: f.control.DrainedByOperator(), stopped: time.Now()}
-			left.clients = clients.Detach(detachLimit)
+			saved = &handoverState{list: f.platform.Latest(), partialList: f.partial.save(), drained: f.control.DrainedByOperator(), stopped: time.Now()}
+			saved.clients = clients.Detach(detachTimeout)
 			accepting.Wait()
 			takeover.StepReached("old: clients detached")
-			left.takeOver = f.fleet.generation()
-			left.idle = http.ReleaseIdle()
-			h := l.Detach()
+			saved.handovers = f.fleet.generation()
+			saved.idle = http.ReleaseIdle()
+			h := e.Detach()
 			if h == nil {
 				return nil, nil, <-failed
 			}
-			left.engine = *h
+			saved.engine = *h
 			takeover.StepReached("old: engine detached")
-			f.before = l.Stats()
-			return left, next, nil
+			f.previousStats = e.Stats()
+			return saved, request, nil
 		}
 	}
 }
 
-// end is the planned stop.
-func (f *forwarder) end(l *engine.Engine, clients *resp2.Server, failed <-chan error) error {
+// shutDown carries out the planned stop.
+func (f *forwarder) shutDown(e *engine.Engine, clients *resp2.Server, failed <-chan error) error {
 	f.control.SetStopped(errStopping)
 	slog.Info("stopping")
-	l.NotifyStopping(lastCall)
+	e.NotifyStopping(callsDeadline)
 	began := time.Now()
 	for _, step := range []struct {
 		at time.Duration
 		do func()
-	}{{acceptOn, clients.StopAccepting}, {serveOn, clients.Close}, {serveOn + 2*resp2.FinalReadGrace, l.Finish}} {
+	}{{acceptPeriod, clients.StopAccepting}, {servePeriod, clients.Close}, {servePeriod + 2*resp2.FinalReadGrace, e.Finish}} {
 		select {
 		case err := <-failed:
 			return err
@@ -396,34 +396,34 @@
 	select {
 	case err := <-failed:
 		return err
-	case <-l.Idle():
-	case <-time.After(time.Until(began.Add(lastEnd))):
+	case <-e.Idle():
+	case <-time.After(time.Until(began.Add(stopDeadline))):
 	}
 	slog.Info("stopped")
 	return nil
 }
 
-// reload moves to the discovery that the configuration names, and takes what operators have set, each time that it
-// is told to read them again, also in a stop. Until the configuration can be read the old address stays.
-func reload(ctx context.Context, hup <-chan os.Signal, behind <-chan struct{}, file string, p *agent.Platform, operators *settings) {
-	var again <-chan time.Time
+// reloadLoop reads the operators' file and the configuration again on each signal, also during a planned stop. It applies the operators' settings and
+// the address of discovery. While the configuration can't be read, the old address stays and the read is retried.
+func reloadLoop(ctx context.Context, hup <-chan os.Signal, outOfDate <-chan struct{}, file string, platform *agent.Platform, operators *settings) {
+	var retry <-chan time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
 			operators.reload()
-		case <-behind:
+		case <-outOfDate:
 			operators.reload()
-		case <-again:
+		case <-retry:
 		}
 		address, err := config.ReadDiscovery(file)
 		if err != nil {
-			slog.Warn("the configuration stays as it was", "err", err)
-			again = time.After(reloadPause)
+			slog.Warn("the configuration can't be read again: the address of discovery stays as it was", "err", err)
+			retry = time.After(configRetryInterval)
 			continue
 		}
-		again = nil
-		p.SetAddress(address)
+		retry = nil
+		platform.SetAddress(address)
 	}
 }
--- a/cmd/scaleroute/settings.go
+++ b/cmd/scaleroute/settings.go
@@ -25,33 +25,33 @@
 	"scaleroute/internal/version"
 )
 
-// settings is what operators have set, and the file that says so. Only its limits can change while the process runs.
+// settings are the operators' settings and the file that they come from. reload checks which of them can change while the process runs.
 type settings struct {
-	file     string // empty: nothing is set
-	host     string // the program that runs plug-ins
-	gossip   string // the program that speaks to other forwarders
-	logSteps bool   // each step of the module is logged
-	now      *operator.Config
-	platform decide.Settings
-	limits   atomic.Pointer[operator.Limits]
-	routes   atomic.Pointer[operator.Routes]
-	plugins  *runner.Runner // nil if nothing is set
-	sources  *sources
-	reads    int  // that the file was taken into force
-	mail     bool // there are endpoints that take mail: descriptors are kept for them
-	most     int  // processes of plug-ins: descriptors are kept for so many, and as many while they are replaced
+	file           string // empty: all settings have their defaults
+	pluginHostPath string // the program that runs plug-ins
+	gossipHostPath string // the program that gossips with other forwarders
+	logSteps       bool   // log each step of the decision module
+	current        *operator.Config
+	platform       decide.Settings
+	limits         atomic.Pointer[operator.Limits]
+	routes         atomic.Pointer[operator.Routes]
+	plugins        *runner.Runner // nil if no file is set
+	sources        *sources
+	loadCount      int  // how often the file has been applied
+	mailReserved   bool // there were mail endpoints at the start, so descriptors are reserved for them
+	maxProcesses   int  // plug-in processes for which descriptors are reserved, twice, since old and new ones run at once while they are replaced
 }
 
 const (
-	fewProcesses    = 4 // of plug-ins, that a reload may come to in any case
-	descriptorsEach = 3
-	publishEvery    = time.Second
-	mostLogged      = 50 // changes of routes at one reload: diff has all
-	pluginHost      = "scaleroute-plugin-host"
-	gossipHost      = "scaleroute-gossip"
+	minReservedProcesses  = 4 // plug-in processes that a reload may always set
+	descriptorsPerProcess = 3
+	publishInterval       = time.Second
+	maxLoggedChanges      = 50 // changes that one reload logs; scaleroutectl diff prints all
+	pluginHostName        = "scaleroute-plugin-host"
+	gossipHostName        = "scaleroute-gossip"
 )
 
-// startPlugins starts those that are set, and returns how many descriptors they may take. Whoever calls it closes them.
+// startPlugins starts the configured plug-ins and returns how many descriptors they may use. The caller closes s.plugins.
 func (s *settings) startPlugins() (descriptors int, err error) {
 	if s.file == "" {
 		return 0, nil
@@ -60,17 +60,17 @@
 	if err != nil {
 		return 0, err
 	}
-	s.host = cmp.Or(s.host, filepath.Join(filepath.Dir(own), pluginHost))
-	s.gossip = cmp.Or(s.gossip, filepath.Join(filepath.Dir(own), gossipHost))
-	s.most = max(fewProcesses, s.now.PluginProcesses())
-	s.plugins = runner.New([]string{s.host})
-	if err := s.plugins.Load(s.now.Specs()); err != nil {
+	s.pluginHostPath = cmp.Or(s.pluginHostPath, filepath.Join(filepath.Dir(own), pluginHostName))
+	s.gossipHostPath = cmp.Or(s.gossipHostPath, filepath.Join(filepath.Dir(own), gossipHostName))
+	s.maxProcesses = max(minReservedProcesses, s.current.PluginProcesses())
+	s.plugins = runner.New([]string{s.pluginHostPath})
+	if err := s.plugins.Load(s.current.Specs()); err != nil {
 		return 0, fmt.Errorf("-operators: %w", err)
 	}
-	return 2 * descriptorsEach * s.most, nil
+	return 2 * descriptorsPerProcess * s.maxProcesses, nil
 }
 
-// loadOperators reads what operators have set, if a file is named.
+// loadOperators reads the operators' file, or returns the defaults if none is named.
 func loadOperators(file string) (*operator.Config, error) {
 	if file == "" {
 		return operator.Default(), nil
@@ -82,19 +82,19 @@
 	return operator.Decode(file, text)
 }
 
-// apply checks the limits against the platform's settings, and has the module ask for them.
+// apply checks the operators' limits against the platform's settings, and makes the decision module use them.
 func (s *settings) apply(set *decide.Settings) error {
 	s.platform = *set
-	if err := s.now.Error(s.now.Against(*set)); err != nil {
+	if err := s.current.Error(s.current.Against(*set)); err != nil {
 		return fmt.Errorf("-operators: %w", err)
 	}
 	if s.file != "" {
-		routes, err := s.now.NewRoutes()
+		routes, err := s.current.NewRoutes()
 		if err != nil {
 			return fmt.Errorf("-operators: %w", err)
 		}
 		s.routes.Store(routes)
-		s.limits.Store(s.now.NewLimits())
+		s.limits.Store(s.current.NewLimits())
 		set.Limits = func(class string, dest int, route string) decide.Limits {
 			return s.limits.Load().For(class, dest, route)
 		}
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// intake is what the engine asks for; nil if nothing is set.
-func (s *settings) intake() func(class string, dest int, route string) engine.Limits {
+// engineLimits returns the function by which the engine looks up the operators' limits; nil if no file is set.
+func (s *settings) engineLimits() func(class string, dest int, route string) engine.Limits {
 	if s.file == "" {
 		return nil
 	}
@@ -112,118 +112,118 @@
 	}
 }
 
-// reload takes what the file sets now, whole or not at all. Messages that are held keep the limits they were taken on
-// with.
+// reload reads the operators' file again and applies all of it, or nothing if any part is invalid or can't change while the process runs. Changes of
+// the fleet and control blocks are ignored with a warning. Queued messages keep the limits that they were accepted with.
 func (s *settings) reload() {
 	if s.file == "" {
 		return
 	}
-	set, err := loadOperators(s.file)
+	next, err := loadOperators(s.file)
 	if err == nil {
-		err = set.Error(set.Against(s.platform))
+		err = next.Error(next.Against(s.platform))
 	}
-	if set == nil {
-		set = s.now // for what is looked at below
+	if next == nil {
+		next = s.current // so that the checks below can read it
 	}
-	if err == nil && set.Journal != s.now.Journal {
+	if err == nil && next.Journal != s.current.Journal {
 		err = errors.New("the journal's settings can't change while it is in use: restart, or set them as they were")
 	}
-	if n := set.PluginProcesses(); err == nil && n > s.most {
-		err = fmt.Errorf("plug-ins with %d processes, and descriptors were kept for %d at the start: restart, or set fewer", n, s.most)
+	if n := next.PluginProcesses(); err == nil && n > s.maxProcesses {
+		err = fmt.Errorf("plug-ins need %d processes, and descriptors were reserved for %d at the start: restart, or set fewer", n, s.maxProcesses)
 	}
-	if err == nil && set.PluginStatus != s.now.PluginStatus {
+	if err == nil && next.PluginStatus != s.current.PluginStatus {
 		err = errors.New("the file for the plug-ins' status can't change: restart, or set it as it was")
 	}
-	if err == nil && set.HasMail() && !s.mail {
-		i := slices.IndexFunc(set.Pools, func(p operator.Pool) bool { return p.Mail() })
-		key := "pool." + set.Pools[i].Name
-		err = fmt.Errorf("%s: the first endpoint that takes mail needs descriptors that were not kept for it at the start: restart, or leave it out", cmp.Or(set.Where[key], key))
+	if err == nil && next.HasMail() && !s.mailReserved {
+		i := slices.IndexFunc(next.Pools, func(p operator.Pool) bool { return p.Mail() })
+		key := "pool." + next.Pools[i].Name
+		err = fmt.Errorf("%s: the first mail endpoint needs descriptors that were not reserved at the start: restart, or remove it", cmp.Or(next.Where[key], key))
 	}
 	var routes *operator.Routes
 	if err == nil {
-		routes, err = set.NewRoutes()
+		routes, err = next.NewRoutes()
 	}
 	if err == nil {
-		err = s.plugins.Load(set.Specs())
+		err = s.plugins.Load(next.Specs())
 	}
 	if err != nil {
-		slog.Error("the operators' file is not taken; what was set stays", "err", err)
+		slog.Error("the operators' file is rejected; the old settings stay", "err", err)
 		return
 	}
-	if !reflect.DeepEqual(s.now.Fleet, set.Fleet) {
-		slog.Warn("what is set of the fleet can't change while it runs: restart")
-		set.Fleet = s.now.Fleet
+	if !reflect.DeepEqual(s.current.Fleet, next.Fleet) {
+		slog.Warn("the fleet block can't change while the process runs: restart")
+		next.Fleet = s.current.Fleet
 	}
-	keepControl(s.now, set)
-	old := s.now
-	s.reads++
-	read := version.Contents{Digest: set.Digest(), LoadCount: s.reads}
-	s.sources.change(version.Change{Cause: ledger.CauseOperatorsFile, Apply: func(v *version.Vector) { v.Operators = read }}, func() {
-		s.limits.Store(set.NewLimits())
+	keepControlBlock(s.current, next)
+	old := s.current
+	s.loadCount++
+	read := version.Contents{Digest: next.Digest(), LoadCount: s.loadCount}
+	s.sources.applyChange(version.Change{Cause: ledger.CauseOperatorsFile, Apply: func(v *version.Vector) { v.Operators = read }}, func() {
+		s.limits.Store(next.NewLimits())
 		s.routes.Store(routes)
-	}, !reflect.DeepEqual(s.now.Pools, set.Pools), set)
-	s.now = set
-	for _, c := range operator.DiffMost(old, set, mostLogged) {
+	}, !reflect.DeepEqual(s.current.Pools, next.Pools), next)
+	s.current = next
+	for _, c := range operator.DiffMost(old, next, maxLoggedChanges) {
 		slog.Info("set by operators", "for", c.For, "key", c.Key, "old", c.Old, "new", c.New, "where", c.To)
 	}
 }
 
-// sources are where endpoints are told, and the engine that hears what they come to together.
+// sources merges what discovery, the operators' file, other forwarders and operators' requests say about endpoints, and passes the result to the engine.
 type sources struct {
-	mu      sync.Mutex // what is told second is heard second
-	set     membership.Set
-	to      *engine.Engine
-	leftOut operations.DisabledFile
-	targets version.ListTracker // as discovery has told them
-	list    version.List
-	times   int               // that a target was left out or put back
-	drain   []straggler.Drain // targets that drain or are gone, by which list, the newest last
-	peers   []string          // that others know to drain
-	file    map[int]bool      // destinations of which the operators' file has endpoints
+	mu               sync.Mutex // held until the engine is updated, so that it receives updates in order
+	set              membership.Set
+	engine           *engine.Engine
+	disabledFile     operations.DisabledFile
+	listTracker      version.ListTracker // of the lists from discovery
+	list             version.List
+	disableCount     int               // how often an endpoint was disabled or enabled
+	recentDrains     []straggler.Drain // endpoints that drain or are deleted, with the index of the list that said so, the newest last
+	peerDrains       []string          // endpoints that drain as other forwarders report
+	fileDestinations map[int]bool      // destinations for which the operators' file has endpoints
 }
 
-// mostDrains is how many targets that drain are remembered for others.
-const mostDrains = 64
+// maxRecentDrains is how many draining endpoints are reported to other forwarders.
+const maxRecentDrains = 64
 
-// noteDrains remembers what drains by a list. The lock is held.
-func (s *sources) noteDrains(told *agent.List) {
-	if told.Snapshot {
-		s.drain = s.drain[:0]
+// noteDrains records the endpoints that drain or are deleted according to a list. The caller holds the lock.
+func (s *sources) noteDrains(list *agent.List) {
+	if list.Snapshot {
+		s.recentDrains = s.recentDrains[:0]
 	}
-	for _, e := range told.Endpoints {
-		s.drain = slices.DeleteFunc(s.drain, func(d straggler.Drain) bool { return d.Target == e.Name })
+	for _, e := range list.Endpoints {
+		s.recentDrains = slices.DeleteFunc(s.recentDrains, func(d straggler.Drain) bool { return d.Target == e.Name })
 		if e.Status == agent.Draining || e.Status == agent.Deleted {
-			s.drain = append(s.drain, straggler.Drain{Target: e.Name, Index: told.Index})
+			s.recentDrains = append(s.recentDrains, straggler.Drain{Target: e.Name, Index: list.Index})
 		}
 	}
-	s.drain = slices.Clone(s.drain[max(0, len(s.drain)-mostDrains):])
+	s.recentDrains = slices.Clone(s.recentDrains[max(0, len(s.recentDrains)-maxRecentDrains):])
 }
 
 func (s *sources) drains() []straggler.Drain {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.drain
+	return s.recentDrains
 }
 
-// withdraw has targets drain that others know to drain, until discovery tells of them here.
-func (s *sources) withdraw(names []string) {
+// setPeerDrains makes endpoints drain that drain as other forwarders report, until discovery reports them here.
+func (s *sources) setPeerDrains(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(names) == 0 && len(s.peers) == 0 {
+	if len(names) == 0 && len(s.peerDrains) == 0 {
 		return
 	}
 	l := s.set.SetPeerDrains(names)
-	if s.peers = names; len(l.Endpoints) == 0 {
+	if s.peerDrains = names; len(l.Endpoints) == 0 {
 		return
 	}
 	slog.Info("drained by what others know", "targets", names)
 	l.Version = &version.Change{Cause: ledger.CausePeerDrain}
-	s.to.UpdateEndpoints(l)
+	s.engine.UpdateEndpoints(l)
 }
 
-// start tells what is known before the engine runs, and returns what it is to begin with.
+// start loads the known lists and the disabled endpoints before the engine runs, and returns the lists for the engine to start with.
 func (s *sources) start(file engine.List, lists ...engine.List) []engine.List {
-	s.set.RestoreDisabled(s.leftOut.LoadAtStart())
+	s.set.RestoreDisabled(s.disabledFile.LoadAtStart())
 	s.set.Update(membership.File, file)
 	for i := range lists {
 		lists[i] = s.set.Update(membership.Agent, lists[i])
@@ -231,73 +231,74 @@
 	return lists
 }
 
-// hear takes a list of discovery's.
-func (s *sources) hear(told *agent.List) {
+// updateFromDiscovery applies a list or a delta from discovery.
+func (s *sources) updateFromDiscovery(list *agent.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.set.Update(membership.Agent, told.EngineUpdate())
-	s.noteDrains(told)
-	if now := s.targets.Update(told.Index, told.Snapshot, told.VersionEntries()); now != s.list {
+	l := s.set.Update(membership.Agent, list.EngineUpdate())
+	s.noteDrains(list)
+	if now := s.listTracker.Update(list.Index, list.Snapshot, list.VersionEntries()); now != s.list {
 		s.list = now
 		l.Version = &version.Change{Cause: ledger.CauseEndpointList, Apply: func(v *version.Vector) { v.List = now }}
 	}
 	if l.Scope == decide.Snapshot || len(l.Endpoints) > 0 || l.Version != nil {
-		s.to.UpdateEndpoints(l)
+		s.engine.UpdateEndpoints(l)
 	}
 }
 
-// change has what operators have set take effect at one moment, with its pools if they are others. It waits until that is so.
-func (s *sources) change(c version.Change, do func(), pools bool, set *operator.Config) {
+// applyChange makes a new operators' file take effect at once in the engine, with its pools if they have changed. It waits until the engine has applied it,
+// for applyTimeout at most.
+func (s *sources) applyChange(change version.Change, do func(), poolsChanged bool, config *operator.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list *engine.List
-	if pools {
-		l := s.set.Update(membership.File, set.Endpoints())
+	if poolsChanged {
+		l := s.set.Update(membership.File, config.Endpoints())
 		list = &l
-		s.noteFile(set)
+		s.setFileDestinations(config)
 	}
-	if !s.to.ApplyChange(c, do, list, bindWithin) {
-		slog.Warn("the loop has not heard of the operators' file yet", "after", bindWithin)
+	if !s.engine.ApplyChange(change, do, list, applyTimeout) {
+		slog.Warn("the engine has not applied the operators' file yet", "after", applyTimeout)
 	}
 }
 
-// bindWithin is how long an operator's call waits until the engine has heard of it: what is said yes to binds.
-const bindWithin = 500 * time.Millisecond
+// applyTimeout is how long an operator's change waits until the engine has applied it, so that a request that is confirmed is in force.
+const applyTimeout = 500 * time.Millisecond
 
-// DisableEndpoint leaves an endpoint out until EnableEndpoint. The folder that lasts has it before it counts.
+// DisableEndpoint takes an endpoint out of rotation until EnableEndpoint. It is stored in the state folder before it takes effect.
 func (s *sources) DisableEndpoint(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, err := s.set.Disable(name, operations.MaxDisabled, s.leftOut.Store)
-	return s.bind("left out by hand", name, l, err)
+	l, err := s.set.Disable(name, operations.MaxDisabled, s.disabledFile.Store)
+	return s.applyDisabled("endpoint disabled by an operator", name, l, err)
 }
 
-// byHand lists the names that are left out by hand.
-func (s *sources) byHand() []string {
+// disabledNames returns the names of the endpoints that operators have disabled.
+func (s *sources) disabledNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set.Disabled()
 }
 
-// EnableEndpoint puts one back.
+// EnableEndpoint ends DisableEndpoint.
 func (s *sources) EnableEndpoint(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, err := s.set.Enable(name, s.leftOut.Store)
-	return s.bind("put back by hand", name, l, err)
+	l, err := s.set.Enable(name, s.disabledFile.Store)
+	return s.applyDisabled("endpoint enabled by an operator", name, l, err)
 }
 
-// bind has the engine hear what an operator has said.
-func (s *sources) bind(what, name string, l engine.List, err error) error {
+// applyDisabled passes an operator's change to the engine and waits until it is applied, for applyTimeout at most.
+func (s *sources) applyDisabled(text, name string, l engine.List, err error) error {
 	if err != nil || len(l.Endpoints) == 0 {
 		return err
 	}
-	s.times++
-	out := version.Contents{Digest: version.DigestOfNames(s.set.Disabled()), LoadCount: s.times}
-	l.Version = &version.Change{Cause: ledger.CauseManualOverride, By: name, Apply: func(v *version.Vector) { v.Disabled = out }}
-	slog.Info(what, "target", name)
-	if !s.to.UpdateEndpointsAndWait(l, bindWithin) {
-		slog.Warn("the loop has not heard of an operator's call yet", "after", bindWithin)
+	s.disableCount++
+	disabled := version.Contents{Digest: version.DigestOfNames(s.set.Disabled()), LoadCount: s.disableCount}
+	l.Version = &version.Change{Cause: ledger.CauseManualOverride, By: name, Apply: func(v *version.Vector) { v.Disabled = disabled }}
+	slog.Info(text, "target", name)
+	if !s.engine.UpdateEndpointsAndWait(l, applyTimeout) {
+		slog.Warn("the engine has not applied an operator's request yet", "after", applyTimeout)
 	}
 	return nil
 }
--- a/cmd/scaleroute/soak_test.go
+++ b/cmd/scaleroute/soak_test.go
@@ -9,7 +9,7 @@
 	"scaleroute/internal/soak"
 )
 
-// TestSoak plays some seeds of the soak, shortened, on real processes.
+// TestSoak runs some seeds of the soak test, shortened, with real processes.
 func TestSoak(t *testing.T) {
 	for _, c := range []struct {
 		kinds []soak.Kind
@@ -24,7 +24,7 @@
 			t.Parallel()
 			shape := soak.DefaultShape()
 			shape.Forwarders, shape.Length, shape.Left, shape.Kinds = 2, 5*time.Second, 4*time.Second, c.kinds
-			program := soak.Program{Command: []string{os.Args[0]}, Env: []string{"SCALEROUTE_TEST_MAIN=1", endsAtOnce}, Dir: t.TempDir()}
+			program := soak.Program{Command: []string{os.Args[0]}, Env: []string{"SCALEROUTE_TEST_MAIN=1", exitWithoutRaceDelay}, Dir: t.TempDir()}
 			list := soak.Draw(shape, c.seed)
 			result, err := soak.Run(t.Context(), program, shape, c.seed, list)
 			if err != nil {
--- a/cmd/scaleroute/takeover.go
+++ b/cmd/scaleroute/takeover.go
@@ -17,59 +17,60 @@
 )
 
 const (
-	folderWait   = 5 * time.Second        // at a start: until the folder that lasts is free
-	folderPause  = 5 * time.Millisecond   // between two looks
-	detachLimit  = 150 * time.Millisecond // for clients to take the answers in hand
-	ownedLook    = time.Second            // how often an old process looks after the folder while it waits for the new one
-	lingerAtMost = 20 * time.Second       // an old process stays for the operators for so long, or until SIGTERM
+	stateLockTimeout      = 5 * time.Second        // at a start, for the lock of the state folder
+	stateLockInterval     = 5 * time.Millisecond   // between two attempts to lock it
+	detachTimeout         = 150 * time.Millisecond // for clients to read the replies that are being written
+	ownershipPollInterval = time.Second            // how often an old process tries to lock the state folder while it waits for the new one
+	maxLinger             = 20 * time.Second       // how long an old process forwards operators' requests, unless SIGTERM comes before
 )
 
-// inherit takes the clients' listening socket that the platform holds.
-func (f *forwarder) inherit() error {
-	file := os.NewFile(uintptr(f.c.SocketFD), "NODE_SOCKET_FD")
+// inheritSocket opens the clients' listening socket that the platform passes on.
+func (f *forwarder) inheritSocket() error {
+	file := os.NewFile(uintptr(f.config.SocketFD), "NODE_SOCKET_FD")
 	ln, err := net.FileListener(file)
 	if err != nil {
-		return fmt.Errorf("NODE_SOCKET_FD: descriptor %d is no listening socket: have the platform open it, or leave the variable out (%w)", f.c.SocketFD, err)
+		return fmt.Errorf("NODE_SOCKET_FD: descriptor %d is not a listening socket: have the platform open it, or unset the variable (%w)", f.config.SocketFD, err)
 	}
 	file.Close()
-	if f.inherited, err = newShared(ln); err != nil {
-		return fmt.Errorf("NODE_SOCKET_FD: descriptor %d: %w", f.c.SocketFD, err)
+	if f.inherited, err = newSharedListener(ln); err != nil {
+		return fmt.Errorf("NODE_SOCKET_FD: descriptor %d: %w", f.config.SocketFD, err)
 	}
-	f.id, err = takeover.NewIdentity(f.c.Name, f.c.StateDir)
+	f.identity, err = takeover.NewIdentity(f.config.Name, f.config.StateDir)
 	return err
 }
 
-// shared is a listening socket that others hold, too. That it does not block is a property that all of them share, and whoever starts the next process
-// may end it (Go's os/exec does, for each file that a child inherits) until that one sets it again. An accept that blocks in the kernel heeds no deadline: a
-// hand-over would wait for the next client, and the new process end after folderWait. So it is set before each accept.
-type shared struct {
+// sharedListener is a listening socket that other processes hold, too. Non-blocking mode is a property that all holders share, and a process that starts the
+// next one may switch it off (Go's os/exec does, for each file that a child inherits) until the next one switches it on again. An accept that blocks in the
+// kernel ignores the deadline: a handover would wait for the next client, and the new process would end after stateLockTimeout. Accept therefore sets
+// non-blocking mode each time.
+type sharedListener struct {
 	net.Listener
 	raw syscall.RawConn
 }
 
-func newShared(ln net.Listener) (net.Listener, error) {
+func newSharedListener(ln net.Listener) (net.Listener, error) {
 	conn, ok := ln.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("it is a %T, which can't be accepted from: have the platform open a TCP socket that listens", ln)
+		return nil, fmt.Errorf("a %T does not accept connections: have the platform open a listening TCP socket", ln)
 	}
 	raw, err := conn.SyscallConn()
-	return shared{ln, raw}, err
+	return sharedListener{ln, raw}, err
 }
 
 // Accept waits for the next client, until the deadline.
-func (s shared) Accept() (net.Conn, error) {
-	var set error
-	if err := s.raw.Control(func(fd uintptr) { set = syscall.SetNonblock(int(fd), true) }); err != nil {
+func (s sharedListener) Accept() (net.Conn, error) {
+	var nonblockErr error // of the system call itself
+	if err := s.raw.Control(func(fd uintptr) { nonblockErr = syscall.SetNonblock(int(fd), true) }); err != nil {
 		return nil, err
 	}
-	if set != nil {
-		return nil, set
+	if nonblockErr != nil {
+		return nil, nonblockErr
 	}
 	return s.Listener.Accept()
 }
 
-// SetDeadline bounds it.
-func (s shared) SetDeadline(t time.Time) error {
+// SetDeadline sets the deadline of Accept.
+func (s sharedListener) SetDeadline(t time.Time) error {
 	l, ok := s.Listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return errors.ErrUnsupported
@@ -77,38 +78,39 @@
 	return l.SetDeadline(t)
 }
 
-// begin takes the folder that lasts: from the process that serves, if there is one, or as it is.
-func (f *forwarder) begin() (j *journal.Journal, from *bundle, taker *takeover.Receiver, err error) {
+// acquireState opens the journal in the state folder. If another process serves, it first requests the handover from that one.
+func (f *forwarder) acquireState() (j *journal.Journal, previous *handoverState, receiver *takeover.Receiver, err error) {
 	if f.inherited == nil {
 		j, err = f.openJournal()
 		return j, nil, nil, err
 	}
-	var taken time.Time
-	for limit := time.Now().Add(folderWait); ; time.Sleep(folderPause) {
-		if taker == nil {
-			if from, taker, err = f.take(); err != nil {
+	var receivedAt time.Time
+	for limit := time.Now().Add(stateLockTimeout); ; time.Sleep(stateLockInterval) {
+		if receiver == nil {
+			if previous, receiver, err = f.requestHandover(); err != nil {
 				return nil, nil, nil, err
 			}
-			taken = time.Now()
+			receivedAt = time.Now()
 		}
 		j, err = f.openJournal()
 		if err == nil || !errors.Is(err, syscall.EWOULDBLOCK) || time.Now().After(limit) {
-			return j, from, taker, err
+			return j, previous, receiver, err
 		}
-		if taker != nil && time.Since(taken) > ownedLook+folderPause { // the old one has taken its folder again
-			slog.Warn("the process that served goes on: asking again")
-			taker.Close()
-			if from != nil {
-				from.close()
+		if receiver != nil && time.Since(receivedAt) > ownershipPollInterval+stateLockInterval { // the old process has locked its folder again
+			slog.Warn("the old process serves again: requesting the handover once more")
+			receiver.Close()
+			if previous != nil {
+				previous.closeConns()
 			}
-			from, taker = nil, nil
+			previous, receiver = nil, nil
 		}
 	}
 }
 
-// take asks the process that serves, if there is one, to hand over. Without all that it has to leave, the journal alone is started from.
-func (f *forwarder) take() (*bundle, *takeover.Receiver, error) {
-	taker, err := takeover.RequestHandover(f.c.TempDir, f.id)
+// requestHandover requests the handover from the process that serves, if there is one. It returns a nil state if the state does not arrive complete: then this
+// process starts from the journal alone.
+func (f *forwarder) requestHandover() (*handoverState, *takeover.Receiver, error) {
+	receiver, err := takeover.RequestHandover(f.config.TempDir, f.identity)
 	var refused takeover.RefusedError
 	switch {
 	case errors.Is(err, takeover.ErrNoProcess), errors.Is(err, takeover.ErrRetryLater):
@@ -116,87 +118,87 @@
 	case errors.As(err, &refused):
 		return nil, nil, err
 	case err != nil:
-		slog.Warn("asking to take over", "err", err)
+		slog.Warn("requesting the handover failed", "err", err)
 		return nil, nil, nil
 	}
 	takeover.StepReached("new: asked")
-	began := time.Now()
-	parcels, err := taker.Receive()
+	started := time.Now()
+	records, err := receiver.Receive()
 	if err != nil {
-		slog.Error("the process that served did not hand over whole: its journal alone is started from", "err", err)
-		taker.Close()
+		slog.Error("the old process did not hand over whole: starting from its journal alone", "err", err)
+		receiver.Close()
 		return nil, nil, nil
 	}
 	takeover.StepReached("new: received")
-	from, err := unpack(parcels)
+	previous, err := decodeHandover(records)
 	if err != nil {
-		slog.Error("what the process before left can't be read: its journal alone is started from", "err", err)
-		takeover.CloseConns(parcels)
-		return nil, taker, nil
+		slog.Error("the handover state can't be read: starting from the journal alone", "err", err)
+		takeover.CloseConns(records)
+		return nil, receiver, nil
 	}
-	slog.Info("taking over", "clients", len(from.clients), "calls", len(from.engine.Calls), "idle", len(from.idle), "after", time.Since(began))
-	return from, taker, nil
+	slog.Info("taking over", "clients", len(previous.clients), "calls", len(previous.engine.Calls), "idle", len(previous.idle), "after", time.Since(started))
+	return previous, receiver, nil
 }
 
-// listenForNext has the next process ask here. Where that can't be it is logged: then the next one waits until this one has ended.
+// listenForNext listens for the handover request of the next process. If it can't listen it logs that, and the next process waits until this one has ended.
 func (f *forwarder) listenForNext(ctx context.Context, all *sync.WaitGroup) <-chan *takeover.Sender {
 	if f.inherited == nil {
 		return nil
 	}
-	s, err := takeover.Listen(f.c.TempDir, f.id)
+	listener, err := takeover.Listen(f.config.TempDir, f.identity)
 	if err != nil {
-		slog.Warn("no process can take over from this one", "TMPDIR", f.c.TempDir, "err", err)
+		slog.Warn("no process can take over from this one", "TMPDIR", f.config.TempDir, "err", err)
 		return nil
 	}
-	context.AfterFunc(ctx, s.Close)
-	all.Go(func() { s.Serve(ctx) })
-	return s.Requests()
+	context.AfterFunc(ctx, listener.Close)
+	all.Go(func() { listener.Serve(ctx) })
+	return listener.Requests()
 }
 
-// give hands over to the next process, and stays until SIGTERM for the operators' sake once that one owns what was handed over. If it does
-// not, the journal is returned: this process goes on with what it had.
-func (f *forwarder) give(to *takeover.Sender, left *bundle) (*journal.Journal, error) {
-	defer to.Close()
+// handOver sends the state to the next process. Once that process owns it, this one goes on forwarding operators' requests until SIGTERM, for maxLinger at
+// most. If the next process does not take ownership, handOver returns the journal, opened again, and this process continues with the state that it had.
+func (f *forwarder) handOver(sender *takeover.Sender, saved *handoverState) (*journal.Journal, error) {
+	defer sender.Close()
 	takeover.StepReached("old: journal closed")
-	parcels, err := left.parcels()
+	records, err := saved.records()
 	if err == nil {
-		err = to.Send(parcels)
+		err = sender.Send(records)
 	}
 	takeover.StepReached("old: sent")
-	at, why := "", err
-	for limit := time.Now().Add(folderWait); ; time.Sleep(folderPause) {
-		gone := err != nil
-		if !gone {
-			if at, err = to.AwaitOwnership(ownedLook); err == nil {
+	nextAddress, reason := "", err
+	for limit := time.Now().Add(stateLockTimeout); ; time.Sleep(stateLockInterval) {
+		exited := err != nil
+		if !exited {
+			if nextAddress, err = sender.AwaitOwnership(ownershipPollInterval); err == nil {
 				break
 			}
-			why = err
-			if gone = !errors.Is(err, os.ErrDeadlineExceeded); !gone { // it is slow
+			reason = err
+			if exited = !errors.Is(err, os.ErrDeadlineExceeded); !exited { // the next process is only slow
 				err = nil
 			}
 		}
-		j, locked := f.openJournal()
-		if locked == nil { // and neither owns the folder nor can any more
-			slog.Error("the next process did not take over; this one goes on: see that one's log, and start it again", "err", why)
+		j, lockErr := f.openJournal()
+		if lockErr == nil { // the next process does not own the folder, and can't take it any more
+			slog.Error("the next process did not take over; this one continues: see the log of the next one, and start it again", "err", reason)
 			return j, nil
 		}
-		if !errors.Is(locked, syscall.EWOULDBLOCK) {
-			return nil, locked
+		if !errors.Is(lockErr, syscall.EWOULDBLOCK) {
+			return nil, lockErr
 		}
-		if gone && time.Now().After(limit) {
-			slog.Warn("another process owns the folder, and did not say so", "err", err)
+		if exited && time.Now().After(limit) {
+			slog.Warn("another process owns the state folder and has not confirmed it", "err", err)
 			break
 		}
 	}
 	takeover.StepReached("old: owned")
-	if at != "" {
-		f.control.ForwardTo(door.NewClient(at))
+	if nextAddress != "" {
+		f.control.ForwardTo(door.NewClient(nextAddress))
 	}
-	left.close()
-	slog.Info("handed over", "clients", len(left.clients), "calls", len(left.engine.Calls))
+	saved.closeConns()
+	slog.Info("handed over", "clients", len(saved.clients), "calls", len(saved.engine.Calls))
 	select {
 	case <-f.stop:
-	case <-time.After(lingerAtMost):
+	case <-time.After(maxLinger):
 	}
 	return nil, nil
 }
--- a/cmd/scaleroute/upgrade_test.go
+++ b/cmd/scaleroute/upgrade_test.go
@@ -18,27 +18,27 @@
 	"scaleroute/internal/takeover"
 )
 
-// upgrades is a world in which the platform holds the clients' socket, and everything is under way that an upgrade must keep: a call that
-// is out, a wait that was told, a target that is left out by hand, one that discovery drains.
-type upgrades struct {
-	*world
-	release chan bool // the calls that are out are answered once it is closed
-	once    sync.Once
-	static  int // endpoints that operators have set
+// upgradeEnv is a test environment in which the platform holds the clients' socket. It creates all the state that a hot restart must keep:
+// calls in flight, a retry-after, an endpoint that an operator has disabled, and an endpoint that discovery drains.
+type upgradeEnv struct {
+	*testEnv
+	release         chan bool // the calls that are out are answered once it is closed
+	once            sync.Once
+	staticEndpoints int // endpoints of pools in the operators' file
 }
 
-// The destinations of its targets.
+// The destinations of upgradeEnv's endpoints.
 const (
-	works  = 7
-	waits  = 8
-	banned = 9
-	drains = 10
-	slow   = 11
+	destServing    = 7
+	destRetryAfter = 8
+	destDisabled   = 9
+	destDraining   = 10
+	destSlow       = 11
 )
 
-func newUpgrades(t *testing.T) *upgrades {
-	u := &upgrades{release: make(chan bool)}
-	u.world = newWorld(t, func(rw http.ResponseWriter, id string) {
+func newUpgradeEnv(t *testing.T) *upgradeEnv {
+	u := &upgradeEnv{release: make(chan bool)}
+	u.testEnv = newTestEnv(t, func(rw http.ResponseWriter, id string) {
 		switch {
 		case strings.HasPrefix(id, "out"):
 			<-u.release
@@ -51,37 +51,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if u.listener, err = ln.(*net.TCPListener).File(); err != nil {
+	if u.clientSocket, err = ln.(*net.TCPListener).File(); err != nil {
 		t.Fatal(err)
 	}
 	ln.Close()
 	var list []string
-	for _, d := range []int{works, waits, banned, drains, slow} {
+	for _, d := range []int{destServing, destRetryAfter, destDisabled, destDraining, destSlow} {
 		status := "SERVING"
-		if d == drains {
+		if d == destDraining {
 			status = "DRAINING"
 		}
-		list = append(list, u.entry(fmt.Sprint("s", d), d, status))
+		list = append(list, u.endpointJSON(fmt.Sprint("s", d), d, status))
 	}
-	u.listing = strings.Join(list, ",")
+	u.endpoints = strings.Join(list, ",")
 	u.env = []string{"TMPDIR=" + t.TempDir(), "NODE_OPS=127.0.0.1:0"}
 	t.Cleanup(func() {
-		u.let()
-		u.listener.Close()
+		u.releaseCalls()
+		u.clientSocket.Close()
 	})
 	return u
 }
 
-func (u *upgrades) let() { u.once.Do(func() { close(u.release) }) }
+func (u *upgradeEnv) releaseCalls() { u.once.Do(func() { close(u.release) }) }
 
-func (c *client) hand(id, class string, dest int) string {
-	return c.say("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=200000,dest=%d", class, dest), "body of "+id)
+// enqueueTo sends a message for a destination and returns the answer.
+func (c *client) enqueueTo(id, class string, dest int) string {
+	return c.do("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=200000,dest=%d", class, dest), "body of "+id)
 }
 
-// ask calls an operators' door, and returns status and body.
-func (p *process) ask(method, path string) (int, string) {
+// admin calls the admin API and returns the status and the body.
+func (p *process) admin(method, path string) (int, string) {
 	p.t.Helper()
-	r, err := http.NewRequest(method, "http://"+p.door+path, nil)
+	r, err := http.NewRequest(method, "http://"+p.adminAddress+path, nil)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -94,19 +95,20 @@
 	return resp.StatusCode, string(body)
 }
 
-func (p *process) yes(method, path string) {
+// mustAdmin is admin for a request that must be answered with 200.
+func (p *process) mustAdmin(method, path string) {
 	p.t.Helper()
-	if status, body := p.ask(method, path); status != http.StatusOK {
+	if status, body := p.admin(method, path); status != http.StatusOK {
 		p.t.Fatalf("%s %s: %d %s", method, path, status, body)
 	}
 }
 
-// stats waits for figures of which something is true.
-func (p *process) stats(what string, is func(s operations.Stats) bool) operations.Stats {
+// awaitStats waits until the statistics meet a condition.
+func (p *process) awaitStats(what string, is func(s operations.Stats) bool) operations.Stats {
 	p.t.Helper()
 	var s operations.Stats
-	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
-		_, body := p.ask("GET", "/stats")
+	for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
+		_, body := p.admin("GET", "/stats")
 		s = operations.Stats{}
 		if err := json.Unmarshal([]byte(body), &s); err != nil {
 			p.t.Fatal(err)
@@ -119,55 +121,56 @@
 	return s
 }
 
-// begin starts the first process and sets everything under way. The connection goes on through the test.
-func (u *upgrades) begin(env ...string) (*process, *client) {
+// startWithWork starts the first process and sends it one message for each kind of state. The test goes on to use the returned connection.
+func (u *upgradeEnv) startWithWork(env ...string) (*process, *client) {
 	u.t.Helper()
 	p := u.launch(env...)
-	p.await()
-	c := p.client()
+	p.awaitReady()
+	c := p.connect()
 	for _, id := range []string{"out-1", "out-2"} {
-		c.hand(id, "unsafe", slow)
-		u.made(id)
-	}
-	c.hand("wait-1", "harmless", waits)
-	u.made("wait-1")
-	p.stats("the wait that was told", func(s operations.Stats) bool { return s.OutOfRotation >= 2 })
-	p.yes("PUT", fmt.Sprintf("/targets/s%d/maint", banned))
-	c.hand("wait-2", "harmless", waits)
-	c.hand("ban-1", "unsafe", banned)
-	c.hand("drain-1", "harmless", drains)
-	p.stats("all that is held", func(s operations.Stats) bool {
-		return s.OpenRequests == 6 && s.OutOfRotation >= 3 && s.Registry == 5+u.static
+		c.enqueueTo(id, "unsafe", destSlow)
+		u.awaitCall(id)
+	}
+	c.enqueueTo("wait-1", "harmless", destRetryAfter)
+	u.awaitCall("wait-1")
+	p.awaitStats("the retry-after is not applied", func(s operations.Stats) bool { return s.OutOfRotation >= 2 })
+	p.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/maint", destDisabled))
+	c.enqueueTo("wait-2", "harmless", destRetryAfter)
+	c.enqueueTo("ban-1", "unsafe", destDisabled)
+	c.enqueueTo("drain-1", "harmless", destDraining)
+	p.awaitStats("not all messages are queued", func(s operations.Stats) bool {
+		return s.OpenRequests == 6 && s.OutOfRotation >= 3 && s.Registry == 5+u.staticEndpoints
 	})
 	return p, c
 }
 
-// made waits until a message has been sent.
-func (w *world) made(id string) {
+// awaitCall waits until a message has been sent to the endpoint.
+func (w *testEnv) awaitCall(id string) {
 	w.t.Helper()
-	for limit := time.Now().Add(patience); w.count(id) == 0; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); w.callCount(id) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			w.t.Fatalf("%s was not called", id)
+			w.t.Fatalf("%s was not sent", id)
 		}
 	}
 }
 
-// kept checks what must hold whatever became of the upgrade: waits that were told and bans are kept, and nothing went out twice that may not.
-func (u *upgrades) kept(step string, wait bool) {
+// checkCallCounts checks what must hold whatever the outcome of the upgrade: messages that a retry-after, a disabled endpoint or a drain
+// keeps back are not sent, and the others at most once. A restart ends a retry-after, so its messages are checked only if isWaitKept is true.
+func (u *upgradeEnv) checkCallCounts(step string, isWaitKept bool) {
 	u.t.Helper()
-	for id, most := range map[string]int{"out-1": 1, "out-2": 1, "wait-1": 1, "wait-2": 0, "ban-1": 0, "drain-1": 0} {
-		if !wait && strings.HasPrefix(id, "wait") { // a restart ends it
+	for id, limit := range map[string]int{"out-1": 1, "out-2": 1, "wait-1": 1, "wait-2": 0, "ban-1": 0, "drain-1": 0} {
+		if !isWaitKept && strings.HasPrefix(id, "wait") {
 			continue
 		}
-		if n := u.count(id); n > most {
-			u.t.Errorf("%s: %s was sent %d times", step, id, n)
+		if n := u.callCount(id); n > limit {
+			u.t.Errorf("%s: %s was sent too often: %d times", step, id, n)
 		}
 	}
 }
 
-// TestUpgrade: three processes follow each other within a second, with calls out, messages held, a wait, a ban, a drain, and a connection
-// that is used, one that is idle and one with half a request. Nothing is lost or begun anew, and nobody is turned back.
-// It is the same whatever operators have set, but for calls by mail and through plug-ins.
+// TestUpgrade: three processes replace each other within a second, with calls in flight, queued messages, a retry-after, a disabled endpoint, a
+// drain, and three connections: an active one, an idle one and one that has sent half a request. No message is lost or sent again, and no client
+// is rejected. This holds whatever the operators' file sets, except for calls by mail and through plug-ins.
 func TestUpgrade(t *testing.T) {
 	for name, pools := range map[string]string{
 		"nothing set": "",
@@ -175,70 +178,71 @@
 		"mail":        `{"name":"p","destination":20,"sender":"a@b.example","recipient":"c@d.example","endpoints":[{"name":"t20","address":"127.0.0.1:1","protocol":"smtp"}]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := newUpgrades(t)
+			u := newUpgradeEnv(t)
 			if pools != "" {
-				u.static = 1
+				u.staticEndpoints = 1
 				path := filepath.Join(t.TempDir(), "operators.json")
 				if err := os.WriteFile(path, fmt.Appendf(nil, `{"format":1,"journal":{"durability":"process"},"pools":[%s]}`, pools), 0o600); err != nil {
 					t.Fatal(err)
 				}
 				u.args = []string{"-operators", path}
 			}
-			upgradeThrice(t, u)
+			runThreeUpgrades(t, u)
 		})
 	}
 }
 
-func upgradeThrice(t *testing.T, u *upgrades) {
-	p, c := u.begin()
-	idle, half := p.client(), p.client()
-	idle.say("PING")
+// runThreeUpgrades replaces the process three times and checks connections, messages and endpoints each time.
+func runThreeUpgrades(t *testing.T, u *upgradeEnv) {
+	p, c := u.startWithWork()
+	idle, half := p.connect(), p.connect()
+	idle.do("PING")
 	request := "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$6\r\nhalf-1\r\n$25\r\nc=unsafe,d=200000,dest=7 \r\n$2\r\nab\r\n"
 	request = strings.Replace(request, "dest=7 ", "dest=07", 1)
 	fmt.Fprint(half.conn, request[:40])
 	old := p
 	for i := range 3 {
 		next := u.launch()
-		next.await()
-		next.yes("GET", "/healthcheck")
-		if status, body := old.ask("GET", "/healthcheck"); status != http.StatusServiceUnavailable || !strings.Contains(body, "taken over") {
-			t.Errorf("the old one is ready: %d %s", status, body)
+		next.awaitReady()
+		next.mustAdmin("GET", "/healthcheck")
+		if status, body := old.admin("GET", "/healthcheck"); status != http.StatusServiceUnavailable || !strings.Contains(body, "taken over") {
+			t.Errorf("the old process is ready: %d %s", status, body)
 		}
-		old.stats("it has handed all over", func(s operations.Stats) bool { return s.OpenRequests == 0 })
-		next.stats("it has all", func(s operations.Stats) bool {
-			return s.OpenRequests == 6 && s.OutOfRotation >= 3 && s.Registry == 5+u.static
+		old.awaitStats("the old process still has messages", func(s operations.Stats) bool { return s.OpenRequests == 0 })
+		next.awaitStats("the new process does not have all messages and endpoints", func(s operations.Stats) bool {
+			return s.OpenRequests == 6 && s.OutOfRotation >= 3 && s.Registry == 5+u.staticEndpoints
 		})
 		old.awaitLog("handed over")
-		old.yes("PUT", fmt.Sprintf("/targets/s%d/ready", works)) // what is still said there is passed on
-		if status, _ := old.ask("PUT", "/targets/nobody/maint"); status != http.StatusNotFound {
-			t.Errorf("a no that is passed on: %d", status)
+		old.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/ready", destServing)) // the old process forwards admin requests to the new one
+		if status, _ := old.admin("PUT", "/targets/nobody/maint"); status != http.StatusNotFound {
+			t.Errorf("a forwarded request for an unknown endpoint: status %d", status)
 		}
 		old.cmd.Process.Signal(syscall.SIGTERM)
 		if err := old.cmd.Wait(); err != nil {
 			t.Errorf("the old process: %v", err)
 		}
-		if got := c.hand(fmt.Sprint("new-", i), "unsafe", works); got != "+OK" {
-			t.Errorf("on the connection of before: %q", got)
+		if got := c.enqueueTo(fmt.Sprint("new-", i), "unsafe", destServing); got != "+OK" {
+			t.Errorf("on the connection opened before the upgrade: %q", got)
 		}
-		u.made(fmt.Sprint("new-", i))
+		u.awaitCall(fmt.Sprint("new-", i))
 		old = next
 	}
-	if got := idle.say("PING"); got != "+PONG" {
-		t.Errorf("an idle connection: %q", got)
+	if got := idle.do("PING"); got != "+PONG" {
+		t.Errorf("PING on the idle connection: %q", got)
 	}
 	fmt.Fprint(half.conn, request[40:])
 	if got, err := half.r.ReadString('\n'); got != "+OK\r\n" {
-		t.Errorf("half a request: %q, %v", got, err)
+		t.Errorf("the request completed after the upgrades: %q, %v", got, err)
 	}
-	u.made("half-1")
-	u.let()
-	s := old.stats("the calls that were out are answered", func(s operations.Stats) bool { return s.OpenRequests == 4 })
+	u.awaitCall("half-1")
+	u.releaseCalls()
+	s := old.awaitStats("the calls in flight are not completed", func(s operations.Stats) bool { return s.OpenRequests == 4 })
 	if s.Fulfilled["unsafe"] < 2 || s.Faulted["unsafe"] != 0 {
 		t.Errorf("%+v", s)
 	}
-	u.kept("at the end", true)
-	old.yes("PUT", fmt.Sprintf("/targets/s%d/ready", banned))
-	u.made("ban-1")
+	u.checkCallCounts("at the end", true)
+	old.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/ready", destDisabled))
+	u.awaitCall("ban-1")
 	select {
 	case n := <-u.notices:
 		t.Errorf("notice %q", n)
@@ -246,12 +250,12 @@
 	}
 }
 
-// TestUpgradeKilled kills either process at each step of the hand-over. Whoever is left goes on by the rules; where nobody is, the next
-// start does.
+// TestUpgradeKilled kills the old or the new process at each step of a handover. The process that is left continues by the rules; if none is
+// left, the next process that the platform starts does.
 func TestUpgradeKilled(t *testing.T) {
 	for _, c := range []struct {
-		step  string
-		whole bool // what was under way goes on: nothing was lost by the kill
+		step   string
+		isKept bool // the kill loses no state: calls in flight continue
 	}{
 		{"old: asked", false},
 		{"old: clients detached", false},
@@ -269,173 +273,174 @@
 	} {
 		t.Run(c.step, func(t *testing.T) {
 			t.Parallel()
-			u := newUpgrades(t)
+			u := newUpgradeEnv(t)
 			step := "SCALEROUTE_TEST_STEP=" + c.step
 			oldEnv, nextEnv := step, "SCALEROUTE_TEST_STEP=none"
 			isNew := strings.HasPrefix(c.step, "new")
 			if isNew {
 				oldEnv, nextEnv = nextEnv, oldEnv
 			}
-			old, conn := u.begin(oldEnv)
+			old, conn := u.startWithWork(oldEnv)
 			next := u.launch(nextEnv)
-			left := next
+			survivor := next
 			if isNew {
 				next.awaitLog("reached " + c.step)
 				next.kill()
-				if left = old; c.whole {
+				if survivor = old; c.isKept {
 					old.awaitLog("did not take over")
 					old.awaitLog("msg=serving")
-				} else { // both are gone, or are about to be: the platform starts another one
+				} else { // neither process goes on serving: the platform starts another one
 					old.kill()
-					left = u.launch()
-					left.await()
+					survivor = u.launch()
+					survivor.awaitReady()
 				}
 			} else {
 				old.awaitLog("reached " + c.step)
 				old.kill()
-				next.await()
+				next.awaitReady()
 			}
-			if c.whole {
-				if got := conn.hand("new", "unsafe", works); got != "+OK" {
-					t.Errorf("on the connection of before: %q", got)
+			if c.isKept {
+				if got := conn.enqueueTo("new", "unsafe", destServing); got != "+OK" {
+					t.Errorf("on the connection opened before the upgrade: %q", got)
 				}
-				u.made("new")
+				u.awaitCall("new")
 			} else {
-				u.await(u.notices, "out-1 dead") // as after SIGKILL: it may have run
+				u.awaitValue(u.notices, "out-1 dead") // as after SIGKILL: the call may have run
 			}
-			left.client().hand("newer", "unsafe", works)
-			u.made("newer")
-			u.let()
-			left.stats("what was out is over", func(s operations.Stats) bool { return s.OpenRequests == 4 && s.OutOfRotation >= 2 })
-			u.kept(c.step, c.whole)
-			left.yes("PUT", fmt.Sprintf("/targets/s%d/ready", banned))
-			u.made("ban-1")
+			survivor.connect().enqueueTo("newer", "unsafe", destServing)
+			u.awaitCall("newer")
+			u.releaseCalls()
+			survivor.awaitStats("the calls in flight are not completed", func(s operations.Stats) bool { return s.OpenRequests == 4 && s.OutOfRotation >= 2 })
+			u.checkCallCounts(c.step, c.isKept)
+			survivor.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/ready", destDisabled))
+			u.awaitCall("ban-1")
 		})
 	}
 }
 
-// TestUpgradeCrossed: in each step of a hand-over discovery tells a drain, and operators leave a target out and send clients away, as far as they
-// are told yes; or the process that is at that step is told to end. Whoever serves in the end keeps to all of it, and has all that is owed.
-func TestUpgradeCrossed(t *testing.T) {
+// TestUpgradeWithConcurrentChanges: at each step of a handover discovery drains an endpoint, and operators disable another endpoint and take the
+// forwarder out of rotation; or the process at that step receives SIGTERM. The process that serves afterwards applies the drain and each
+// change that the admin API answered with 200, and has all queued messages.
+func TestUpgradeWithConcurrentChanges(t *testing.T) {
 	for _, step := range []string{"old: asked", "old: clients detached", "old: engine detached", "old: journal closed", "old: sent half", "old: sent", "old: owned",
 		"new: asked", "new: received", "new: locked", "new: recovered", "new: owned", "new: serving"} {
-		for _, end := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, end %t", step, end), func(t *testing.T) {
+		for _, isTerminated := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, end %t", step, isTerminated), func(t *testing.T) {
 				t.Parallel()
-				u := newUpgrades(t)
-				goOn := filepath.Join(t.TempDir(), "go-on")
-				paused, other := []string{"SCALEROUTE_TEST_PAUSE=" + step, "SCALEROUTE_TEST_GO=" + goOn}, []string(nil)
+				u := newUpgradeEnv(t)
+				releaseFile := filepath.Join(t.TempDir(), "go-on")
+				pausedEnv, otherEnv := []string{"SCALEROUTE_TEST_PAUSE=" + step, "SCALEROUTE_TEST_GO=" + releaseFile}, []string(nil)
 				isNew := strings.HasPrefix(step, "new")
-				oldEnv, nextEnv := paused, other
+				oldEnv, nextEnv := pausedEnv, otherEnv
 				if isNew {
-					oldEnv, nextEnv = other, paused
+					oldEnv, nextEnv = otherEnv, pausedEnv
 				}
-				old, _ := u.begin(oldEnv...)
+				old, _ := u.startWithWork(oldEnv...)
 				next := u.launch(nextEnv...)
-				at := old
+				paused := old
 				if isNew {
-					at = next
+					paused = next
 				}
-				at.awaitLog("reached " + step)
+				paused.awaitLog("reached " + step)
 				release := func() {
-					if err := os.WriteFile(goOn, nil, 0o600); err != nil {
+					if err := os.WriteFile(releaseFile, nil, 0o600); err != nil {
 						t.Fatal(err)
 					}
 				}
-				if end {
-					crossedByEnd(t, u, old, next, at, release)
+				if isTerminated {
+					terminateAtStep(t, u, old, next, paused, release)
 					return
 				}
-				u.tell(false, u.entry(fmt.Sprint("s", works), works, "DRAINING"))
-				out, _ := old.ask("PUT", fmt.Sprintf("/targets/s%d/maint", slow))
-				away, _ := old.ask("PUT", "/healthcheck/fail")
+				u.publish(false, u.endpointJSON(fmt.Sprint("s", destServing), destServing, "DRAINING"))
+				disableStatus, _ := old.admin("PUT", fmt.Sprintf("/targets/s%d/maint", destSlow))
+				failStatus, _ := old.admin("PUT", "/healthcheck/fail")
 				release()
-				next.serves()
-				u.hear()
-				c := next.client()
-				if got := c.say("PING"); (got == "+PONG") != (away != http.StatusOK) {
-					t.Errorf("operators were told %d, and PING gets %q", away, got)
+				next.awaitServing()
+				u.awaitUpdatesReceived()
+				c := next.connect()
+				if got := c.do("PING"); (got == "+PONG") != (failStatus != http.StatusOK) {
+					t.Errorf("PUT /healthcheck/fail was answered %d, and PING gets %q", failStatus, got)
 				}
-				next.yes("PUT", "/healthcheck/ok")
-				c = next.client()
-				for id, dest := range map[string]int{"drain-2": works, "out-3": slow} {
-					if got := c.hand(id, "harmless", dest); got != "+OK" {
+				next.mustAdmin("PUT", "/healthcheck/ok")
+				c = next.connect()
+				for id, dest := range map[string]int{"drain-2": destServing, "out-3": destSlow} {
+					if got := c.enqueueTo(id, "harmless", dest); got != "+OK" {
 						t.Errorf("%s: %q", id, got)
 					}
 				}
-				if out != http.StatusOK {
-					u.made("out-3")
+				if disableStatus != http.StatusOK {
+					u.awaitCall("out-3")
 				}
-				u.let()
-				held := 6
-				if out != http.StatusOK {
-					held--
+				u.releaseCalls()
+				queued := 6
+				if disableStatus != http.StatusOK {
+					queued--
 				}
-				next.stats("what was out is over", func(s operations.Stats) bool { return s.OpenRequests == held })
-				u.kept(step, true)
-				if n := u.count("drain-2"); n > 0 {
-					t.Error("sent to a target that was told to drain")
+				next.awaitStats("the calls in flight are not completed", func(s operations.Stats) bool { return s.OpenRequests == queued })
+				u.checkCallCounts(step, true)
+				if n := u.callCount("drain-2"); n > 0 {
+					t.Error("sent to an endpoint that drains")
 				}
-				if n := u.count("out-3"); out == http.StatusOK && n > 0 {
-					t.Error("sent to a target that was left out by hand, with a yes")
+				if n := u.callCount("out-3"); disableStatus == http.StatusOK && n > 0 {
+					t.Error("sent to an endpoint whose disabling was answered with 200")
 				}
-				next.yes("PUT", fmt.Sprintf("/targets/s%d/ready", slow))
-				u.made("out-3")
-				next.yes("PUT", fmt.Sprintf("/targets/s%d/ready", banned))
-				u.made("ban-1")
+				next.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/ready", destSlow))
+				u.awaitCall("out-3")
+				next.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/ready", destDisabled))
+				u.awaitCall("ban-1")
 			})
 		}
 	}
 }
 
-// crossedByEnd: a process is told to end at a step of a hand-over. It does so in order, and whoever serves then has what is owed.
-func crossedByEnd(t *testing.T, u *upgrades, old, next, at *process, release func()) {
-	at.cmd.Process.Signal(syscall.SIGTERM)
+// terminateAtStep terminates a process at a step of a handover. It shuts down in order, and the process that serves afterwards has all queued messages.
+func terminateAtStep(t *testing.T, u *upgradeEnv, old, next, paused *process, release func()) {
+	paused.cmd.Process.Signal(syscall.SIGTERM)
 	release()
-	if err := at.cmd.Wait(); err != nil {
-		t.Errorf("told to end: %v", err)
+	if err := paused.cmd.Wait(); err != nil {
+		t.Errorf("SIGTERM: %v", err)
 	}
-	left := next
-	if at == next { // the old one has handed over, or goes on
-		left = old
-		if status, _ := old.ask("GET", "/healthcheck"); status != http.StatusOK {
+	survivor := next
+	if paused == next { // the old process has handed over, or goes on serving
+		survivor = old
+		if status, _ := old.admin("GET", "/healthcheck"); status != http.StatusOK {
 			old.kill()
-			left = u.launch()
+			survivor = u.launch()
 		}
 	}
-	left.serves()
-	u.let()
-	if got := left.client().hand("newer", "unsafe", works); got != "+OK" {
+	survivor.awaitServing()
+	u.releaseCalls()
+	if got := survivor.connect().enqueueTo("newer", "unsafe", destServing); got != "+OK" {
 		t.Errorf("a new message: %q", got)
 	}
-	u.made("newer")
-	left.stats("what was out is over", func(s operations.Stats) bool { return s.OpenRequests == 4 && s.OutOfRotation >= 2 })
-	u.kept("told to end", false)
-	left.yes("PUT", fmt.Sprintf("/targets/s%d/ready", banned))
-	u.made("ban-1")
+	u.awaitCall("newer")
+	survivor.awaitStats("the calls in flight are not completed", func(s operations.Stats) bool { return s.OpenRequests == 4 && s.OutOfRotation >= 2 })
+	u.checkCallCounts("terminated", false)
+	survivor.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/ready", destDisabled))
+	u.awaitCall("ban-1")
 }
 
-// TestUpgradeDiskFull: a folder that has hardly any room left is handed over with all that it holds.
+// TestUpgradeDiskFull: a state folder that is almost full is handed over with all queued messages.
 func TestUpgradeDiskFull(t *testing.T) {
-	u := newUpgrades(t)
+	u := newUpgradeEnv(t)
 	u.diskMB = 0.9
 	p := u.launch()
-	p.await()
-	c := p.client()
-	held := 0
-	for ; ; held++ {
-		got := c.say("ENQUEUE", "0", fmt.Sprint("m", held), fmt.Sprintf("c=harmless,d=200000,dest=%d", drains), strings.Repeat("x", 20000))
+	p.awaitReady()
+	c := p.connect()
+	queued := 0
+	for ; ; queued++ {
+		got := c.do("ENQUEUE", "0", fmt.Sprint("m", queued), fmt.Sprintf("c=harmless,d=200000,dest=%d", destDraining), strings.Repeat("x", 20000))
 		if got != "+OK" {
 			break
 		}
 	}
-	if held < 5 || held > 95 {
-		t.Fatalf("%d messages fit: the disk was not the limit", held)
+	if queued < 5 || queued > 95 {
+		t.Fatalf("%d messages fit: the disk was not the limit", queued)
 	}
 	for range 3 {
 		next := u.launch()
-		next.await()
-		next.stats("all that was held", func(s operations.Stats) bool { return s.OpenRequests == held })
+		next.awaitReady()
+		next.awaitStats("not all queued messages were handed over", func(s operations.Stats) bool { return s.OpenRequests == queued })
 		p.kill()
 		p = next
 	}
@@ -450,90 +455,91 @@
 		}
 	}
 	if size > int64(u.diskMB*1e6) {
-		t.Errorf("the folder holds %d bytes", size)
+		t.Errorf("the state folder has %d bytes, more than the limit", size)
 	}
 }
 
-// TestUpgradeAlone: without a folder for its socket a process serves, and the next one waits until it has ended.
-func TestUpgradeAlone(t *testing.T) {
-	u := newUpgrades(t)
+// TestUpgradeWithoutSocketFolder: a process without a folder for its handover socket serves, and the next process waits until it has ended.
+func TestUpgradeWithoutSocketFolder(t *testing.T) {
+	u := newUpgradeEnv(t)
 	u.env = []string{"TMPDIR=" + filepath.Join(t.TempDir(), "none"), "NODE_OPS=127.0.0.1:0"}
 	p := u.launch()
-	p.await()
-	p.client().hand("ban-1", "unsafe", drains)
+	p.awaitReady()
+	p.connect().enqueueTo("ban-1", "unsafe", destDraining)
 	next := u.launch()
 	next.awaitLog("operators' door")
-	if status, _ := next.ask("GET", "/healthcheck"); status != http.StatusServiceUnavailable {
-		t.Errorf("ready beside the one that serves: %d", status)
+	if status, _ := next.admin("GET", "/healthcheck"); status != http.StatusServiceUnavailable {
+		t.Errorf("ready while another process serves: %d", status)
 	}
 	p.kill()
-	next.await()
-	next.stats("what the other had taken on", func(s operations.Stats) bool { return s.OpenRequests == 1 })
+	next.awaitReady()
+	next.awaitStats("the accepted message is not recovered", func(s operations.Stats) bool { return s.OpenRequests == 1 })
 }
 
-// TestDoor: what operators say outlasts SIGKILL, in any order.
-func TestDoor(t *testing.T) {
-	u := newUpgrades(t)
+// TestAdminStateOutlastsKill: changes made by the admin API survive SIGKILL, in any order.
+func TestAdminStateOutlastsKill(t *testing.T) {
+	u := newUpgradeEnv(t)
 	p := u.launch()
-	p.await()
-	if status, _ := p.ask("PUT", "/targets/nobody/maint"); status != http.StatusNotFound {
-		t.Errorf("a target that was never listed: %d", status)
+	p.awaitReady()
+	if status, _ := p.admin("PUT", "/targets/nobody/maint"); status != http.StatusNotFound {
+		t.Errorf("disabling an endpoint that was never listed: status %d", status)
 	}
-	if status, _ := p.ask("PUT", "/targets/nobody/ready"); status != http.StatusNotFound {
-		t.Errorf("the same put back: %d", status)
+	if status, _ := p.admin("PUT", "/targets/nobody/ready"); status != http.StatusNotFound {
+		t.Errorf("enabling an endpoint that was never listed: status %d", status)
 	}
-	p.yes("PUT", fmt.Sprintf("/targets/s%d/ready", works)) // is not left out
+	p.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/ready", destServing)) // has no effect: the endpoint is not disabled
 	for range 2 {
-		p.yes("PUT", fmt.Sprintf("/targets/s%d/maint", works))
+		p.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/maint", destServing))
 	}
-	p.client().hand("m", "unsafe", works)
+	p.connect().enqueueTo("m", "unsafe", destServing)
 	for range 3 {
 		p.kill()
 		p = u.launch()
-		p.await()
-		p.stats("left out", func(s operations.Stats) bool { return s.OutOfRotation == 2 && s.OpenRequests == 1 })
+		p.awaitReady()
+		p.awaitStats("the endpoint is not disabled", func(s operations.Stats) bool { return s.OutOfRotation == 2 && s.OpenRequests == 1 })
 	}
-	if n := u.count("m"); n != 0 {
-		t.Errorf("called %d times while it was left out", n)
+	if n := u.callCount("m"); n != 0 {
+		t.Errorf("sent %d times while the endpoint was disabled", n)
 	}
-	p.yes("PUT", fmt.Sprintf("/targets/s%d/ready", works))
-	u.made("m")
+	p.mustAdmin("PUT", fmt.Sprintf("/targets/s%d/ready", destServing))
+	u.awaitCall("m")
 	p.kill()
 	p = u.launch()
-	p.await()
-	p.client().hand("m2", "unsafe", works)
-	u.made("m2")
+	p.awaitReady()
+	p.connect().enqueueTo("m2", "unsafe", destServing)
+	u.awaitCall("m2")
 
-	c := p.client()
-	c.say("PING")
-	p.yes("PUT", "/healthcheck/fail")
-	if got := p.client().say("PING"); !strings.HasPrefix(got, "-") {
-		t.Errorf("PING in a drain: %q", got)
+	c := p.connect()
+	c.do("PING")
+	p.mustAdmin("PUT", "/healthcheck/fail")
+	if got := p.connect().do("PING"); !strings.HasPrefix(got, "-") {
+		t.Errorf("PING while the forwarder drains: %q", got)
 	}
-	if status, _ := p.ask("GET", "/healthcheck"); status != http.StatusServiceUnavailable {
-		t.Errorf("ready in a drain: %d", status)
+	if status, _ := p.admin("GET", "/healthcheck"); status != http.StatusServiceUnavailable {
+		t.Errorf("ready while the forwarder drains: %d", status)
 	}
-	if _, err := c.r.ReadByte(); err != io.EOF { // within patience
-		t.Errorf("an idle connection: %v", err)
+	if _, err := c.r.ReadByte(); err != io.EOF { // fails after testTimeout
+		t.Errorf("the idle connection was not closed: %v", err)
 	}
-	next := u.launch() // the drain goes along: nobody has taken it back
+	next := u.launch() // the drain is handed over, since no operator has ended it
 	next.awaitLog("msg=serving")
-	next.yes("GET", "/healthcheck")
-	if got := next.client().say("PING"); !strings.HasPrefix(got, "-") {
+	next.mustAdmin("GET", "/healthcheck")
+	if got := next.connect().do("PING"); !strings.HasPrefix(got, "-") {
 		t.Errorf("PING in the next process: %q", got)
 	}
-	next.yes("PUT", "/healthcheck/ok")
-	if got := next.client().say("PING"); got != "+PONG" {
+	next.mustAdmin("PUT", "/healthcheck/ok")
+	if got := next.connect().do("PING"); got != "+PONG" {
 		t.Errorf("PING after the drain: %q", got)
 	}
 }
 
-// TestUpgradeSpoilt: what a process leaves is damaged or cut short; the next one says where, and starts from the journal alone.
-func TestUpgradeSpoilt(t *testing.T) {
-	u := newUpgrades(t)
+// TestUpgradeCorruptHandover: the handover state that a process sends is corrupt or cut short. The next process logs where, and starts from the
+// journal alone.
+func TestUpgradeCorruptHandover(t *testing.T) {
+	u := newUpgradeEnv(t)
 	p := u.launch()
-	p.await()
-	p.client().hand("drain-1", "unsafe", drains)
+	p.awaitReady()
+	p.connect().enqueueTo("drain-1", "unsafe", destDraining)
 	p.kill()
 	dir := strings.TrimPrefix(u.env[0], "TMPDIR=")
 	id, err := takeover.NewIdentity("n0", u.state)
@@ -563,24 +569,24 @@
 				close(ended)
 			}()
 			next := u.launch()
-			g := <-s.Requests()
-			if err := g.Accept(); err != nil {
+			request := <-s.Requests()
+			if err := request.Accept(); err != nil {
 				t.Fatal(err)
 			}
 			if c.list != nil {
-				if err := g.Send(c.list); err != nil {
+				if err := request.Send(c.list); err != nil {
 					t.Fatal(err)
 				}
 			} else {
-				g.Close()
+				request.Close()
 			}
 			s.Close()
 			<-ended
 			next.awaitLog(c.log)
-			next.await()
-			next.stats("what the journal holds", func(s operations.Stats) bool { return s.OpenRequests == 1 })
+			next.awaitReady()
+			next.awaitStats("the message in the journal is not recovered", func(s operations.Stats) bool { return s.OpenRequests == 1 })
 			next.kill()
-			g.Close()
+			request.Close()
 		})
 	}
 }
--- a/cmd/scaleroute/withdrawn_test.go
+++ b/cmd/scaleroute/withdrawn_test.go
@@ -7,43 +7,43 @@
 	"testing"
 )
 
-// TestDrainOutlastsRestart: one target is told to drain, and another is missing from a whole list; then the process ends, or is killed, and discovery says
-// nothing any more. The configuration still has both serve. The next process calls neither, and the one after that; a third target, which drained and serves
-// again, is called; and so are all once discovery says that they serve.
+// TestDrainOutlastsRestart: discovery drains one endpoint, and another one is missing from a whole list; then the process is terminated or killed, and
+// discovery no longer answers. In the configuration both still serve. The next process calls neither, nor does the one after it; a third endpoint,
+// which drained and serves again, is called; and all are called once discovery reports that they serve.
 func TestDrainOutlastsRestart(t *testing.T) {
-	for name, end := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGKILL": syscall.SIGKILL} {
+	for name, signal := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGKILL": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, func(http.ResponseWriter, string) {})
-			w.listing = w.entry("drains", 7, "SERVING") + "," + w.entry("goes", 8, "SERVING") + "," + w.entry("returns", 9, "SERVING")
+			w := newTestEnv(t, func(http.ResponseWriter, string) {})
+			w.endpoints = w.endpointJSON("drains", 7, "SERVING") + "," + w.endpointJSON("goes", 8, "SERVING") + "," + w.endpointJSON("returns", 9, "SERVING")
 			p := w.start()
-			w.tell(false, w.entry("drains", 7, "DRAINING"), w.entry("returns", 9, "DRAINING"))
-			w.tell(true, w.entry("drains", 7, "DRAINING"), w.entry("returns", 9, "SERVING"))
-			w.hear()
-			w.silent.Store(true)
+			w.publish(false, w.endpointJSON("drains", 7, "DRAINING"), w.endpointJSON("returns", 9, "DRAINING"))
+			w.publish(true, w.endpointJSON("drains", 7, "DRAINING"), w.endpointJSON("returns", 9, "SERVING"))
+			w.awaitUpdatesReceived()
+			w.discoveryHangs.Store(true)
 			for _, round := range []string{"a", "b"} {
-				c := p.client()
+				c := p.connect()
 				for dest := 7; dest <= 8; dest++ {
-					if got := c.hand(fmt.Sprint(round, dest), "harmless", dest); got != "+OK" {
-						t.Fatalf("for %d: %q", dest, got)
+					if got := c.enqueueTo(fmt.Sprint(round, dest), "harmless", dest); got != "+OK" {
+						t.Fatalf("for destination %d: %q", dest, got)
 					}
 				}
-				p.cmd.Process.Signal(end)
+				p.cmd.Process.Signal(signal)
 				p.cmd.Wait()
 				p = w.start()
-				c = p.client()
-				c.hand(round+"9", "harmless", 9)
-				w.await(w.called, round+"9")
+				c = p.connect()
+				c.enqueueTo(round+"9", "harmless", 9)
+				w.awaitValue(w.called, round+"9")
 			}
 			for _, id := range []string{"a7", "a8", "b7", "b8"} {
-				if n := w.count(id); n != 0 {
-					t.Errorf("%s was sent %d times to a target that was told to drain", id, n)
+				if n := w.callCount(id); n != 0 {
+					t.Errorf("%s was sent %d times to an endpoint that was withdrawn", id, n)
 				}
 			}
-			w.tell(true, w.listing)
-			w.silent.Store(false)
+			w.publish(true, w.endpoints)
+			w.discoveryHangs.Store(false)
 			for _, id := range []string{"a7", "a8", "b7", "b8"} {
-				w.made(id)
+				w.awaitCall(id)
 			}
 		})
 	}
