--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -133,7 +133,7 @@
 }
 
 // front returns an acceptor that looks up destinations outside the part before it passes messages for them on to next.
-func (p *partialList) front(next runner.Taker) runner.Taker {
+func (p *partialList) front(next runner.Acceptor) runner.Acceptor {
 	if p == nil {
 		return next
 	}
@@ -143,7 +143,7 @@
 type lookupFront struct {
 	follower *control.Follower
 	settings *settings
-	next     runner.Taker
+	next     runner.Acceptor
 }
 
 func (t lookupFront) Accept(m *message.Message) engine.Answer {
--- a/cmd/scaleroute/routes.go
+++ b/cmd/scaleroute/routes.go
@@ -10,7 +10,7 @@
 // router applies the operators' routes to messages before the plug-ins see them.
 type router struct {
 	settings *settings
-	next     runner.Taker
+	next     runner.Acceptor
 }
 
 func (r router) Accept(m *message.Message) engine.Answer {
--- a/cmd/scaleroute/run.go
+++ b/cmd/scaleroute/run.go
@@ -203,7 +203,7 @@
 	configuration := engine.Config{Settings: f.settings, Journal: j, Back: back, Resumer: http, Limits: f.operators.engineLimits(), SyncEvery: time.Duration(f.operators.current.Journal.SyncEvery),
 		CompletionNotifiers: map[string]engine.CompletionNotifier{"": f.platform}, PublishStats: f.config.AdminListen != "", PreviousStats: f.previousStats}
 	if f.operators.plugins != nil {
-		configuration.OnOutcome = f.operators.plugins.Ended
+		configuration.OnOutcome = f.operators.plugins.ObserveOutcome
 	}
 	if f.partial != nil {
 		configuration.OnQueueChange = f.partial.queueChanged
--- a/cmd/scaleroutectl/plugin.go
+++ b/cmd/scaleroutectl/plugin.go
@@ -116,8 +116,8 @@
 }
 
 func (s *sample) request() (*plugin.Request, error) {
-	q := &plugin.Request{Point: plugin.Point(s.Point), ID: s.ID, Class: s.Class, Destination: s.Destination, Left: 3, Body: []byte(s.Body),
-		Endpoint: s.To, Attempt: s.Attempt, End: s.End, Header: fields(s.Header)}
+	q := &plugin.Request{Point: plugin.Point(s.Point), ID: s.ID, Class: s.Class, Destination: s.Destination, TimeLeft: 3, Body: []byte(s.Body),
+		Endpoint: s.To, Attempt: s.Attempt, Outcome: s.End, Header: fields(s.Header)}
 	if s.Point == "" {
 		q.Point = plugin.Intake
 	}
@@ -129,7 +129,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("sample %q: left: %w", s.Name, err)
 		}
-		q.Left = d.Seconds()
+		q.TimeLeft = d.Seconds()
 	}
 	for _, e := range s.Endpoints {
 		q.Endpoints = append(q.Endpoints, plugin.Endpoint(e))
@@ -168,8 +168,8 @@
 }
 
 // ask has a plug-in's process answer a request, and applies the rules to the answer as the daemon does.
-func ask(p *runner.Trial, q *plugin.Request, output int) outcome {
-	r, err := p.Ask(q)
+func ask(p *runner.TestProcess, q *plugin.Request, output int) outcome {
+	r, err := p.Call(q)
 	o := outcome{Body: string(q.Body), Header: map[string]string{}}
 	if err != nil {
 		o.Error = err.Error()
@@ -195,13 +195,13 @@
 		}
 	case q.Point == plugin.Reply:
 		var after decide.Outcome
-		if after, err = plugin.Caution(decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}, r); err == nil {
+		if after, err = plugin.RestrictOutcome(decide.Outcome{Result: decide.Succeeded, NoAnswerNeeded: true}, r); err == nil {
 			o.NotDelivered = after.Result != decide.Succeeded
 			if after.RetryAfter > 0 {
 				o.Wait = after.RetryAfter.String()
 			}
 		}
-	case r.Changes():
+	case r.RequestsChange():
 		err = errors.New("after the end nothing can be changed")
 	}
 	if err != nil {
@@ -258,7 +258,7 @@
 }
 
 // trial starts a plug-in as the daemon would where nothing is set for it.
-func trial(file string) (*runner.Trial, *operator.Plugin, error) {
+func trial(file string) (*runner.TestProcess, *operator.Plugin, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
@@ -273,7 +273,7 @@
 	}
 	p := operator.DefaultPlugin()
 	p.Name, p.File, p.Source, p.Points = strings.TrimSuffix(filepath.Base(file), ".star"), file, string(text), program.Points()
-	t, err := runner.NewTrial([]string{own, pluginHostCommand}, p.Spec())
+	t, err := runner.NewTestProcess([]string{own, pluginHostCommand}, p.Spec())
 	return t, &p, err
 }
 
@@ -355,24 +355,24 @@
 }
 
 func (c *pluginRun) Run(out io.Writer, errs stderr) error {
-	q := &plugin.Request{Point: plugin.Point(c.Point), ID: c.ID, Class: c.Class, Destination: c.Destination, Left: 3, Status: c.Status, End: c.End}
+	q := &plugin.Request{Point: plugin.Point(c.Point), ID: c.ID, Class: c.Class, Destination: c.Destination, TimeLeft: 3, Status: c.Status, Outcome: c.End}
 	var err error
 	switch c.Body {
 	case "":
 	case "-":
-		q.Body, err = io.ReadAll(io.LimitReader(os.Stdin, plugin.MostBody+1))
+		q.Body, err = io.ReadAll(io.LimitReader(os.Stdin, plugin.MaxBody+1))
 	default:
 		q.Body, err = os.ReadFile(c.Body)
 	}
 	if err == nil && c.Reply != "" {
 		q.ReplyBody, err = os.ReadFile(c.Reply)
-		q.ReplyBody = q.ReplyBody[:min(len(q.ReplyBody), plugin.ReplyBody)]
+		q.ReplyBody = q.ReplyBody[:min(len(q.ReplyBody), plugin.MaxReplyBody)]
 	}
 	if err != nil {
 		return err
 	}
-	if len(q.Body) > plugin.MostBody {
-		return fmt.Errorf("the body has more than %d bytes, which no message has", plugin.MostBody)
+	if len(q.Body) > plugin.MaxBody {
+		return fmt.Errorf("the body has more than %d bytes, which no message has", plugin.MaxBody)
 	}
 	for i, name := range c.Endpoint {
 		if i == 0 {
--- a/internal/operator/plugins.go
+++ b/internal/operator/plugins.go
@@ -36,7 +36,7 @@
 
 // DefaultPlugin has what holds where a plug-in does not set it.
 func DefaultPlugin() Plugin {
-	return Plugin{Steps: 1_000_000, Time: Duration(50 * time.Millisecond), Memory: 64 << 20, Output: plugin.MostBody, Processes: 1,
+	return Plugin{Steps: 1_000_000, Time: Duration(50 * time.Millisecond), Memory: 64 << 20, Output: plugin.MaxBody, Processes: 1,
 		CPU: Duration(200 * time.Millisecond), Failures: 5, Rest: Duration(time.Second), OnFailure: "refuse", Wait: Duration(time.Second)}
 }
 
@@ -108,13 +108,13 @@
 		number("order", p.Order, -1000, 1000)
 		number("steps", p.Steps, 1000, 100_000_000)
 		number("memory", p.Memory, 16<<20, 1<<30)
-		number("output", p.Output, 0, plugin.MostBody)
+		number("output", p.Output, 0, plugin.MaxBody)
 		number("processes", p.Processes, 1, 8)
 		number("failures", p.Failures, 1, 1000)
 		span("time", p.Time, time.Millisecond, mostChain)
 		span("cpu", p.CPU, time.Millisecond, 4*time.Second)
-		span("rest", p.Rest, 10*time.Millisecond, plugin.MostRest)
-		span("wait", p.Wait, time.Millisecond, plugin.MostWait)
+		span("rest", p.Rest, 10*time.Millisecond, plugin.MaxRest)
+		span("wait", p.Wait, time.Millisecond, plugin.MaxWait)
 		if p.OnFailure != "refuse" && p.OnFailure != "pass" {
 			add(key+".on_failure", fmt.Sprintf("on_failure is %q", p.OnFailure), `choose "refuse" (the client comes again) or "pass" (the message goes on unaltered)`)
 		}
@@ -131,7 +131,7 @@
 	specs := c.Specs()
 	for i := range specs {
 		for j := range i {
-			if specs[i].Order == specs[j].Order && specs[i].Meet(&specs[j]) {
+			if specs[i].Order == specs[j].Order && specs[i].Overlaps(&specs[j]) {
 				at := cmp.Or(c.Where["plugin."+specs[j].Name], specs[j].Name)
 				add("plugin."+specs[i].Name, fmt.Sprintf("plug-ins %q and %q are asked about the same messages and have the same order", specs[j].Name, specs[i].Name),
 					fmt.Sprintf("set order in one of them: the lower one is asked first (the other: %s)", at))
@@ -144,7 +144,7 @@
 			var all time.Duration
 			var names []string
 			for i := range specs {
-				if specs[i].Binds(point, k.class, k.dest) {
+				if specs[i].AppliesTo(point, k.class, k.dest) {
 					all += specs[i].Time
 					names = append(names, specs[i].Name)
 				}
@@ -243,11 +243,11 @@
 	for _, point := range plugin.Points {
 		var bound []*plugin.Spec
 		for i := range specs {
-			if specs[i].Binds(point, class, dest) {
+			if specs[i].AppliesTo(point, class, dest) {
 				bound = append(bound, &specs[i])
 			}
 		}
-		slices.SortFunc(bound, plugin.InOrder)
+		slices.SortFunc(bound, plugin.CompareOrder)
 		for _, s := range bound {
 			list = append(list, Change{For: scope{class: class, dest: dest, named: true}.String(), Key: "plugin at " + string(point), New: s.Name + " " + s.Digest(), To: c.Where["plugin."+s.Name]})
 		}
--- a/internal/plugin/guard.go
+++ b/internal/plugin/guard.go
@@ -9,17 +9,17 @@
 	Rest     time.Duration // the circuit's first; it doubles with each failed trial, up to MostRest
 }
 
-// MostRest is the longest time for which a circuit stays open without a trial.
-const MostRest = time.Minute
+// MaxRest is the longest time for which a circuit stays open without a trial.
+const MaxRest = time.Minute
 
 // Verdict says whether a plug-in is asked.
 type Verdict int
 
 // The verdicts.
 const (
-	Run   Verdict = iota
-	Open          // its circuit is open
-	Spent         // it has used up its share of the processor
+	Run         Verdict = iota
+	CircuitOpen         // its circuit is open
+	CPUSpent            // it has used up its share of the processor
 )
 
 func (v Verdict) String() string {
@@ -45,17 +45,17 @@
 // NewGuard returns the guard of a plug-in that has done nothing yet.
 func NewGuard(a Allowance) *Guard { return &Guard{allowed: a} }
 
-// Trial tells whether the call shows if an open circuit may be closed.
-func (t Ticket) Trial() bool { return t.trial }
+// IsProbe tells whether the call shows if an open circuit may be closed.
+func (t Ticket) IsProbe() bool { return t.trial }
 
 // Admit tells whether a call may begin now. Each that may must be told to Done, with its ticket.
 func (g *Guard) Admit(now time.Duration) (Verdict, Ticket) {
 	g.refill(now)
 	switch {
 	case g.open && (now < g.until || g.trial):
-		return Open, Ticket{}
+		return CircuitOpen, Ticket{}
 	case g.used >= g.allowed.CPU:
-		return Spent, Ticket{}
+		return CPUSpent, Ticket{}
 	}
 	g.trial = g.open
 	return Run, Ticket{g.trial}
@@ -79,7 +79,7 @@
 	g.failed++
 	switch {
 	case t.trial:
-		g.rest = min(2*g.rest, MostRest)
+		g.rest = min(2*g.rest, MaxRest)
 	case !g.open && g.failed >= g.allowed.Failures:
 		g.open, g.rest = true, g.allowed.Rest
 	default: // it had begun before the circuit opened
@@ -88,8 +88,8 @@
 	g.until = now + g.rest/2 + time.Duration(chance*float64(g.rest/2))
 }
 
-// IsOpen tells whether the circuit is open.
-func (g *Guard) IsOpen() bool { return g.open }
+// IsCircuitOpen tells whether the circuit is open.
+func (g *Guard) IsCircuitOpen() bool { return g.open }
 
 func (g *Guard) refill(now time.Duration) {
 	if now <= g.at {
--- a/internal/plugin/host/host.go
+++ b/internal/plugin/host/host.go
@@ -34,13 +34,13 @@
 
 // Serve serves until in is closed. It bounds its whole process, and ends it if a call takes too long.
 func Serve(in io.Reader, out io.Writer) error {
-	c := pipe.New(bufio.NewReaderSize(in, 64<<10), out)
-	var start pipe.Start
+	c := pipe.NewConn(bufio.NewReaderSize(in, 64<<10), out)
+	var start pipe.StartRequest
 	if _, err := c.Receive(&start, 0); err != nil {
 		return fmt.Errorf("reading what to run: %w", err)
 	}
 	if err := confine(start.Memory); err != nil {
-		return c.Send(pipe.Started{Error: fmt.Sprintf("the process can't be bounded: %v", err)}, nil)
+		return c.Send(pipe.StartResponse{Error: fmt.Sprintf("the process can't be bounded: %v", err)}, nil)
 	}
 	hard := time.Duration(start.HardMS * float64(time.Millisecond))
 	// Compiling runs the top level, which could hang as well.
@@ -48,13 +48,13 @@
 	program, err := script.Compile(start.File, start.Source)
 	watch.Stop()
 	if err != nil {
-		return c.Send(pipe.Started{Error: err.Error()}, nil)
+		return c.Send(pipe.StartResponse{Error: err.Error()}, nil)
 	}
-	if err := c.Send(pipe.Started{Points: program.Points()}, nil); err != nil {
+	if err := c.Send(pipe.StartResponse{Points: program.Points()}, nil); err != nil {
 		return err
 	}
 	for {
-		q, err := c.Question()
+		q, err := c.ReceiveRequest()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -69,7 +69,7 @@
 			*r = plugin.Result{Error: fmt.Sprintf("%s: a body of %d bytes; at most %d", start.File, len(r.Body), start.Output), Costly: true, CPU: r.CPU, Steps: r.Steps}
 		}
 		watch.Stop()
-		if err := c.Answer(r); err != nil {
+		if err := c.SendResult(r); err != nil {
 			return err
 		}
 	}
--- a/internal/plugin/pipe/pipe.go
+++ b/internal/plugin/pipe/pipe.go
@@ -17,8 +17,8 @@
 	mostBody = 4 << 20
 )
 
-// Start is the first thing that the process is told.
-type Start struct {
+// StartRequest is the first thing that the process is told.
+type StartRequest struct {
 	Name   string  `json:"name"`
 	File   string  `json:"file"` // for messages
 	Source string  `json:"source"`
@@ -28,8 +28,8 @@
 	HardMS float64 `json:"hard_ms"` // a call that takes longer ends the process
 }
 
-// Started is its answer: that it can be asked now, or what is wrong with the code.
-type Started struct {
+// StartResponse is its answer: that it can be asked now, or what is wrong with the code.
+type StartResponse struct {
 	Error  string         `json:"error,omitempty"`
 	Points []plugin.Point `json:"points,omitempty"`
 }
@@ -42,8 +42,8 @@
 	buf  []byte
 }
 
-// New makes one.
-func New(r io.Reader, w io.Writer) *Conn { return &Conn{r: r, w: w} }
+// NewConn makes one.
+func NewConn(r io.Reader, w io.Writer) *Conn { return &Conn{r: r, w: w} }
 
 // Send writes a frame: two lengths, the head as JSON, the body.
 func (c *Conn) Send(head any, body []byte) error {
@@ -89,8 +89,8 @@
 	Message int `json:"message_bytes"`
 }
 
-// Ask sends a question.
-func (c *Conn) Ask(q *plugin.Request) error {
+// SendRequest sends a question.
+func (c *Conn) SendRequest(q *plugin.Request) error {
 	body := q.Body
 	if len(q.ReplyBody) > 0 {
 		body = append(body[:len(body):len(body)], q.ReplyBody...)
@@ -98,8 +98,8 @@
 	return c.Send(request{q, len(q.Body)}, body)
 }
 
-// Question reads one.
-func (c *Conn) Question() (*plugin.Request, error) {
+// ReceiveRequest reads one.
+func (c *Conn) ReceiveRequest() (*plugin.Request, error) {
 	q := request{Request: &plugin.Request{}}
 	body, err := c.Receive(&q, mostBody)
 	if err != nil {
@@ -112,11 +112,11 @@
 	return q.Request, nil
 }
 
-// Answer sends a result.
-func (c *Conn) Answer(r *plugin.Result) error { return c.Send(r, r.Body) }
+// SendResult sends a result.
+func (c *Conn) SendResult(r *plugin.Result) error { return c.Send(r, r.Body) }
 
-// Result reads one; output bounds its body in bytes.
-func (c *Conn) Result(output int) (*plugin.Result, error) {
+// ReceiveResult reads one; output bounds its body in bytes.
+func (c *Conn) ReceiveResult(output int) (*plugin.Result, error) {
 	r := &plugin.Result{}
 	body, err := c.Receive(r, output)
 	r.Body = body
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -21,17 +21,17 @@
 
 // Bounds of what a plug-in may hand over, whatever it is set to.
 const (
-	MostBody    = 64 << 10 // bytes: what the platform takes
-	MostHeader  = 16       // fields
-	MostName    = 64       // bytes of a field's name
-	MostValue   = 1024     // bytes of its value
-	MostNamed   = 32       // endpoints that a message may be narrowed to, or prefer
-	MostReason  = 200      // bytes
-	MostLines   = 8        // lines for the log in one call
-	MostLine    = 200      // bytes of one
-	MostCounts  = 32       // counters of one plug-in
-	ReplyBody   = 4 << 10  // bytes of an answer's body that a plug-in is shown
-	MostChoices = 16       // sets of endpoints that messages for one destination may be narrowed to
+	MaxBody           = 64 << 10 // bytes: what the platform takes
+	MaxHeaderFields   = 16       // fields
+	MaxFieldName      = 64       // bytes of a field's name
+	MaxFieldValue     = 1024     // bytes of its value
+	MaxNamedEndpoints = 32       // endpoints that a message may be narrowed to, or prefer
+	MaxReason         = 200      // bytes
+	MaxLogLines       = 8        // lines for the log in one call
+	MaxLogLine        = 200      // bytes of one
+	MaxCounters       = 32       // counters of one plug-in
+	MaxReplyBody      = 4 << 10  // bytes of an answer's body that a plug-in is shown
+	MaxEndpointSets   = 16       // sets of endpoints that messages for one destination may be narrowed to
 )
 
 // Endpoint is one endpoint of a message's destination.
@@ -47,14 +47,14 @@
 	ID          string              `json:"id"`
 	Class       string              `json:"class"`
 	Destination int                 `json:"destination"`
-	Left        float64             `json:"left,omitempty"`         // seconds; Intake, Call
+	TimeLeft    float64             `json:"left,omitempty"`         // seconds; Intake, Call
 	Header      []message.Field     `json:"header,omitempty"`       // that will go along so far; Intake, Call
 	Endpoints   []Endpoint          `json:"endpoints,omitempty"`    // that a message may go to; Intake
 	Endpoint    string              `json:"endpoint,omitempty"`     // Call, Reply
 	Attempt     int                 `json:"attempt,omitempty"`      // from 0; Call, Reply
 	Status      int                 `json:"status,omitempty"`       // Reply
 	ReplyHeader map[string][]string `json:"reply_header,omitempty"` // Reply
-	End         string              `json:"end,omitempty"`          // delivered, refused or failed; Final
+	Outcome     string              `json:"end,omitempty"`          // delivered, refused or failed; Final
 	Body        []byte              `json:"-"`                      // of the message; Intake, Call
 	ReplyBody   []byte              `json:"-"`                      // its beginning; Reply
 }
@@ -80,7 +80,7 @@
 	Body []byte `json:"-"`
 }
 
-// Changes tells whether a result asks for anything.
-func (r *Result) Changes() bool {
+// RequestsChange tells whether a result asks for anything.
+func (r *Result) RequestsChange() bool {
 	return r.Refuse || r.HasBody || len(r.Header)+len(r.Only)+len(r.Prefer) > 0 || r.NotDelivered || r.WaitMS > 0
 }
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -31,7 +31,7 @@
 		Header:       rapid.SliceOfN(header, 0, 3).Draw(t, "header"),
 	}
 	if r.HasBody {
-		r.Body = make([]byte, rapid.SampledFrom([]int{0, 1, 100, 101, MostBody + 1}).Draw(t, "bytes"))
+		r.Body = make([]byte, rapid.SampledFrom([]int{0, 1, 100, 101, MaxBody + 1}).Draw(t, "bytes"))
 	}
 	if rapid.Bool().Draw(t, "modest") { // or else hardly anything would be let through
 		r.WaitMS, r.NotDelivered, r.Header = 0, false, nil
@@ -47,7 +47,7 @@
 		listed := []Endpoint{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 		d := Draft{Endpoints: listed, Body: []byte("body")}
 		c := Content{Body: []byte("body")}
-		choices := Choices{}
+		choices := EndpointSets{}
 		for range rapid.IntRange(1, 5).Draw(t, "plug-ins") {
 			r := results(t)
 			before := d
@@ -68,16 +68,16 @@
 		if slices.ContainsFunc(append(slices.Clone(d.Only), d.Prefer...), func(n string) bool { return !known(n) }) {
 			t.Fatalf("endpoints of others: %q, %q", d.Only, d.Prefer)
 		}
-		if len(d.Body) > 100 || len(c.Body) > 100 || d.Wait < 0 || d.Wait > MostWait || len(d.Reason) > MostReason || strings.ContainsAny(d.Reason, "\r\n") {
+		if len(d.Body) > 100 || len(c.Body) > 100 || d.Wait < 0 || d.Wait > MaxWait || len(d.Reason) > MaxReason || strings.ContainsAny(d.Reason, "\r\n") {
 			t.Fatalf("let through: %+v", d)
 		}
 		for _, f := range append(slices.Clone(d.Header), c.Header...) {
 			lower := strings.ToLower(f.Name)
-			if f.Name == "" || strings.ContainsAny(f.Name+f.Value, "\r\n:\x00") || strings.HasPrefix(lower, "req-") || slices.Contains(ours, lower) || len(f.Value) > MostValue {
+			if f.Name == "" || strings.ContainsAny(f.Name+f.Value, "\r\n:\x00") || strings.HasPrefix(lower, "req-") || slices.Contains(ours, lower) || len(f.Value) > MaxFieldValue {
 				t.Fatalf("header field %q: %q", f.Name, f.Value)
 			}
 		}
-		if len(choices[1]) > MostChoices {
+		if len(choices[1]) > MaxEndpointSets {
 			t.Fatalf("%d sets of endpoints", len(choices[1]))
 		}
 	})
@@ -88,7 +88,7 @@
 
 // TestChoicesAreBounded: the decision module never has more than so many groups for a destination.
 func TestChoicesAreBounded(t *testing.T) {
-	c := Choices{}
+	c := EndpointSets{}
 	admitted := 0
 	var listed []Endpoint
 	for b := range 8 {
@@ -105,8 +105,8 @@
 			admitted++
 		}
 	}
-	if admitted != MostChoices || !c.Admit(7, []string{"a"}, listed) || !c.Admit(8, []string{"h", "a"}, listed) || !c.Admit(7, nil, listed) {
-		t.Errorf("%d sets admitted, %d wanted; those there are must stay, and others' are apart", admitted, MostChoices)
+	if admitted != MaxEndpointSets || !c.Admit(7, []string{"a"}, listed) || !c.Admit(8, []string{"h", "a"}, listed) || !c.Admit(7, nil, listed) {
+		t.Errorf("%d sets admitted, %d wanted; those there are must stay, and others' are apart", admitted, MaxEndpointSets)
 	}
 	if next := append(listed[1:], Endpoint{Name: "new"}); !c.Admit(7, []string{"new"}, next) {
 		t.Error("sets that name an endpoint which is gone keep others out")
@@ -124,11 +124,11 @@
 			r.Refuse, r.HasBody, r.Header, r.Only, r.Prefer = false, false, nil, nil, nil
 			r.WaitMS = float64(rapid.IntRange(0, 400_000).Draw(t, "asked"))
 		}
-		got, err := Caution(o, r)
+		got, err := RestrictOutcome(o, r)
 		switch {
 		case err != nil && got != o:
 			t.Fatalf("%v, and still %+v became %+v", err, o, got)
-		case got.RetryAfter < o.RetryAfter || got.RetryAfter > max(o.RetryAfter, MostWait):
+		case got.RetryAfter < o.RetryAfter || got.RetryAfter > max(o.RetryAfter, MaxWait):
 			t.Fatalf("a wait of %v became %v", o.RetryAfter, got.RetryAfter)
 		case got.Result != o.Result && (o.Result != decide.Succeeded || got.Result != decide.Errored || got.NoAnswerNeeded):
 			t.Fatalf("%+v became %+v", o, got)
@@ -157,11 +157,11 @@
 				}
 				trials := 0
 				for _, c := range out {
-					if c.Trial() {
+					if c.IsProbe() {
 						trials++
 					}
 				}
-				if ticket.Trial() && trials > 0 {
+				if ticket.IsProbe() && trials > 0 {
 					t.Fatal("two trials at once")
 				}
 				out = append(out, call{ticket, now})
@@ -173,16 +173,16 @@
 				cpu := time.Duration(rapid.IntRange(0, 50).Draw(t, "cpu")) * time.Millisecond
 				costly := rapid.IntRange(0, 2).Draw(t, "costly") == 0
 				spent, longest = spent+cpu, max(longest, cpu)
-				was := g.IsOpen()
+				was := g.IsCircuitOpen()
 				g.Done(c.Ticket, now, cpu, costly, rapid.Float64Range(0, 1).Draw(t, "chance"))
 				if row++; !costly {
 					row = 0
 				}
-				if !was && g.IsOpen() || c.Trial() && costly {
+				if !was && g.IsCircuitOpen() || c.IsProbe() && costly {
 					openUntil = now + a.Rest/2
 				}
-				if !was && !c.Trial() && g.IsOpen() != (row >= a.Failures) {
-					t.Fatalf("%d costly failures in a row: open %v", row, g.IsOpen())
+				if !was && !c.IsProbe() && g.IsCircuitOpen() != (row >= a.Failures) {
+					t.Fatalf("%d costly failures in a row: open %v", row, g.IsCircuitOpen())
 				}
 			}
 			// As much as is allowed at once, what comes with time, and what the last calls went over it by.
@@ -198,7 +198,7 @@
 				}
 				out = nil
 				g.Done(ticket, now, 0, false, 0)
-				if !g.IsOpen() {
+				if !g.IsCircuitOpen() {
 					return
 				}
 			} else if len(out) > 0 {
--- a/internal/plugin/rules.go
+++ b/internal/plugin/rules.go
@@ -13,8 +13,8 @@
 	"scaleroute/internal/message"
 )
 
-// MostWait bounds a wait that a plug-in asks for.
-const MostWait = 5 * time.Minute
+// MaxWait bounds a wait that a plug-in asks for.
+const MaxWait = 5 * time.Minute
 
 // Draft is a message on its way through the plug-ins at its intake, in their order. What one has set the next one sees. Where
 // they disagree: a refusal ends it; a message goes to endpoints that all of them permit; the order of an earlier one goes
@@ -41,7 +41,7 @@
 		if err != nil {
 			return err
 		}
-		d.Refused, d.Reason, d.Wait = true, Line(r.Reason, MostReason), wait
+		d.Refused, d.Reason, d.Wait = true, SanitizeLine(r.Reason, MaxReason), wait
 		return nil
 	}
 	if r.WaitMS != 0 {
@@ -58,14 +58,14 @@
 		return err
 	}
 	header := merge(d.Header, r.Header)
-	if len(header) > 2*MostHeader {
-		return fmt.Errorf("%d header fields of all plug-ins together; at most %d", len(header), 2*MostHeader)
+	if len(header) > 2*MaxHeaderFields {
+		return fmt.Errorf("%d header fields of all plug-ins together; at most %d", len(header), 2*MaxHeaderFields)
 	}
 	if len(r.Only) > 0 {
 		d.Only = only
 	}
 	for _, name := range r.Prefer {
-		if !slices.Contains(d.Prefer, name) && len(d.Prefer) < MostNamed { // those of an earlier plug-in go first
+		if !slices.Contains(d.Prefer, name) && len(d.Prefer) < MaxNamedEndpoints { // those of an earlier plug-in go first
 			d.Prefer = append(d.Prefer, name)
 		}
 	}
@@ -78,8 +78,8 @@
 
 // known checks names of endpoints against those that the message may go to.
 func (d *Draft) known(what string, names []string) error {
-	if len(names) > MostNamed {
-		return fmt.Errorf("%s names %d endpoints; at most %d", what, len(names), MostNamed)
+	if len(names) > MaxNamedEndpoints {
+		return fmt.Errorf("%s names %d endpoints; at most %d", what, len(names), MaxNamedEndpoints)
 	}
 	for _, name := range names {
 		if !slices.ContainsFunc(d.Endpoints, func(e Endpoint) bool { return e.Name == name }) {
@@ -105,11 +105,11 @@
 
 // checkContent checks the body and the header that a plug-in has set.
 func checkContent(r *Result, output int) error {
-	if r.HasBody && len(r.Body) > min(output, MostBody) {
-		return fmt.Errorf("a body of %d bytes; at most %d", len(r.Body), min(output, MostBody))
+	if r.HasBody && len(r.Body) > min(output, MaxBody) {
+		return fmt.Errorf("a body of %d bytes; at most %d", len(r.Body), min(output, MaxBody))
 	}
-	if len(r.Header) > MostHeader {
-		return fmt.Errorf("%d header fields; at most %d", len(r.Header), MostHeader)
+	if len(r.Header) > MaxHeaderFields {
+		return fmt.Errorf("%d header fields; at most %d", len(r.Header), MaxHeaderFields)
 	}
 	for _, f := range r.Header {
 		if err := checkField(f); err != nil {
@@ -127,12 +127,12 @@
 func checkField(f message.Field) error {
 	lower := strings.ToLower(f.Name)
 	switch {
-	case f.Name == "" || len(f.Name) > MostName || strings.ContainsFunc(f.Name, notToken):
-		return fmt.Errorf("%.64q is no name of a header field: letters, digits and - _ . of %d bytes at most", f.Name, MostName)
+	case f.Name == "" || len(f.Name) > MaxFieldName || strings.ContainsFunc(f.Name, notToken):
+		return fmt.Errorf("%.64q is no name of a header field: letters, digits and - _ . of %d bytes at most", f.Name, MaxFieldName)
 	case slices.Contains(ours, lower) || strings.HasPrefix(lower, "req-"):
 		return fmt.Errorf("the header field %s is the forwarder's own", f.Name)
-	case len(f.Value) > MostValue || strings.ContainsFunc(f.Value, notPrintable):
-		return fmt.Errorf("the value of header field %s is not printable ASCII of %d bytes at most", f.Name, MostValue)
+	case len(f.Value) > MaxFieldValue || strings.ContainsFunc(f.Value, notPrintable):
+		return fmt.Errorf("the value of header field %s is not printable ASCII of %d bytes at most", f.Name, MaxFieldValue)
 	}
 	return nil
 }
@@ -171,8 +171,8 @@
 	if err := checkContent(r, output); err != nil {
 		return err
 	}
-	if header := merge(c.Header, r.Header); len(header) > 2*MostHeader {
-		return fmt.Errorf("%d header fields of all plug-ins together; at most %d", len(header), 2*MostHeader)
+	if header := merge(c.Header, r.Header); len(header) > 2*MaxHeaderFields {
+		return fmt.Errorf("%d header fields of all plug-ins together; at most %d", len(header), 2*MaxHeaderFields)
 	} else if len(r.Header) > 0 {
 		c.Header = header
 	}
@@ -182,9 +182,9 @@
 	return nil
 }
 
-// Caution makes an outcome count for less, as a plug-in asks: a delivery may be none, and a wait may be longer. What may have
+// RestrictOutcome makes an outcome count for less, as a plug-in asks: a delivery may be none, and a wait may be longer. What may have
 // run never becomes what never ran, and no wait becomes shorter.
-func Caution(o decide.Outcome, r *Result) (decide.Outcome, error) {
+func RestrictOutcome(o decide.Outcome, r *Result) (decide.Outcome, error) {
 	if r.Refuse || r.HasBody || len(r.Header)+len(r.Only)+len(r.Prefer) > 0 {
 		return o, errors.New("of a reply it can only be said that it is no delivery, and a wait")
 	}
@@ -200,14 +200,14 @@
 }
 
 func waitOf(r *Result) (time.Duration, error) {
-	if !(r.WaitMS >= 0 && r.WaitMS <= float64(MostWait/time.Millisecond)) { // not a number counts as well
-		return 0, fmt.Errorf("a wait of %v ms; from 0 to %v", r.WaitMS, MostWait)
+	if !(r.WaitMS >= 0 && r.WaitMS <= float64(MaxWait/time.Millisecond)) { // not a number counts as well
+		return 0, fmt.Errorf("a wait of %v ms; from 0 to %v", r.WaitMS, MaxWait)
 	}
 	return time.Duration(r.WaitMS * float64(time.Millisecond)), nil
 }
 
-// Line makes one printable line of a text, cut to so many bytes.
-func Line(text string, most int) string {
+// SanitizeLine makes one printable line of a text, cut to so many bytes.
+func SanitizeLine(text string, most int) string {
 	text = strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r == utf8.RuneError || r == 0x2028 || r == 0x2029 {
 			return ' '
@@ -223,13 +223,13 @@
 	return text[:most]
 }
 
-// Choices bounds the sets of endpoints that messages for one destination are narrowed to: the decision module keeps those of
+// EndpointSets bounds the sets of endpoints that messages for one destination are narrowed to: the decision module keeps those of
 // one set apart from the others.
-type Choices map[int]map[string]bool
+type EndpointSets map[int]map[string]bool
 
 // Admit tells whether one more message may be narrowed so. It counts the set, and lets go of those that name an endpoint
 // which is not listed any more: names come and go.
-func (c Choices) Admit(destination int, only []string, listed []Endpoint) bool {
+func (c EndpointSets) Admit(destination int, only []string, listed []Endpoint) bool {
 	if len(only) == 0 {
 		return true
 	}
@@ -238,14 +238,14 @@
 	if sets[key] {
 		return true
 	}
-	if len(sets) >= MostChoices {
+	if len(sets) >= MaxEndpointSets {
 		maps.DeleteFunc(sets, func(key string, _ bool) bool {
 			return slices.ContainsFunc(strings.Split(key, "\x00"), func(name string) bool {
 				return !slices.ContainsFunc(listed, func(e Endpoint) bool { return e.Name == name })
 			})
 		})
 	}
-	if len(sets) >= MostChoices {
+	if len(sets) >= MaxEndpointSets {
 		return false
 	}
 	if sets == nil {
--- a/internal/plugin/runner/pool.go
+++ b/internal/plugin/runner/pool.go
@@ -177,7 +177,7 @@
 	cpu, costly := held, false
 	switch {
 	case err == errBusy:
-		cpu, costly = 0, ticket.Trial()
+		cpu, costly = 0, ticket.IsProbe()
 	case err != nil:
 		costly = true
 	default:
@@ -185,9 +185,9 @@
 		costly = r.Error != "" && r.Costly
 	}
 	p.mu.Lock()
-	was := p.guard.IsOpen()
+	was := p.guard.IsCircuitOpen()
 	p.guard.Done(ticket, time.Since(p.began), cpu, costly, rand.Float64())
-	is := p.guard.IsOpen()
+	is := p.guard.IsCircuitOpen()
 	p.mu.Unlock()
 	if was != is {
 		slog.Warn("a plug-in's circuit", "plugin", p.spec.Name, "open", is, "err", err)
@@ -197,11 +197,11 @@
 		return err
 	}
 	if err == nil && r.Error != "" {
-		err = errors.New(plugin.Line(r.Error, 1000))
+		err = errors.New(plugin.SanitizeLine(r.Error, 1000))
 	}
 	changed := false
 	if err == nil {
-		if changed = r.Changes(); changed {
+		if changed = r.RequestsChange(); changed {
 			err = use(r)
 		}
 	}
@@ -211,8 +211,8 @@
 		if r != nil {
 			s.Steps += r.Steps
 			for name, n := range r.Counts {
-				if _, there := s.Counts[name]; n > 0 && (there || len(s.Counts) < plugin.MostCounts) {
-					s.Counts[plugin.Line(name, plugin.MostName)] += uint64(n)
+				if _, there := s.Counts[name]; n > 0 && (there || len(s.Counts) < plugin.MaxCounters) {
+					s.Counts[plugin.SanitizeLine(name, plugin.MaxFieldName)] += uint64(n)
 				}
 			}
 		}
@@ -303,8 +303,8 @@
 // say logs what the code wants said.
 func (p *pool) say(q *plugin.Request, lines []string) {
 	p.limited(func(unsaid int) {
-		for _, line := range lines[:min(len(lines), plugin.MostLines)] {
-			slog.Info("a plug-in says", "plugin", p.spec.Name, "point", q.Point, "id", q.ID, "text", plugin.Line(line, plugin.MostLine), "unsaid", unsaid)
+		for _, line := range lines[:min(len(lines), plugin.MaxLogLines)] {
+			slog.Info("a plug-in says", "plugin", p.spec.Name, "point", q.Point, "id", q.ID, "text", plugin.SanitizeLine(line, plugin.MaxLogLine), "unsaid", unsaid)
 		}
 	})
 }
@@ -330,7 +330,7 @@
 	defer p.mu.Unlock()
 	s := p.status
 	s.Circuit = "closed"
-	if p.guard.IsOpen() {
+	if p.guard.IsCircuitOpen() {
 		s.Circuit = "open"
 	}
 	s.Processes = int(p.alive.Load())
--- a/internal/plugin/runner/process.go
+++ b/internal/plugin/runner/process.go
@@ -49,7 +49,7 @@
 	cmd.Env = []string{"GOMAXPROCS=1", "GOTRACEBACK=none"} // nothing of ours
 	cmd.Dir = "/"
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // what a terminal sends us is not for it
-	p := &process{cmd: cmd, conn: pipe.New(bufio.NewReaderSize(from, 16<<10), to), to: to, from: from, gone: make(chan struct{})}
+	p := &process{cmd: cmd, conn: pipe.NewConn(bufio.NewReaderSize(from, 16<<10), to), to: to, from: from, gone: make(chan struct{})}
 	if err := cmd.Start(); err != nil {
 		p.close()
 		return nil, fmt.Errorf("no process for plug-ins can be started: put scaleroute-plugin-host beside the daemon, or name it by -plugin-host: %w", err)
@@ -58,9 +58,9 @@
 		cmd.Wait()
 		close(p.gone)
 	}()
-	var answer pipe.Started
+	var answer pipe.StartResponse
 	p.limit(startTime)
-	err = p.conn.Send(pipe.Start{Name: s.Name, File: s.File, Source: s.Source, Steps: s.Steps, Output: s.Output, Memory: s.Memory,
+	err = p.conn.Send(pipe.StartRequest{Name: s.Name, File: s.File, Source: s.Source, Steps: s.Steps, Output: s.Output, Memory: s.Memory,
 		HardMS: 4 * float64(s.Time) / float64(time.Millisecond)}, nil)
 	if err == nil {
 		_, err = p.conn.Receive(&answer, 0)
@@ -88,10 +88,10 @@
 // ask asks it. After an error it is of no use any more.
 func (p *process) ask(q *plugin.Request, left time.Duration, output int) (*plugin.Result, error) {
 	p.limit(left)
-	if err := p.conn.Ask(q); err != nil {
+	if err := p.conn.SendRequest(q); err != nil {
 		return nil, err
 	}
-	return p.conn.Result(output)
+	return p.conn.ReceiveResult(output)
 }
 
 // kill ends it at once, and waits until it has.
--- a/internal/plugin/runner/runner.go
+++ b/internal/plugin/runner/runner.go
@@ -23,8 +23,8 @@
 	retirePause   = 5 * time.Millisecond // between two looks whether a replaced version is still used
 )
 
-// Taker takes a message on or turns it away.
-type Taker interface {
+// Acceptor takes a message on or turns it away.
+type Acceptor interface {
 	Accept(*message.Message) engine.Answer
 }
 
@@ -51,7 +51,7 @@
 	users atomic.Int64 // that may still ask them
 
 	mu      sync.Mutex
-	choices plugin.Choices
+	choices plugin.EndpointSets
 }
 
 // New makes a Runner without plug-ins. The command starts a process that serves one (package host).
@@ -59,7 +59,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r := &Runner{command: command, ctx: ctx, stop: stop, finals: make(chan engine.MessageOutcome, finalsWaiting),
 		active: map[int][]plugin.Endpoint{}, where: map[string]int{}}
-	r.now.Store(&set{choices: plugin.Choices{}})
+	r.now.Store(&set{choices: plugin.EndpointSets{}})
 	r.wg.Go(r.observe)
 	return r
 }
@@ -86,7 +86,7 @@
 	defer r.load.Unlock()
 	r.retired.Wait()
 	old := r.now.Load()
-	next := &set{choices: plugin.Choices{}}
+	next := &set{choices: plugin.EndpointSets{}}
 	kept := map[*pool]bool{}
 	var opened []*pool
 	for i := range specs {
@@ -107,7 +107,7 @@
 		opened = append(opened, p)
 		next.pools = append(next.pools, p)
 	}
-	slices.SortFunc(next.pools, func(a, b *pool) int { return plugin.InOrder(&a.spec, &b.spec) })
+	slices.SortFunc(next.pools, func(a, b *pool) int { return plugin.CompareOrder(&a.spec, &b.spec) })
 	r.now.Store(next)
 	for _, p := range old.pools {
 		if kept[p] {
@@ -146,11 +146,11 @@
 }
 
 // Front asks about messages before next takes them on.
-func (r *Runner) Front(next Taker) Taker { return front{r, next} }
+func (r *Runner) Front(next Acceptor) Acceptor { return front{r, next} }
 
 type front struct {
 	r    *Runner
-	next Taker
+	next Acceptor
 }
 
 // Take runs in the goroutine of the message's client. What the plug-ins take of its time counts in the message's time.
@@ -168,7 +168,7 @@
 	defer s.giveBack()
 	var d *plugin.Draft
 	for _, p := range s.pools {
-		if !p.spec.Binds(plugin.Intake, m.Class, m.RequestedDestination()) {
+		if !p.spec.AppliesTo(plugin.Intake, m.Class, m.RequestedDestination()) {
 			continue
 		}
 		if d == nil {
@@ -179,7 +179,7 @@
 			}
 			d = &plugin.Draft{Body: body, Endpoints: f.r.endpoints(m.Destination)}
 		}
-		q := &plugin.Request{Point: plugin.Intake, ID: m.ID, Class: m.Class, Destination: m.RequestedDestination(), Left: (m.TimeLeft - time.Since(m.ReadAt)).Seconds(),
+		q := &plugin.Request{Point: plugin.Intake, ID: m.ID, Class: m.Class, Destination: m.RequestedDestination(), TimeLeft: (m.TimeLeft - time.Since(m.ReadAt)).Seconds(),
 			Header: d.Header, Endpoints: d.Endpoints, Body: d.Body}
 		err := p.ask(q, func(r *plugin.Result) error {
 			next := *d
@@ -187,7 +187,7 @@
 				return err
 			}
 			if !s.admits(m.Destination, next.Only, d.Endpoints) {
-				return fmt.Errorf("messages for destination %d are narrowed to %d sets of endpoints already; %q is one more", m.Destination, plugin.MostChoices, next.Only)
+				return fmt.Errorf("messages for destination %d are narrowed to %d sets of endpoints already; %q is one more", m.Destination, plugin.MaxEndpointSets, next.Only)
 			}
 			*d = next
 			return nil
@@ -303,13 +303,13 @@
 	s := c.r.use()
 	defer s.giveBack()
 	for _, p := range s.pools {
-		if !p.spec.Binds(plugin.Reply, a.Class, a.Destination) {
+		if !p.spec.AppliesTo(plugin.Reply, a.Class, a.Destination) {
 			continue
 		}
 		q := &plugin.Request{Point: plugin.Reply, ID: a.ID, Class: a.Class, Destination: a.Destination, Endpoint: c.name, Attempt: a.Number,
 			Status: a.Reply.Status, ReplyHeader: a.Reply.Header, ReplyBody: a.Reply.Body}
 		p.ask(q, func(r *plugin.Result) (err error) { // without its word the reply means what it says
-			o, err = plugin.Caution(o, r)
+			o, err = plugin.RestrictOutcome(o, r)
 			return err
 		})
 	}
@@ -323,10 +323,10 @@
 	began := time.Now()
 	var content *plugin.Content
 	for _, p := range s.pools {
-		if p.spec.Binds(plugin.Reply, a.Class, a.Destination) {
-			a.Reply = &engine.Reply{MaxBody: plugin.ReplyBody}
+		if p.spec.AppliesTo(plugin.Reply, a.Class, a.Destination) {
+			a.Reply = &engine.Reply{MaxBody: plugin.MaxReplyBody}
 		}
-		if !p.spec.Binds(plugin.Call, a.Class, a.Destination) {
+		if !p.spec.AppliesTo(plugin.Call, a.Class, a.Destination) {
 			continue
 		}
 		if content == nil {
@@ -337,7 +337,7 @@
 			}
 			content = &plugin.Content{Body: body, Header: a.Header}
 		}
-		q := &plugin.Request{Point: plugin.Call, ID: a.ID, Class: a.Class, Destination: a.Destination, Left: (a.Timeout - time.Since(began)).Seconds(),
+		q := &plugin.Request{Point: plugin.Call, ID: a.ID, Class: a.Class, Destination: a.Destination, TimeLeft: (a.Timeout - time.Since(began)).Seconds(),
 			Endpoint: c.name, Attempt: a.Number, Header: content.Header, Body: content.Body}
 		err := p.ask(q, func(r *plugin.Result) error {
 			next := *content
@@ -360,8 +360,8 @@
 	return o, true
 }
 
-// Ended is for the engine to tell of ends. It does not wait.
-func (r *Runner) Ended(e engine.MessageOutcome) {
+// ObserveOutcome is for the engine to tell of ends. It does not wait.
+func (r *Runner) ObserveOutcome(e engine.MessageOutcome) {
 	if len(r.now.Load().pools) == 0 {
 		return
 	}
@@ -381,8 +381,8 @@
 		case e := <-r.finals:
 			s := r.use()
 			for _, p := range s.pools {
-				if p.spec.Binds(plugin.Final, e.Class, e.Destination) {
-					p.ask(&plugin.Request{Point: plugin.Final, ID: e.ID, Class: e.Class, Destination: e.Destination, End: e.Result},
+				if p.spec.AppliesTo(plugin.Final, e.Class, e.Destination) {
+					p.ask(&plugin.Request{Point: plugin.Final, ID: e.ID, Class: e.Class, Destination: e.Destination, Outcome: e.Result},
 						func(*plugin.Result) error { return errors.New("after the end nothing can be changed") })
 				}
 			}
--- a/internal/plugin/runner/runner_test.go
+++ b/internal/plugin/runner/runner_test.go
@@ -92,7 +92,7 @@
 	return engine.Answer{Kind: engine.Accepted}
 }
 
-func handIn(f Taker, body string) engine.Answer {
+func handIn(f Acceptor, body string) engine.Answer {
 	return f.Accept(&message.Message{ID: "7f", Class: "note", Destination: 7, TimeLeft: 3 * time.Second, ReadAt: time.Now(), Body: message.Bytes(body)})
 }
 
@@ -149,18 +149,18 @@
 
 // answer is a process that takes a time for its first answer, and another for each more; they name the message they are about.
 func answer(first, more time.Duration) {
-	c := pipe.New(os.Stdin, os.Stdout)
-	c.Receive(&pipe.Start{}, 0)
-	c.Send(pipe.Started{Points: []plugin.Point{plugin.Intake}}, nil)
+	c := pipe.NewConn(os.Stdin, os.Stdout)
+	c.Receive(&pipe.StartRequest{}, 0)
+	c.Send(pipe.StartResponse{Points: []plugin.Point{plugin.Intake}}, nil)
 	for n := 0; ; n++ {
-		q, err := c.Question()
+		q, err := c.ReceiveRequest()
 		if err != nil {
 			return
 		}
 		if time.Sleep(more); n == 0 {
 			time.Sleep(first - more)
 		}
-		c.Answer(&plugin.Result{HasBody: true, Body: []byte(q.ID)})
+		c.SendResult(&plugin.Result{HasBody: true, Body: []byte(q.ID)})
 	}
 }
 
@@ -419,7 +419,7 @@
 			if o := r.Back(end).Endpoint("a").Call(t.Context(), engine.Attempt{ID: "7f", Class: "note", Destination: 7, Body: message.Bytes("body"), Timeout: time.Minute}); o.Result != decide.Overloaded && o.Result != decide.NotSent {
 				t.Fatalf("%+v\n%s", o, source)
 			}
-			r.Ended(engine.MessageOutcome{ID: "7f", Class: "note", Destination: 7, Result: "failed"})
+			r.ObserveOutcome(engine.MessageOutcome{ID: "7f", Class: "note", Destination: 7, Result: "failed"})
 			calls++
 		}
 	}
--- a/internal/plugin/runner/trial.go
+++ b/internal/plugin/runner/trial.go
@@ -4,21 +4,21 @@
 	"scaleroute/internal/plugin"
 )
 
-// Trial is one process with a plug-in to try out. It is used by one goroutine at a time.
-type Trial struct {
+// TestProcess is one process with a plug-in to try out. It is used by one goroutine at a time.
+type TestProcess struct {
 	command []string
 	spec    plugin.Spec
 	now     *process
 }
 
-// NewTrial starts one.
-func NewTrial(command []string, spec plugin.Spec) (*Trial, error) {
+// NewTestProcess starts one.
+func NewTestProcess(command []string, spec plugin.Spec) (*TestProcess, error) {
 	p, err := start(command, &spec)
-	return &Trial{command, spec, p}, err
+	return &TestProcess{command, spec, p}, err
 }
 
-// Ask asks it, without the rules being applied. After an error the next call starts a new process.
-func (t *Trial) Ask(q *plugin.Request) (r *plugin.Result, err error) {
+// Call asks it, without the rules being applied. After an error the next call starts a new process.
+func (t *TestProcess) Call(q *plugin.Request) (r *plugin.Result, err error) {
 	if t.now == nil {
 		if t.now, err = start(t.command, &t.spec); err != nil {
 			return nil, err
@@ -32,7 +32,7 @@
 }
 
 // Close ends it.
-func (t *Trial) Close() {
+func (t *TestProcess) Close() {
 	if t.now != nil {
 		t.now.kill()
 		t.now = nil
--- a/internal/plugin/script/modules.go
+++ b/internal/plugin/script/modules.go
@@ -145,12 +145,12 @@
 		return nil, err
 	}
 	r := t.Local("result").(*plugin.Result)
-	name = plugin.Line(name, plugin.MostName)
+	name = plugin.SanitizeLine(name, plugin.MaxFieldName)
 	if r.Counts == nil {
 		r.Counts = map[string]int{}
 	}
-	if _, there := r.Counts[name]; !there && len(r.Counts) >= plugin.MostCounts {
-		return nil, fmt.Errorf("count: more than %d counters", plugin.MostCounts)
+	if _, there := r.Counts[name]; !there && len(r.Counts) >= plugin.MaxCounters {
+		return nil, fmt.Errorf("count: more than %d counters", plugin.MaxCounters)
 	}
 	r.Counts[name] += min(max(n, 0), 1<<30)
 	return starlark.None, nil
@@ -237,7 +237,7 @@
 		return nil, err
 	}
 	// What it could grow to is bounded before it does.
-	if n := len(re.FindAllStringIndex(text, -1)); n*len(with) > 16*plugin.MostBody {
+	if n := len(re.FindAllStringIndex(text, -1)); n*len(with) > 16*plugin.MaxBody {
 		return nil, fmt.Errorf("%d replacements by %d bytes: more than a message can hold", n, len(with))
 	}
 	return starlark.String(re.ReplaceAllString(text, with)), nil
--- a/internal/plugin/script/script.go
+++ b/internal/plugin/script/script.go
@@ -23,8 +23,8 @@
 
 const (
 	loadSteps = 1_000_000 // of the code outside functions
-	// MostSource bounds a file, in bytes.
-	MostSource = 256 << 10
+	// MaxSource bounds a file, in bytes.
+	MaxSource = 256 << 10
 )
 
 // hooks has the parameters of each.
@@ -41,8 +41,8 @@
 
 // Compile reads a file. The error has its lines, one for each thing that is wrong, with the place.
 func Compile(file, source string) (*Program, error) {
-	if len(source) > MostSource {
-		return nil, fmt.Errorf("%s: %d bytes; at most %d", file, len(source), MostSource)
+	if len(source) > MaxSource {
+		return nil, fmt.Errorf("%s: %d bytes; at most %d", file, len(source), MaxSource)
 	}
 	p := &Program{file: file, hooks: map[plugin.Point]*starlark.Function{}, res: map[string]*regexp.Regexp{}}
 	p.known = p.builtins()
@@ -102,8 +102,8 @@
 }
 
 func addLine(r *plugin.Result, text string) {
-	if len(r.Lines) < plugin.MostLines {
-		r.Lines = append(r.Lines, plugin.Line(text, plugin.MostLine))
+	if len(r.Lines) < plugin.MaxLogLines {
+		r.Lines = append(r.Lines, plugin.SanitizeLine(text, plugin.MaxLogLine))
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 	t, over := p.thread(steps, r)
 	fail := func(text string, costly bool) {
-		*r = plugin.Result{Error: plugin.Line(text, 4*plugin.MostLine), Costly: costly, Steps: t.Steps, Lines: r.Lines, Counts: r.Counts}
+		*r = plugin.Result{Error: plugin.SanitizeLine(text, 4*plugin.MaxLogLine), Costly: costly, Steps: t.Steps, Lines: r.Lines, Counts: r.Counts}
 	}
 	defer func() {
 		if e := recover(); e != nil {
@@ -164,7 +164,7 @@
 	case plugin.Reply:
 		args = append(args, replyOf(q))
 	case plugin.Final:
-		args = append(args, starlark.String(q.End))
+		args = append(args, starlark.String(q.Outcome))
 	}
 	v, err := starlark.Call(t, hook, args, nil)
 	r.Steps = t.Steps
@@ -195,7 +195,7 @@
 		for _, f := range q.Header {
 			header.SetKey(starlark.String(f.Name), starlark.String(f.Value)) // fresh and hashable: no error
 		}
-		d["body"], d["left"], d["header"] = starlark.String(q.Body), starlark.Float(q.Left), header
+		d["body"], d["left"], d["header"] = starlark.String(q.Body), starlark.Float(q.TimeLeft), header
 	}
 	if q.Point == plugin.Intake {
 		list := make([]starlark.Value, len(q.Endpoints))
@@ -259,8 +259,8 @@
 			if !ok || !ok2 {
 				return nil, errors.New("change: header has something that is no string")
 			}
-			if w.result.Header = append(w.result.Header, message.Field{Name: name, Value: value}); len(w.result.Header) > plugin.MostHeader {
-				return nil, fmt.Errorf("change: more than %d header fields", plugin.MostHeader)
+			if w.result.Header = append(w.result.Header, message.Field{Name: name, Value: value}); len(w.result.Header) > plugin.MaxHeaderFields {
+				return nil, fmt.Errorf("change: more than %d header fields", plugin.MaxHeaderFields)
 			}
 		}
 	}
@@ -281,8 +281,8 @@
 			if !ok {
 				return nil, fmt.Errorf("change: %s has a %s; give names of endpoints, such as message.endpoints[0].name", l.name, v.Type())
 			}
-			if *l.to = append(*l.to, name); len(*l.to) > plugin.MostNamed {
-				return nil, fmt.Errorf("change: %s names more than %d endpoints", l.name, plugin.MostNamed)
+			if *l.to = append(*l.to, name); len(*l.to) > plugin.MaxNamedEndpoints {
+				return nil, fmt.Errorf("change: %s names more than %d endpoints", l.name, plugin.MaxNamedEndpoints)
 			}
 		}
 		if len(*l.to) == 0 && l.name == "only" {
@@ -298,7 +298,7 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "reason", &w.result.Reason, "retry_after??", &after); err != nil {
 		return nil, err
 	}
-	w.result.Reason = plugin.Line(w.result.Reason, plugin.MostReason)
+	w.result.Reason = plugin.SanitizeLine(w.result.Reason, plugin.MaxReason)
 	return w, w.wait("refuse: retry_after", after)
 }
 
@@ -328,8 +328,8 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", where, err)
 	}
-	if d > plugin.MostWait {
-		return fmt.Errorf("%s: %v; at most %v", where, d, plugin.MostWait)
+	if d > plugin.MaxWait {
+		return fmt.Errorf("%s: %v; at most %v", where, d, plugin.MaxWait)
 	}
 	w.result.WaitMS = float64(d) / float64(time.Millisecond)
 	return nil
--- a/internal/plugin/script/script_test.go
+++ b/internal/plugin/script/script_test.go
@@ -31,7 +31,7 @@
 		{"load(\"other.star\", \"x\")\n", "load"},
 		{"x = 1 // 0\n", "p.star:1:"},
 		{"for i in range(10000000):\n    pass\ndef intake(message):\n    pass\n", "too many steps"},
-		{strings.Repeat("#", MostSource+1), "at most"},
+		{strings.Repeat("#", MaxSource+1), "at most"},
 	} {
 		if _, err := Compile("p.star", c.source); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.60q: %v; %q is wanted", c.source, err, c.want)
@@ -85,7 +85,7 @@
 		{`message.body + message.class_name + str(message.destination) + message.endpoints[0].name + str(message.left)`, "bnote7s-13.0"},
 		{`"%s" % message.header`, `{"X-A": "1"}`},
 	} {
-		q := &plugin.Request{Point: plugin.Intake, Class: "note", Destination: 7, Body: []byte("b"), Left: 3, Endpoints: []plugin.Endpoint{{Name: "s-1"}}}
+		q := &plugin.Request{Point: plugin.Intake, Class: "note", Destination: 7, Body: []byte("b"), TimeLeft: 3, Endpoints: []plugin.Endpoint{{Name: "s-1"}}}
 		q.Header = append(q.Header, struct {
 			Name  string `json:"name"`
 			Value string `json:"value"`
@@ -114,7 +114,7 @@
 // TestBoundsOfOneCall: lines and counters are bounded, whatever the code does.
 func TestBoundsOfOneCall(t *testing.T) {
 	r := run(t, "def intake(message):\n    for i in range(1000):\n        log(\"\\n\" * 1000)\n        if i < 32:\n            count(str(i), 1 << 40)\n", &plugin.Request{Point: plugin.Intake})
-	if r.Error != "" || len(r.Lines) != plugin.MostLines || len(r.Lines[0]) > plugin.MostLine || strings.Contains(r.Lines[0], "\n") || len(r.Counts) != 32 || r.Counts["0"] > 1<<30 {
+	if r.Error != "" || len(r.Lines) != plugin.MaxLogLines || len(r.Lines[0]) > plugin.MaxLogLine || strings.Contains(r.Lines[0], "\n") || len(r.Counts) != 32 || r.Counts["0"] > 1<<30 {
 		t.Errorf("%d lines, %d counters: %s", len(r.Lines), len(r.Counts), r.Error)
 	}
 }
@@ -137,11 +137,11 @@
 			return
 		}
 		for _, point := range p.Points() {
-			r := p.Run(&plugin.Request{Point: point, ID: "id", Body: []byte(body), End: "failed"}, 20_000)
+			r := p.Run(&plugin.Request{Point: point, ID: "id", Body: []byte(body), Outcome: "failed"}, 20_000)
 			if r.Steps > 20_000+1<<20 {
 				t.Errorf("%d steps", r.Steps)
 			}
-			if (plugin.Line(r.Error, 1<<20) != r.Error) || r.Error != "" && r.Changes() {
+			if (plugin.SanitizeLine(r.Error, 1<<20) != r.Error) || r.Error != "" && r.RequestsChange() {
 				t.Errorf("%+v", r)
 			}
 		}
--- a/internal/plugin/spec.go
+++ b/internal/plugin/spec.go
@@ -38,14 +38,14 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// Binds tells whether a plug-in is asked about a message at a point.
-func (s *Spec) Binds(p Point, class string, destination int) bool {
+// AppliesTo tells whether a plug-in is asked about a message at a point.
+func (s *Spec) AppliesTo(p Point, class string, destination int) bool {
 	return slices.Contains(s.Points, p) && (len(s.Classes) == 0 || slices.Contains(s.Classes, class)) &&
 		(len(s.Destinations) == 0 || slices.Contains(s.Destinations, destination))
 }
 
-// Meet tells whether there are messages about which both are asked at one point.
-func (s *Spec) Meet(o *Spec) bool {
+// Overlaps tells whether there are messages about which both are asked at one point.
+func (s *Spec) Overlaps(o *Spec) bool {
 	return overlap(s.Classes, o.Classes) && overlap(s.Destinations, o.Destinations) &&
 		slices.ContainsFunc(s.Points, func(p Point) bool { return slices.Contains(o.Points, p) })
 }
@@ -54,7 +54,7 @@
 	return len(a) == 0 || len(b) == 0 || slices.ContainsFunc(a, func(x T) bool { return slices.Contains(b, x) })
 }
 
-// InOrder sorts specs as messages meet them.
-func InOrder(a, b *Spec) int {
+// CompareOrder sorts specs as messages meet them.
+func CompareOrder(a, b *Spec) int {
 	return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Name, b.Name))
 }
