--- a/internal/plugin/guard.go
+++ b/internal/plugin/guard.go
@@ -2,99 +2,100 @@
 
 import "time"
 
-// Allowance is what a plug-in may use.
+// Allowance bounds the CPU time that a plug-in may use and configures its circuit breaker.
 type Allowance struct {
-	CPU      time.Duration // of each second, on the average; as much may be used at once
-	Failures int           // costly ones in a row that open its circuit
-	Rest     time.Duration // the circuit's first; it doubles with each failed trial, up to MostRest
+	CPU      time.Duration // per second on average; the same amount may be used in one burst
+	Failures int           // consecutive costly failures that open the circuit
+	Rest     time.Duration // first interval for which the circuit stays open; each failed probe doubles it, up to MaxRest
 }
 
-// MaxRest is the longest time for which a circuit stays open without a trial.
+// MaxRest is the longest time for which a circuit stays open without a probe.
 const MaxRest = time.Minute
 
-// Verdict says whether a plug-in is asked.
+// Verdict says whether a plug-in may be called.
 type Verdict int
 
-// The verdicts.
+// Verdicts of Guard.Admit.
 const (
 	Run         Verdict = iota
-	CircuitOpen         // its circuit is open
-	CPUSpent            // it has used up its share of the processor
+	CircuitOpen         // the circuit breaker is open
+	CPUSpent            // the plug-in has used up its CPU allowance
 )
 
 func (v Verdict) String() string {
 	return [...]string{"run", "its circuit is open", "its CPU is spent"}[v]
 }
 
-// Guard decides whether a plug-in is asked. Only what is costly counts against it: a hook that ends in an error soon has failed
-// for its own message alone, or else a client could open the circuit for all others by what it sends.
+// Guard decides whether a plug-in may be called. It combines a circuit breaker with a CPU budget. Only costly failures count
+// towards opening the circuit: a hook that fails quickly has failed for one message, and if such failures counted, a client
+// could open the circuit for all other clients by the messages that it sends.
 type Guard struct {
-	allowed Allowance
-	used    time.Duration // of the CPU that comes back with time
-	at      time.Duration // when that was counted
-	failed  int           // in a row
-	open    bool
-	rest    time.Duration
-	until   time.Duration // no trial before
-	trial   bool          // one is out
+	allowance      Allowance
+	cpuUsed        time.Duration // CPU time used that the allowance has not replenished yet
+	refilledAt     time.Duration // when cpuUsed was last reduced by the allowance
+	costlyFailures int           // consecutive
+	open           bool
+	openInterval   time.Duration
+	probeAfter     time.Duration // no probe is admitted before this time
+	probing        bool          // a probe is in flight
 }
 
-// Ticket is for one admitted call.
-type Ticket struct{ trial bool }
+// Ticket identifies one admitted call.
+type Ticket struct{ probe bool }
 
-// NewGuard returns the guard of a plug-in that has done nothing yet.
-func NewGuard(a Allowance) *Guard { return &Guard{allowed: a} }
+// NewGuard returns a guard with a closed circuit and an unused CPU budget.
+func NewGuard(a Allowance) *Guard { return &Guard{allowance: a} }
 
-// IsProbe tells whether the call shows if an open circuit may be closed.
-func (t Ticket) IsProbe() bool { return t.trial }
+// IsProbe reports whether the call probes if the open circuit can be closed.
+func (t Ticket) IsProbe() bool { return t.probe }
 
-// Admit tells whether a call may begin now. Each that may must be told to Done, with its ticket.
+// Admit reports whether a call may begin now. The caller must pass the ticket of every admitted call to Done.
 func (g *Guard) Admit(now time.Duration) (Verdict, Ticket) {
 	g.refill(now)
 	switch {
-	case g.open && (now < g.until || g.trial):
+	case g.open && (now < g.probeAfter || g.probing):
 		return CircuitOpen, Ticket{}
-	case g.used >= g.allowed.CPU:
+	case g.cpuUsed >= g.allowance.CPU:
 		return CPUSpent, Ticket{}
 	}
-	g.trial = g.open
-	return Run, Ticket{g.trial}
+	g.probing = g.open
+	return Run, Ticket{g.probing}
 }
 
-// Done tells what an admitted call has used, and whether it failed in a costly way. chance, from 0 to 1, is drawn for each
-// call anew: it spreads the trials of many forwarders.
-func (g *Guard) Done(t Ticket, now, cpu time.Duration, costly bool, chance float64) {
+// Done records the CPU time that an admitted call has used, and whether it failed in a costly way. jitter is a random number
+// from 0 to 1, drawn for each call: it spreads the probes of many forwarders over time.
+func (g *Guard) Done(t Ticket, now, cpu time.Duration, costly bool, jitter float64) {
 	g.refill(now)
-	g.used += max(0, cpu)
-	if t.trial {
-		g.trial = false
+	g.cpuUsed += max(0, cpu)
+	if t.probe {
+		g.probing = false
 	}
 	if !costly {
-		g.failed = 0
-		if t.trial {
-			g.open, g.rest = false, 0
+		g.costlyFailures = 0
+		if t.probe {
+			g.open, g.openInterval = false, 0
 		}
 		return
 	}
-	g.failed++
+	g.costlyFailures++
 	switch {
-	case t.trial:
-		g.rest = min(2*g.rest, MaxRest)
-	case !g.open && g.failed >= g.allowed.Failures:
-		g.open, g.rest = true, g.allowed.Rest
-	default: // it had begun before the circuit opened
+	case t.probe:
+		g.openInterval = min(2*g.openInterval, MaxRest)
+	case !g.open && g.costlyFailures >= g.allowance.Failures:
+		g.open, g.openInterval = true, g.allowance.Rest
+	default: // the call began before the circuit opened
 		return
 	}
-	g.until = now + g.rest/2 + time.Duration(chance*float64(g.rest/2))
+	g.probeAfter = now + g.openInterval/2 + time.Duration(jitter*float64(g.openInterval/2))
 }
 
-// IsCircuitOpen tells whether the circuit is open.
+// IsCircuitOpen reports whether the circuit is open.
 func (g *Guard) IsCircuitOpen() bool { return g.open }
 
 func (g *Guard) refill(now time.Duration) {
-	if now <= g.at {
+	if now <= g.refilledAt {
 		return
 	}
-	g.used = max(0, g.used-time.Duration(float64(now-g.at)/float64(time.Second)*float64(g.allowed.CPU)))
-	g.at = now
+	g.cpuUsed = max(0, g.cpuUsed-time.Duration(float64(now-g.refilledAt)/float64(time.Second)*float64(g.allowance.CPU)))
+	g.refilledAt = now
 }
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -1,37 +1,37 @@
-// Package plugin is the contract between the forwarder and operators' code: what a hook is told, what it may answer, which of
-// that is let through, and when a plug-in is not asked at all. It does no I/O and reads no clock. The code runs in processes of
-// its own (package host), which package runner starts; docs/plugins.md is the operators' page.
+// Package plugin is the contract between the forwarder and operators' code: what a hook is given, what it may return, which of
+// its results are applied, and when a plug-in is not called at all. It does no I/O and reads no clock. The code runs in separate
+// processes (package host), which package runner starts; docs/plugins.md is the documentation for operators.
 package plugin
 
 import "scaleroute/internal/message"
 
-// Point is a place in a message's way where plug-ins are asked.
+// Point is a stage of processing a message at which plug-ins are called.
 type Point string
 
-// The points.
+// Points at which plug-ins are called.
 const (
-	Intake Point = "intake" // before a message is taken on: may alter, narrow, order or refuse it
-	Call   Point = "call"   // before an attempt of a message that may be repeated: may alter what it sends
-	Reply  Point = "reply"  // after an answer: may only make it count for less
-	Final  Point = "final"  // after the end: may only look on
+	Intake Point = "intake" // before a message is accepted: may alter or refuse it, and restrict or order its endpoints
+	Call   Point = "call"   // before an attempt of a message that may be sent more than once: may alter what the attempt sends
+	Reply  Point = "reply"  // after an endpoint's reply: may only downgrade the outcome
+	Final  Point = "final"  // after the message's final outcome: may only observe it
 )
 
-// Points lists them in the order in which a message meets them.
+// Points lists the points in the order in which a message passes them.
 var Points = []Point{Intake, Call, Reply, Final}
 
-// Bounds of what a plug-in may hand over, whatever it is set to.
+// Limits on what a plug-in may return or is given. They hold whatever the settings of the plug-in are.
 const (
-	MaxBody           = 64 << 10 // bytes: what the platform takes
+	MaxBody           = 64 << 10 // bytes: the platform's limit
 	MaxHeaderFields   = 16       // fields
 	MaxFieldName      = 64       // bytes of a field's name
-	MaxFieldValue     = 1024     // bytes of its value
-	MaxNamedEndpoints = 32       // endpoints that a message may be narrowed to, or prefer
+	MaxFieldValue     = 1024     // bytes of a field's value
+	MaxNamedEndpoints = 32       // endpoints in Only or in Prefer
 	MaxReason         = 200      // bytes
-	MaxLogLines       = 8        // lines for the log in one call
-	MaxLogLine        = 200      // bytes of one
+	MaxLogLines       = 8        // log lines of one call
+	MaxLogLine        = 200      // bytes of one log line
 	MaxCounters       = 32       // counters of one plug-in
-	MaxReplyBody      = 4 << 10  // bytes of an answer's body that a plug-in is shown
-	MaxEndpointSets   = 16       // sets of endpoints that messages for one destination may be narrowed to
+	MaxReplyBody      = 4 << 10  // bytes of a reply's body that a plug-in is given
+	MaxEndpointSets   = 16       // distinct sets of endpoints to which plug-ins may restrict the messages for one destination
 )
 
 // Endpoint is one endpoint of a message's destination.
@@ -41,46 +41,46 @@
 	Weight float64 `json:"weight,omitempty"`
 }
 
-// Request is what a hook is told. Which fields are set depends on the point.
+// Request holds the arguments of a hook. Which fields are set depends on the point; each field names its points.
 type Request struct {
 	Point       Point               `json:"point"`
 	ID          string              `json:"id"`
 	Class       string              `json:"class"`
 	Destination int                 `json:"destination"`
 	TimeLeft    float64             `json:"left,omitempty"`         // seconds; Intake, Call
-	Header      []message.Field     `json:"header,omitempty"`       // that will go along so far; Intake, Call
-	Endpoints   []Endpoint          `json:"endpoints,omitempty"`    // that a message may go to; Intake
+	Header      []message.Field     `json:"header,omitempty"`       // header fields set so far that will be sent with the message; Intake, Call
+	Endpoints   []Endpoint          `json:"endpoints,omitempty"`    // endpoints to which the message may be sent; Intake
 	Endpoint    string              `json:"endpoint,omitempty"`     // Call, Reply
-	Attempt     int                 `json:"attempt,omitempty"`      // from 0; Call, Reply
+	Attempt     int                 `json:"attempt,omitempty"`      // counted from 0; Call, Reply
 	Status      int                 `json:"status,omitempty"`       // Reply
 	ReplyHeader map[string][]string `json:"reply_header,omitempty"` // Reply
 	Outcome     string              `json:"end,omitempty"`          // delivered, refused or failed; Final
 	Body        []byte              `json:"-"`                      // of the message; Intake, Call
-	ReplyBody   []byte              `json:"-"`                      // its beginning; Reply
+	ReplyBody   []byte              `json:"-"`                      // the first MaxReplyBody bytes of the reply's body; Reply
 }
 
-// Result is what came of asking. Nothing in it is trusted.
+// Result is what a call of a hook returned. It comes from untrusted code: each field is checked before it is applied.
 type Result struct {
 	Refuse       bool            `json:"refuse,omitempty"`        // Intake
 	Reason       string          `json:"reason,omitempty"`        // with Refuse
-	WaitMS       float64         `json:"wait_ms,omitempty"`       // with Refuse: come again then. With a Reply: nothing is sent there until then
-	HasBody      bool            `json:"has_body,omitempty"`      // Body goes in the place of the message's
-	Header       []message.Field `json:"header,omitempty"`        // go along, in the place of those of the same names
+	WaitMS       float64         `json:"wait_ms,omitempty"`       // with Refuse: time after which the client may retry; at Reply: time during which nothing is sent to the endpoint
+	HasBody      bool            `json:"has_body,omitempty"`      // Body replaces the body of the message
+	Header       []message.Field `json:"header,omitempty"`        // header fields to send; each replaces one of the same name
 	Only         []string        `json:"only,omitempty"`          // Intake
 	Prefer       []string        `json:"prefer,omitempty"`        // Intake
-	NotDelivered bool            `json:"not_delivered,omitempty"` // Reply: what looks like a delivery may be none
+	NotDelivered bool            `json:"not_delivered,omitempty"` // Reply: the message may not have been delivered although the reply looks like success
 
-	Error  string         `json:"error,omitempty"`  // the code failed on this message; nothing else counts then
-	Costly bool           `json:"costly,omitempty"` // with Error: by using up what it is allowed
+	Error  string         `json:"error,omitempty"`  // the code failed on this message; the fields above are ignored then
+	Costly bool           `json:"costly,omitempty"` // with Error: the code exceeded its steps or the size of its output, or a built-in function panicked
 	Steps  uint64         `json:"steps,omitempty"`
 	CPU    int64          `json:"cpu_us,omitempty"` // microseconds
-	Lines  []string       `json:"lines,omitempty"`  // for the log
+	Lines  []string       `json:"lines,omitempty"`  // to be logged
 	Counts map[string]int `json:"counts,omitempty"` // added to the plug-in's counters
 
 	Body []byte `json:"-"`
 }
 
-// RequestsChange tells whether a result asks for anything.
+// RequestsChange reports whether the result asks for any change.
 func (r *Result) RequestsChange() bool {
 	return r.Refuse || r.HasBody || len(r.Header)+len(r.Only)+len(r.Prefer) > 0 || r.NotDelivered || r.WaitMS > 0
 }
--- a/internal/plugin/rules.go
+++ b/internal/plugin/rules.go
@@ -13,14 +13,14 @@
 	"scaleroute/internal/message"
 )
 
-// MaxWait bounds a wait that a plug-in asks for.
+// MaxWait bounds the retry-after time or delay that a plug-in may request.
 const MaxWait = 5 * time.Minute
 
-// Draft is a message on its way through the plug-ins at its intake, in their order. What one has set the next one sees. Where
-// they disagree: a refusal ends it; a message goes to endpoints that all of them permit; the order of an earlier one goes
-// first; a later body or header field replaces an earlier one.
+// Draft is a message that passes through the plug-ins at intake, in their order. Each plug-in sees the changes of those before
+// it. Conflicts are resolved as follows: the first refusal is final; a message is sent only to endpoints that all plug-ins
+// permit; endpoints preferred by an earlier plug-in come first; a later body or header field replaces an earlier one.
 type Draft struct {
-	Endpoints []Endpoint // that it may go to: the active ones of its destination
+	Endpoints []Endpoint // active endpoints of the message's destination
 	Body      []byte
 	Header    []message.Field
 	Only      []string
@@ -28,16 +28,17 @@
 
 	Refused bool
 	Reason  string
-	Wait    time.Duration // with Refused: come again then; 0 for never
+	Wait    time.Duration // with Refused: retry-after time; 0 if the client must not retry
 }
 
-// Apply takes one plug-in's result over, whole or not at all. The error says what it must not do. output bounds the body.
+// Apply applies the result of one plug-in completely or, if it breaks a rule, not at all; the error names the rule. output
+// limits the size of the body in bytes.
 func (d *Draft) Apply(r *Result, output int) error {
 	if r.NotDelivered {
 		return errors.New("only a reply can be told to be no delivery")
 	}
 	if r.Refuse {
-		wait, err := waitOf(r)
+		wait, err := parseWait(r)
 		if err != nil {
 			return err
 		}
@@ -50,14 +51,14 @@
 	if err := checkContent(r, output); err != nil {
 		return err
 	}
-	only, err := d.narrowed(r.Only)
+	only, err := d.intersectOnly(r.Only)
 	if err != nil {
 		return err
 	}
-	if err := d.known("prefer", r.Prefer); err != nil {
+	if err := d.checkEndpointNames("prefer", r.Prefer); err != nil {
 		return err
 	}
-	header := merge(d.Header, r.Header)
+	header := mergeHeader(d.Header, r.Header)
 	if len(header) > 2*MaxHeaderFields {
 		return fmt.Errorf("%d header fields of all plug-ins together; at most %d", len(header), 2*MaxHeaderFields)
 	}
@@ -65,7 +66,7 @@
 		d.Only = only
 	}
 	for _, name := range r.Prefer {
-		if !slices.Contains(d.Prefer, name) && len(d.Prefer) < MaxNamedEndpoints { // those of an earlier plug-in go first
+		if !slices.Contains(d.Prefer, name) && len(d.Prefer) < MaxNamedEndpoints { // those of an earlier plug-in come first
 			d.Prefer = append(d.Prefer, name)
 		}
 	}
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// known checks names of endpoints against those that the message may go to.
-func (d *Draft) known(what string, names []string) error {
+// checkEndpointNames returns an error if a name is not one of the message's endpoints. what is the field that holds the names.
+func (d *Draft) checkEndpointNames(what string, names []string) error {
 	if len(names) > MaxNamedEndpoints {
 		return fmt.Errorf("%s names %d endpoints; at most %d", what, len(names), MaxNamedEndpoints)
 	}
@@ -89,8 +90,9 @@
 	return nil
 }
 
-func (d *Draft) narrowed(only []string) ([]string, error) {
-	if err := d.known("only", only); err != nil || len(only) == 0 {
+// intersectOnly returns the endpoints of only that earlier plug-ins permit too.
+func (d *Draft) intersectOnly(only []string) ([]string, error) {
+	if err := d.checkEndpointNames("only", only); err != nil || len(only) == 0 {
 		return nil, err
 	}
 	list := slices.Compact(slices.Sorted(slices.Values(only)))
@@ -103,7 +105,7 @@
 	return list, nil
 }
 
-// checkContent checks the body and the header that a plug-in has set.
+// checkContent checks the limits on the body and on the header fields that a plug-in has set.
 func checkContent(r *Result, output int) error {
 	if r.HasBody && len(r.Body) > min(output, MaxBody) {
 		return fmt.Errorf("a body of %d bytes; at most %d", len(r.Body), min(output, MaxBody))
@@ -119,17 +121,18 @@
 	return nil
 }
 
-// ours are the fields that the forwarder writes itself, or that say where a message ends.
-var ours = []string{"host", "user-agent", "content-length", "transfer-encoding", "connection", "keep-alive", "proxy-connection",
+// reservedFields are the header fields that the forwarder writes itself or that delimit a message.
+var reservedFields = []string{"host", "user-agent", "content-length", "transfer-encoding", "connection", "keep-alive", "proxy-connection",
 	"te", "trailer", "upgrade", "expect"}
 
-// checkField lets no field through that could change the message's id, deadline, place or length, or begin another one.
+// checkField rejects a header field that could change the id, deadline, destination or length of a message, or inject another
+// field or message.
 func checkField(f message.Field) error {
 	lower := strings.ToLower(f.Name)
 	switch {
 	case f.Name == "" || len(f.Name) > MaxFieldName || strings.ContainsFunc(f.Name, notToken):
 		return fmt.Errorf("%.64q is no name of a header field: letters, digits and - _ . of %d bytes at most", f.Name, MaxFieldName)
-	case slices.Contains(ours, lower) || strings.HasPrefix(lower, "req-"):
+	case slices.Contains(reservedFields, lower) || strings.HasPrefix(lower, "req-"):
 		return fmt.Errorf("the header field %s is the forwarder's own", f.Name)
 	case len(f.Value) > MaxFieldValue || strings.ContainsFunc(f.Value, notPrintable):
 		return fmt.Errorf("the value of header field %s is not printable ASCII of %d bytes at most", f.Name, MaxFieldValue)
@@ -143,8 +146,8 @@
 
 func notPrintable(r rune) bool { return r < ' ' || r > '~' }
 
-// merge puts fields in the place of those of the same names, or behind the others.
-func merge(header, more []message.Field) []message.Field {
+// mergeHeader returns header with the fields of more, which replace those of the same name or are appended.
+func mergeHeader(header, more []message.Field) []message.Field {
 	header = slices.Clone(header)
 	for _, f := range more {
 		same := func(o message.Field) bool { return strings.EqualFold(o.Name, f.Name) }
@@ -163,7 +166,7 @@
 	Header []message.Field
 }
 
-// Apply takes over what a plug-in sets for one attempt, whole or not at all.
+// Apply applies what a plug-in sets for one attempt completely or, if it breaks a rule, not at all.
 func (c *Content) Apply(r *Result, output int) error {
 	if r.Refuse || r.NotDelivered || r.WaitMS != 0 || len(r.Only)+len(r.Prefer) > 0 {
 		return errors.New("before a call, body and header alone can be set")
@@ -171,7 +174,7 @@
 	if err := checkContent(r, output); err != nil {
 		return err
 	}
-	if header := merge(c.Header, r.Header); len(header) > 2*MaxHeaderFields {
+	if header := mergeHeader(c.Header, r.Header); len(header) > 2*MaxHeaderFields {
 		return fmt.Errorf("%d header fields of all plug-ins together; at most %d", len(header), 2*MaxHeaderFields)
 	} else if len(r.Header) > 0 {
 		c.Header = header
@@ -182,13 +185,13 @@
 	return nil
 }
 
-// RestrictOutcome makes an outcome count for less, as a plug-in asks: a delivery may be none, and a wait may be longer. What may have
-// run never becomes what never ran, and no wait becomes shorter.
+// RestrictOutcome downgrades an outcome as a plug-in requests: it may turn a success into an error and extend the retry-after time.
+// It never turns an attempt that the endpoint may have processed into one that was not sent, and never shortens a retry-after.
 func RestrictOutcome(o decide.Outcome, r *Result) (decide.Outcome, error) {
 	if r.Refuse || r.HasBody || len(r.Header)+len(r.Only)+len(r.Prefer) > 0 {
 		return o, errors.New("of a reply it can only be said that it is no delivery, and a wait")
 	}
-	wait, err := waitOf(r)
+	wait, err := parseWait(r)
 	if err != nil {
 		return o, err
 	}
@@ -199,36 +202,37 @@
 	return o, nil
 }
 
-func waitOf(r *Result) (time.Duration, error) {
-	if !(r.WaitMS >= 0 && r.WaitMS <= float64(MaxWait/time.Millisecond)) { // not a number counts as well
+func parseWait(r *Result) (time.Duration, error) {
+	if !(r.WaitMS >= 0 && r.WaitMS <= float64(MaxWait/time.Millisecond)) { // negated so that NaN is rejected too
 		return 0, fmt.Errorf("a wait of %v ms; from 0 to %v", r.WaitMS, MaxWait)
 	}
 	return time.Duration(r.WaitMS * float64(time.Millisecond)), nil
 }
 
-// SanitizeLine makes one printable line of a text, cut to so many bytes.
-func SanitizeLine(text string, most int) string {
+// SanitizeLine replaces control characters, line separators and invalid UTF-8 by spaces, and cuts the text to limit bytes at a
+// character boundary.
+func SanitizeLine(text string, limit int) string {
 	text = strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r == utf8.RuneError || r == 0x2028 || r == 0x2029 {
 			return ' '
 		}
 		return r
 	}, text)
-	if len(text) <= most {
+	if len(text) <= limit {
 		return text
 	}
-	for most > 0 && !utf8.RuneStart(text[most]) {
-		most--
+	for limit > 0 && !utf8.RuneStart(text[limit]) {
+		limit--
 	}
-	return text[:most]
+	return text[:limit]
 }
 
-// EndpointSets bounds the sets of endpoints that messages for one destination are narrowed to: the decision module keeps those of
-// one set apart from the others.
+// EndpointSets bounds the distinct sets of endpoints to which the messages for one destination are restricted: the decision
+// module keeps a separate group for each set.
 type EndpointSets map[int]map[string]bool
 
-// Admit tells whether one more message may be narrowed so. It counts the set, and lets go of those that name an endpoint
-// which is not listed any more: names come and go.
+// Admit reports whether a message may be restricted to the endpoints of only, and records the set. When the limit is reached it
+// first forgets the sets that name an endpoint which is no longer listed, since endpoints come and go.
 func (c EndpointSets) Admit(destination int, only []string, listed []Endpoint) bool {
 	if len(only) == 0 {
 		return true
