--- a/internal/plugin/runner/bench_test.go
+++ b/internal/plugin/runner/bench_test.go
@@ -11,7 +11,7 @@
 	"scaleroute/internal/message"
 )
 
-// BenchmarkIntake is what a message costs until it would be taken on, with the process's CPU beside the time.
+// BenchmarkIntake measures the intake of a message up to its acceptance, and reports the CPU time of the host process as well.
 func BenchmarkIntake(b *testing.B) {
 	rename, err := os.ReadFile("../../../examples/plugins/rename-field.star")
 	if err != nil {
@@ -25,7 +25,7 @@
 			r := New(command(b))
 			defer r.Close()
 			if c.source != "" {
-				r = loaded(b, spec(b, "p", c.source))
+				r = newLoadedRunner(b, spec(b, "p", c.source))
 			}
 			m := map[string]string{"municipality": "Tartu"}
 			for i := 0; i*60 < c.bytes-100; i++ {
@@ -35,7 +35,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			f := r.Front(&taker{})
+			f := r.Front(&acceptRecorder{})
 			for b.Loop() {
 				f.Accept(&message.Message{ID: "7f", Class: "note", Destination: 7, TimeLeft: 3 * time.Second, ReadAt: time.Now(), Body: message.Bytes(body)})
 			}
--- a/internal/plugin/runner/pool.go
+++ b/internal/plugin/runner/pool.go
@@ -16,48 +16,48 @@
 )
 
 const (
-	firstBackoff = 100 * time.Millisecond // before a process that ended is started again; doubles
-	mostBackoff  = 10 * time.Second
-	longLife     = 10 * time.Second // of a process: the next one is started as if it were the first
-	waitersEach  = 1024             // for one process
-	logEvery     = time.Second      // lines on failures of one plug-in
-	keptErrors   = 8
+	firstBackoff         = 100 * time.Millisecond // delay before an ended process is started again; doubles with each attempt
+	maxBackoff           = 10 * time.Second
+	stableUptime         = 10 * time.Second // a process that ran longer resets the back-off to firstBackoff
+	maxWaitersPerProcess = 1024             // calls that may wait, for each process of the pool
+	logInterval          = time.Second      // at most one log entry per plug-in in this time
+	maxKeptErrors        = 8
 )
 
-// pool is the processes of one plug-in.
+// pool holds the host processes of one plug-in and its status.
 type pool struct {
 	spec    plugin.Spec
 	command []string
-	began   time.Time
+	created time.Time
 	idle    chan *process
 	alive   atomic.Int32
 	waiters atomic.Int32
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 
-	mu     sync.Mutex
-	guard  *plugin.Guard
-	status Status
-	logged time.Time
-	unsaid int
+	mu         sync.Mutex
+	guard      *plugin.Guard
+	status     Status
+	lastLogged time.Time
+	suppressed int
 }
 
-// Status is what a plug-in has done since it was loaded.
+// Status holds the counters of a plug-in since it was loaded.
 type Status struct {
 	Name      string            `json:"name"`
 	Digest    string            `json:"digest"`
 	Circuit   string            `json:"circuit"` // closed or open
 	Processes int               `json:"processes"`
 	Calls     uint64            `json:"calls"`
-	Changed   uint64            `json:"changed"`  // something was asked for and let through
-	Failed    uint64            `json:"failed"`   // errors of the code, or something asked for that must not be
-	Costly    uint64            `json:"costly"`   // steps, time or memory used up
-	Skipped   uint64            `json:"skipped"`  // not asked: circuit open, CPU spent, too many waiting
-	Restarts  uint64            `json:"restarts"` // of processes
+	Changed   uint64            `json:"changed"`  // calls whose requested changes were applied
+	Failed    uint64            `json:"failed"`   // errors of the code, of its processes, or results that break a rule
+	Costly    uint64            `json:"costly"`   // failures by exceeding the steps, time or memory, or by ending the process
+	Skipped   uint64            `json:"skipped"`  // not called: circuit open, CPU allowance used up, all processes busy
+	Restarts  uint64            `json:"restarts"` // of host processes
 	CPU       float64           `json:"cpu_seconds"`
 	Steps     uint64            `json:"steps"`
 	Counts    map[string]uint64 `json:"counts,omitempty"`
-	Errors    []Failure         `json:"errors,omitempty"` // the last ones
+	Errors    []Failure         `json:"errors,omitempty"` // the last maxKeptErrors
 }
 
 // Failure is one error of a plug-in.
@@ -68,71 +68,73 @@
 	Error string       `json:"error"`
 }
 
-// open starts a pool. It is there when the first process says that the code is well; the others follow.
-func open(ctx context.Context, command []string, spec plugin.Spec) (*pool, error) {
-	first, err := start(command, &spec)
+// openPool starts a pool. It returns as soon as the first process has compiled the code; the other processes start in the
+// background.
+func openPool(ctx context.Context, command []string, spec plugin.Spec) (*pool, error) {
+	first, err := startProcess(command, &spec)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	p := &pool{spec: spec, command: command, began: time.Now(), idle: make(chan *process, spec.Processes), cancel: cancel,
+	p := &pool{spec: spec, command: command, created: time.Now(), idle: make(chan *process, spec.Processes), cancel: cancel,
 		guard: plugin.NewGuard(spec.Allowance), status: Status{Name: spec.Name, Digest: spec.Digest(), Counts: map[string]uint64{}}}
 	p.alive.Add(1)
 	p.idle <- first
-	p.wg.Go(func() { p.keep(ctx, first) })
+	p.wg.Go(func() { p.supervise(ctx, first) })
 	for range spec.Processes - 1 {
-		p.wg.Go(func() { p.keep(ctx, nil) })
+		p.wg.Go(func() { p.supervise(ctx, nil) })
 	}
 	return p, nil
 }
 
-// keep keeps one process there, until ctx ends; the first may be there already.
-func (p *pool) keep(ctx context.Context, now *process) {
-	for tries := 0; ; tries++ {
+// supervise keeps one process running, and restarts it with back-off, until ctx ends. current is a process that runs already, or
+// nil.
+func (p *pool) supervise(ctx context.Context, current *process) {
+	for attempts := 0; ; attempts++ {
 		began := time.Now()
-		if now == nil {
+		if current == nil {
 			var err error
-			if now, err = start(p.command, &p.spec); err != nil {
-				p.fail(nil, fmt.Errorf("it can't be started: %w", err), false)
+			if current, err = startProcess(p.command, &p.spec); err != nil {
+				p.recordFailure(nil, fmt.Errorf("it can't be started: %w", err), false)
 			} else {
 				p.alive.Add(1)
-				select { // one that has ended may still be in its place, until somebody takes it
-				case p.idle <- now:
+				select { // blocks while an ended process still occupies the place, until a call or removeIdle takes it out
+				case p.idle <- current:
 				case <-ctx.Done():
-					now.kill()
+					current.kill()
 					return
 				}
 			}
 		}
-		if now != nil {
+		if current != nil {
 			select {
 			case <-ctx.Done():
-				now.kill()
+				current.kill()
 				return
-			case <-now.gone:
+			case <-current.exited:
 			}
-			now.close()
-			p.takeOut(now)
-			now = nil
+			current.close()
+			p.removeIdle(current)
+			current = nil
 			p.alive.Add(-1)
 			p.mu.Lock()
 			p.status.Restarts++
 			p.mu.Unlock()
-			if time.Since(began) > longLife {
-				tries = 0
+			if time.Since(began) > stableUptime {
+				attempts = 0
 			}
 		}
-		most := min(firstBackoff<<min(tries, 10), mostBackoff)
+		backoff := min(firstBackoff<<min(attempts, 10), maxBackoff)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(most/4 + rand.N(most)):
+		case <-time.After(backoff/4 + rand.N(backoff)):
 		}
 	}
 }
 
-// takeOut takes a process that has ended out of the idle ones, if it is among them: its place is for the next.
-func (p *pool) takeOut(dead *process) {
+// removeIdle removes an ended process from the idle ones, if it is among them, to free its place for the next process.
+func (p *pool) removeIdle(dead *process) {
 	for range cap(p.idle) {
 		select {
 		case other := <-p.idle:
@@ -146,7 +148,7 @@
 	}
 }
 
-// close ends the processes. Nobody asks any more.
+// close ends the processes. No caller may use the pool any more.
 func (p *pool) close() {
 	p.cancel()
 	p.wg.Wait()
@@ -157,24 +159,24 @@
 	errDown = errors.New("none of its processes is up")
 )
 
-// skipped says that a plug-in was not asked.
-type skipped struct{ why plugin.Verdict }
+// skipped is the error for a call that the guard did not admit.
+type skipped struct{ verdict plugin.Verdict }
 
-func (s skipped) Error() string { return s.why.String() }
+func (s skipped) Error() string { return s.verdict.String() }
 
-// ask asks the plug-in and has use let its wish through, or not: an error from there counts as the plug-in's. Every error means
-// that nothing was changed.
-func (p *pool) ask(q *plugin.Request, use func(*plugin.Result) error) error {
+// call calls the plug-in, and apply if the result requests a change. apply returns an error if the result breaks a rule, which
+// counts as a failure of the plug-in. After any error nothing has been changed.
+func (p *pool) call(q *plugin.Request, apply func(*plugin.Result) error) error {
 	began := time.Now()
 	p.mu.Lock()
-	verdict, ticket := p.guard.Admit(began.Sub(p.began))
+	verdict, ticket := p.guard.Admit(began.Sub(p.created))
 	p.mu.Unlock()
 	if verdict != plugin.Run {
-		p.note(func(s *Status) { s.Skipped++ })
+		p.updateStatus(func(s *Status) { s.Skipped++ })
 		return skipped{verdict}
 	}
-	r, held, err := p.exchange(q)
-	cpu, costly := held, false
+	r, occupied, err := p.callProcess(q)
+	cpu, costly := occupied, false
 	switch {
 	case err == errBusy:
 		cpu, costly = 0, ticket.IsProbe()
@@ -185,15 +187,15 @@
 		costly = r.Error != "" && r.Costly
 	}
 	p.mu.Lock()
-	was := p.guard.IsCircuitOpen()
-	p.guard.Done(ticket, time.Since(p.began), cpu, costly, rand.Float64())
-	is := p.guard.IsCircuitOpen()
+	wasOpen := p.guard.IsCircuitOpen()
+	p.guard.Done(ticket, time.Since(p.created), cpu, costly, rand.Float64())
+	isOpen := p.guard.IsCircuitOpen()
 	p.mu.Unlock()
-	if was != is {
-		slog.Warn("a plug-in's circuit", "plugin", p.spec.Name, "open", is, "err", err)
+	if wasOpen != isOpen {
+		slog.Warn("plug-in circuit breaker changed state", "plugin", p.spec.Name, "open", isOpen, "err", err)
 	}
 	if err == errBusy {
-		p.note(func(s *Status) { s.Skipped++ })
+		p.updateStatus(func(s *Status) { s.Skipped++ })
 		return err
 	}
 	if err == nil && r.Error != "" {
@@ -202,16 +204,16 @@
 	changed := false
 	if err == nil {
 		if changed = r.RequestsChange(); changed {
-			err = use(r)
+			err = apply(r)
 		}
 	}
-	p.note(func(s *Status) {
+	p.updateStatus(func(s *Status) {
 		s.Calls++
 		s.CPU += cpu.Seconds()
 		if r != nil {
 			s.Steps += r.Steps
 			for name, n := range r.Counts {
-				if _, there := s.Counts[name]; n > 0 && (there || len(s.Counts) < plugin.MaxCounters) {
+				if _, exists := s.Counts[name]; n > 0 && (exists || len(s.Counts) < plugin.MaxCounters) {
 					s.Counts[plugin.SanitizeLine(name, plugin.MaxFieldName)] += uint64(n)
 				}
 			}
@@ -221,17 +223,17 @@
 		}
 	})
 	if r != nil && len(r.Lines) > 0 {
-		p.say(q, r.Lines)
+		p.logLines(q, r.Lines)
 	}
 	if err != nil {
-		p.fail(q, err, costly)
+		p.recordFailure(q, err, costly)
 	}
 	return err
 }
 
-// exchange makes one call, and tells how long it held a process.
-func (p *pool) exchange(q *plugin.Request) (r *plugin.Result, held time.Duration, err error) {
-	if p.waiters.Add(1) > int32(p.spec.Processes*waitersEach) {
+// callProcess makes one call in an idle process, and returns for how long it occupied the process.
+func (p *pool) callProcess(q *plugin.Request) (r *plugin.Result, occupied time.Duration, err error) {
+	if p.waiters.Add(1) > int32(p.spec.Processes*maxWaitersPerProcess) {
 		p.waiters.Add(-1)
 		return nil, 0, errBusy
 	}
@@ -242,46 +244,46 @@
 		if p.alive.Load() == 0 {
 			return nil, 0, errDown
 		}
-		var to *process
+		var idle *process
 		select {
-		case to = <-p.idle:
+		case idle = <-p.idle:
 		case <-timer.C:
 			return nil, 0, errBusy
 		}
 		select {
-		case <-to.gone: // its keeper does the rest
+		case <-idle.exited: // its supervisor replaces it
 			continue
 		default:
 		}
-		// It has all its time from now on: to wait was not its doing, and it would be killed for that.
-		from := time.Now()
-		r, err = to.ask(q, p.spec.Time, p.spec.Output)
-		held = time.Since(from)
+		// The call gets its full time limit from here on. If the wait for the process counted, the process would be killed for it.
+		began := time.Now()
+		r, err = idle.call(q, p.spec.Time, p.spec.Output)
+		occupied = time.Since(began)
 		if err != nil {
-			to.cmd.Process.Kill() // its keeper starts another
-			return nil, held, explain(&p.spec, err)
+			idle.cmd.Process.Kill() // its supervisor starts another
+			return nil, occupied, explainProcessError(&p.spec, err)
 		}
-		p.idle <- to
-		return r, held, nil
+		p.idle <- idle
+		return r, occupied, nil
 	}
 }
 
-// explain says what an error of a process means.
-func explain(s *plugin.Spec, err error) error {
+// explainProcessError turns an error of talking to a process into one that says what the plug-in did.
+func explainProcessError(s *plugin.Spec, err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return fmt.Errorf("no answer within %v", s.Time)
 	}
 	return fmt.Errorf("its process ended, as one does that takes more than %d MiB of memory: %w", s.Memory>>20, err)
 }
 
-func (p *pool) note(f func(*Status)) {
+func (p *pool) updateStatus(f func(*Status)) {
 	p.mu.Lock()
 	f(&p.status)
 	p.mu.Unlock()
 }
 
-// fail notes an error, and logs it if none was logged of late.
-func (p *pool) fail(q *plugin.Request, err error, costly bool) {
+// recordFailure adds an error to the status, and logs it unless the rate limit suppresses it.
+func (p *pool) recordFailure(q *plugin.Request, err error, costly bool) {
 	f := Failure{At: time.Now(), Error: err.Error()}
 	if q != nil {
 		f.Point, f.ID = q.Point, q.ID
@@ -291,40 +293,40 @@
 		p.status.Costly++
 	}
 	p.status.Failed++
-	if p.status.Errors = append(p.status.Errors, f); len(p.status.Errors) > keptErrors {
+	if p.status.Errors = append(p.status.Errors, f); len(p.status.Errors) > maxKeptErrors {
 		p.status.Errors = slices.Delete(p.status.Errors, 0, 1)
 	}
 	p.mu.Unlock()
-	p.limited(func(unsaid int) {
-		slog.Warn("a plug-in failed", "plugin", p.spec.Name, "point", f.Point, "id", f.ID, "err", f.Error, "unsaid", unsaid)
+	p.rateLimitLog(func(suppressed int) {
+		slog.Warn("plug-in failed", "plugin", p.spec.Name, "point", f.Point, "id", f.ID, "err", f.Error, "unsaid", suppressed)
 	})
 }
 
-// say logs what the code wants said.
-func (p *pool) say(q *plugin.Request, lines []string) {
-	p.limited(func(unsaid int) {
+// logLines logs the lines that the code has passed to log().
+func (p *pool) logLines(q *plugin.Request, lines []string) {
+	p.rateLimitLog(func(suppressed int) {
 		for _, line := range lines[:min(len(lines), plugin.MaxLogLines)] {
-			slog.Info("a plug-in says", "plugin", p.spec.Name, "point", q.Point, "id", q.ID, "text", plugin.SanitizeLine(line, plugin.MaxLogLine), "unsaid", unsaid)
+			slog.Info("plug-in log line", "plugin", p.spec.Name, "point", q.Point, "id", q.ID, "text", plugin.SanitizeLine(line, plugin.MaxLogLine), "unsaid", suppressed)
 		}
 	})
 }
 
-// limited keeps what one plug-in has logged to once in logEvery.
-func (p *pool) limited(log func(unsaid int)) {
+// rateLimitLog calls log at most once per logInterval, with the number of entries suppressed since the last one.
+func (p *pool) rateLimitLog(log func(suppressed int)) {
 	p.mu.Lock()
 	now := time.Now()
-	if now.Sub(p.logged) < logEvery {
-		p.unsaid++
+	if now.Sub(p.lastLogged) < logInterval {
+		p.suppressed++
 		p.mu.Unlock()
 		return
 	}
-	unsaid := p.unsaid
-	p.logged, p.unsaid = now, 0
+	suppressed := p.suppressed
+	p.lastLogged, p.suppressed = now, 0
 	p.mu.Unlock()
-	log(unsaid)
+	log(suppressed)
 }
 
-// Status is a copy.
+// snapshot returns a copy of the status.
 func (p *pool) snapshot() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/plugin/runner/process.go
+++ b/internal/plugin/runner/process.go
@@ -14,96 +14,97 @@
 	"scaleroute/internal/plugin/pipe"
 )
 
-const startTime = 5 * time.Second // for a process to compile its code and say so
+const startTimeout = 5 * time.Second // limit for a process to start, compile the code and report that
 
-// process is one that runs a plug-in's code. One call at a time is out to it.
+// process is a host process that runs the code of one plug-in. At most one call is in flight.
 type process struct {
-	cmd  *exec.Cmd
-	conn *pipe.Conn
-	to   *os.File
-	from *os.File
-	gone chan struct{} // closed when it has ended
-	once sync.Once
+	cmd       *exec.Cmd
+	conn      *pipe.Conn
+	requests  *os.File
+	results   *os.File
+	exited    chan struct{} // closed when the process has ended
+	closeOnce sync.Once
 }
 
-// errCode is what is wrong with the code itself: starting it again would not mend that.
-type errCode struct{ text string }
+// codeError is an error in the plug-in's code: starting the process again would not fix it.
+type codeError struct{ text string }
 
-func (e errCode) Error() string { return e.text }
+func (e codeError) Error() string { return e.text }
 
-// start starts one and waits until it can be asked.
-func start(command []string, s *plugin.Spec) (*process, error) {
-	theirIn, to, err := os.Pipe()
+// startProcess starts a process and waits until it has compiled the code and accepts calls.
+func startProcess(command []string, s *plugin.Spec) (*process, error) {
+	stdin, requests, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	defer theirIn.Close()
-	from, theirOut, err := os.Pipe()
+	defer stdin.Close()
+	results, stdout, err := os.Pipe()
 	if err != nil {
-		to.Close()
+		requests.Close()
 		return nil, err
 	}
-	defer theirOut.Close()
+	defer stdout.Close()
 	cmd := exec.Command(command[0], command[1:]...)
-	cmd.Stdin, cmd.Stdout = theirIn, theirOut              // its last words, a stack for each of its goroutines, help nobody
-	cmd.Env = []string{"GOMAXPROCS=1", "GOTRACEBACK=none"} // nothing of ours
+	cmd.Stdin, cmd.Stdout = stdin, stdout                  // stderr is discarded: a crash prints only goroutine stacks
+	cmd.Env = []string{"GOMAXPROCS=1", "GOTRACEBACK=none"} // the daemon's environment is not inherited
 	cmd.Dir = "/"
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // what a terminal sends us is not for it
-	p := &process{cmd: cmd, conn: pipe.NewConn(bufio.NewReaderSize(from, 16<<10), to), to: to, from: from, gone: make(chan struct{})}
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // so that a terminal's signals to the daemon do not reach it
+	p := &process{cmd: cmd, conn: pipe.NewConn(bufio.NewReaderSize(results, 16<<10), requests), requests: requests, results: results, exited: make(chan struct{})}
 	if err := cmd.Start(); err != nil {
 		p.close()
-		return nil, fmt.Errorf("no process for plug-ins can be started: put scaleroute-plugin-host beside the daemon, or name it by -plugin-host: %w", err)
+		return nil, fmt.Errorf("cannot start a host process for plug-ins: put scaleroute-plugin-host beside the daemon, or name it by -plugin-host: %w", err)
 	}
-	go func() { // ends with the process, which is killed wherever it is given up
+	go func() { // the goroutine ends with the process, which is killed on every path that abandons it
 		cmd.Wait()
-		close(p.gone)
+		close(p.exited)
 	}()
-	var answer pipe.StartResponse
-	p.limit(startTime)
+	var response pipe.StartResponse
+	p.setDeadline(startTimeout)
 	err = p.conn.Send(pipe.StartRequest{Name: s.Name, File: s.File, Source: s.Source, Steps: s.Steps, Output: s.Output, Memory: s.Memory,
 		HardMS: 4 * float64(s.Time) / float64(time.Millisecond)}, nil)
 	if err == nil {
-		_, err = p.conn.Receive(&answer, 0)
+		_, err = p.conn.Receive(&response, 0)
 	}
-	if err == nil && answer.Error != "" {
-		err = errCode{answer.Error}
+	if err == nil && response.Error != "" {
+		err = codeError{response.Error}
 	}
 	if err != nil {
 		p.kill()
-		var code errCode
+		var code codeError
 		if errors.As(err, &code) {
 			return nil, code
 		}
-		return nil, fmt.Errorf("plug-in %q: its process did not begin: %w", s.Name, err)
+		return nil, fmt.Errorf("plug-in %q: its host process did not start: %w", s.Name, err)
 	}
 	return p, nil
 }
 
-func (p *process) limit(d time.Duration) {
-	t := time.Now().Add(d)
-	p.to.SetWriteDeadline(t)
-	p.from.SetReadDeadline(t)
+func (p *process) setDeadline(timeout time.Duration) {
+	t := time.Now().Add(timeout)
+	p.requests.SetWriteDeadline(t)
+	p.results.SetReadDeadline(t)
 }
 
-// ask asks it. After an error it is of no use any more.
-func (p *process) ask(q *plugin.Request, left time.Duration, output int) (*plugin.Result, error) {
-	p.limit(left)
+// call calls the plug-in. After an error the process must not be used any more, since a late result could be taken for that of
+// the next call.
+func (p *process) call(q *plugin.Request, timeout time.Duration, output int) (*plugin.Result, error) {
+	p.setDeadline(timeout)
 	if err := p.conn.SendRequest(q); err != nil {
 		return nil, err
 	}
 	return p.conn.ReceiveResult(output)
 }
 
-// kill ends it at once, and waits until it has.
+// kill kills the process and waits until it has ended.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
-	<-p.gone
+	<-p.exited
 	p.close()
 }
 
 func (p *process) close() {
-	p.once.Do(func() {
-		p.to.Close()
-		p.from.Close()
+	p.closeOnce.Do(func() {
+		p.requests.Close()
+		p.results.Close()
 	})
 }
--- a/internal/plugin/runner/publish.go
+++ b/internal/plugin/runner/publish.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// Publish writes what the plug-ins have done to a file, at most so often and only as it changes, until ctx ends. The file is
-// replaced whole. One that can't be written is said once, and tried again.
-func (r *Runner) Publish(ctx context.Context, file string, every time.Duration) {
+// Publish writes the status of the plug-ins to a file, at most once per interval and only when it has changed, until ctx ends.
+// The file is replaced atomically. A failure to write is logged once, and the write is attempted again at each interval.
+func (r *Runner) Publish(ctx context.Context, file string, interval time.Duration) {
 	var last []byte
-	said := false
-	tick := time.NewTicker(every)
+	logged := false
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		text, err := json.MarshalIndent(struct {
 			Plugins []Status `json:"plugins"`
-			Unseen  uint64   `json:"ends_not_shown"` // to observers, since too many waited
-		}{r.Status(), r.unseen.Load()}, "", "  ")
+			Unseen  uint64   `json:"ends_not_shown"` // outcomes not passed to final hooks, since the queue was full
+		}{r.Status(), r.unobserved.Load()}, "", "  ")
 		if err == nil && !bytes.Equal(text, last) {
-			if err = replace(file, append(text, '\n')); err == nil {
-				last, said = text, false
+			if err = writeAtomically(file, append(text, '\n')); err == nil {
+				last, logged = text, false
 			}
 		}
-		if err != nil && !said {
-			slog.Warn("the plug-ins' status can't be written: name another file in plugins { status }", "err", err)
-			said = true
+		if err != nil && !logged {
+			slog.Warn("cannot write the plug-in status file: name another file in plugins { status }", "err", err)
+			logged = true
 		}
 		select {
 		case <-ctx.Done():
@@ -40,7 +40,7 @@
 	}
 }
 
-func replace(file string, text []byte) error {
+func writeAtomically(file string, text []byte) error {
 	next := filepath.Join(filepath.Dir(file), "."+filepath.Base(file)+".next")
 	err := os.WriteFile(next, text, 0o644)
 	if err == nil {
