--- a/cmd/scaleroute-plugin-host/main.go
+++ b/cmd/scaleroute-plugin-host/main.go
@@ -1,5 +1,5 @@
-// Command scaleroute-plugin-host is the process in which one plug-in runs. The daemon starts it; docs/plugins.md says when. It has no
-// flags, and talks on its standard input and output alone.
+// Command scaleroute-plugin-host is the host process in which one plug-in runs. The daemon starts it; docs/plugins.md says when.
+// It has no flags, and communicates only over its standard input and output.
 package main
 
 import (
--- a/internal/plugin/pipe/pipe.go
+++ b/internal/plugin/pipe/pipe.go
@@ -1,5 +1,5 @@
-// Package pipe carries questions and answers between the forwarder and a process that runs plug-ins: frames of a JSON head and
-// raw bodies, over a pair of pipes, one question at a time. Both sides bound what they read.
+// Package pipe carries requests and results between the forwarder and a host process that runs a plug-in: frames of a JSON head
+// and raw bodies over a pair of pipes, one request at a time. Both sides limit the size of the frames that they read.
 package pipe
 
 import (
@@ -11,30 +11,30 @@
 	"scaleroute/internal/plugin"
 )
 
-// Bounds of one frame, in bytes.
+// Limits on the parts of one frame, in bytes.
 const (
-	mostHead = 256 << 10
-	mostBody = 4 << 20
+	maxHead = 256 << 10
+	maxBody = 4 << 20
 )
 
-// StartRequest is the first thing that the process is told.
+// StartRequest is the first frame that the forwarder sends to the process.
 type StartRequest struct {
 	Name   string  `json:"name"`
-	File   string  `json:"file"` // for messages
+	File   string  `json:"file"` // file name, for error messages
 	Source string  `json:"source"`
 	Steps  uint64  `json:"steps"`
 	Output int     `json:"output"`  // bytes of a body
-	Memory int     `json:"memory"`  // bytes that the process may use beside its own
-	HardMS float64 `json:"hard_ms"` // a call that takes longer ends the process
+	Memory int     `json:"memory"`  // bytes that the process may allocate beyond what it uses at its start
+	HardMS float64 `json:"hard_ms"` // limit for one call; the process exits if a call takes longer
 }
 
-// StartResponse is its answer: that it can be asked now, or what is wrong with the code.
+// StartResponse reports that the process accepts requests, or the error in the plug-in's code.
 type StartResponse struct {
 	Error  string         `json:"error,omitempty"`
 	Points []plugin.Point `json:"points,omitempty"`
 }
 
-// Conn is one side. It is used by one goroutine at a time.
+// Conn is one end of the pair of pipes. It must be used by one goroutine at a time.
 type Conn struct {
 	r    io.Reader
 	w    io.Writer
@@ -42,54 +42,54 @@
 	buf  []byte
 }
 
-// NewConn makes one.
+// NewConn returns a Conn that reads frames from r and writes frames to w.
 func NewConn(r io.Reader, w io.Writer) *Conn { return &Conn{r: r, w: w} }
 
-// Send writes a frame: two lengths, the head as JSON, the body.
+// Send writes a frame: the lengths of head and body, the head as JSON, the body.
 func (c *Conn) Send(head any, body []byte) error {
 	text, err := json.Marshal(head)
 	if err != nil {
 		return err
 	}
-	if len(text) > mostHead || len(body) > mostBody {
-		return fmt.Errorf("a frame of %d and %d bytes; at most %d and %d", len(text), len(body), mostHead, mostBody)
+	if len(text) > maxHead || len(body) > maxBody {
+		return fmt.Errorf("a frame of %d and %d bytes; at most %d and %d", len(text), len(body), maxHead, maxBody)
 	}
 	b := binary.LittleEndian.AppendUint32(c.buf[:0], uint32(len(text)))
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
 	b = append(append(b, text...), body...)
-	if c.buf = b; cap(b) > mostHead {
+	if c.buf = b; cap(b) > maxHead {
 		c.buf = nil
 	}
 	_, err = c.w.Write(b)
 	return err
 }
 
-// Receive reads a frame. most bounds its body, in bytes.
-func (c *Conn) Receive(head any, most int) (body []byte, err error) {
+// Receive reads a frame. limit is the maximum size of its body in bytes.
+func (c *Conn) Receive(head any, limit int) (body []byte, err error) {
 	if _, err := io.ReadFull(c.r, c.head[:]); err != nil {
 		return nil, err
 	}
-	n, m := binary.LittleEndian.Uint32(c.head[:]), binary.LittleEndian.Uint32(c.head[4:])
-	if n > mostHead || int64(m) > int64(min(most, mostBody)) {
-		return nil, fmt.Errorf("a frame of %d and %d bytes; at most %d and %d", n, m, mostHead, min(most, mostBody))
+	headSize, bodySize := binary.LittleEndian.Uint32(c.head[:]), binary.LittleEndian.Uint32(c.head[4:])
+	if headSize > maxHead || int64(bodySize) > int64(min(limit, maxBody)) {
+		return nil, fmt.Errorf("a frame of %d and %d bytes; at most %d and %d", headSize, bodySize, maxHead, min(limit, maxBody))
 	}
-	text := make([]byte, int(n)+int(m))
+	text := make([]byte, int(headSize)+int(bodySize))
 	if _, err := io.ReadFull(c.r, text); err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(text[:n], head); err != nil {
+	if err := json.Unmarshal(text[:headSize], head); err != nil {
 		return nil, fmt.Errorf("a frame that can't be read: %w", err)
 	}
-	return text[n:], nil
+	return text[headSize:], nil
 }
 
-// request is a question's head: its bodies stand behind it, one after the other.
+// request is the head of a request. The body of the message follows it, and then the body of the reply.
 type request struct {
 	*plugin.Request
-	Message int `json:"message_bytes"`
+	MessageBytes int `json:"message_bytes"`
 }
 
-// SendRequest sends a question.
+// SendRequest sends a request.
 func (c *Conn) SendRequest(q *plugin.Request) error {
 	body := q.Body
 	if len(q.ReplyBody) > 0 {
@@ -98,24 +98,24 @@
 	return c.Send(request{q, len(q.Body)}, body)
 }
 
-// ReceiveRequest reads one.
+// ReceiveRequest reads a request.
 func (c *Conn) ReceiveRequest() (*plugin.Request, error) {
 	q := request{Request: &plugin.Request{}}
-	body, err := c.Receive(&q, mostBody)
+	body, err := c.Receive(&q, maxBody)
 	if err != nil {
 		return nil, err
 	}
-	if q.Message < 0 || q.Message > len(body) {
-		return nil, fmt.Errorf("a message of %d bytes in a body of %d", q.Message, len(body))
+	if q.MessageBytes < 0 || q.MessageBytes > len(body) {
+		return nil, fmt.Errorf("a message of %d bytes in a body of %d", q.MessageBytes, len(body))
 	}
-	q.Body, q.ReplyBody = body[:q.Message:q.Message], body[q.Message:]
+	q.Body, q.ReplyBody = body[:q.MessageBytes:q.MessageBytes], body[q.MessageBytes:]
 	return q.Request, nil
 }
 
 // SendResult sends a result.
 func (c *Conn) SendResult(r *plugin.Result) error { return c.Send(r, r.Body) }
 
-// ReceiveResult reads one; output bounds its body in bytes.
+// ReceiveResult reads a result. output is the maximum size of its body in bytes.
 func (c *Conn) ReceiveResult(output int) (*plugin.Result, error) {
 	r := &plugin.Result{}
 	body, err := c.Receive(r, output)
