--- a/internal/plugin/hostile/hostile.go
+++ b/internal/plugin/hostile/hostile.go
@@ -1,4 +1,5 @@
-// Package hostile writes plug-ins that mean harm, or are only wrong: for tests and the lab. A seed always gives the same one.
+// Package hostile generates malicious or faulty plug-ins, for tests and the load test tool. The same seed always gives the same
+// plug-in.
 package hostile
 
 import (
@@ -7,15 +8,15 @@
 	"strings"
 )
 
-// named are the ways in which a hook can go wrong that a generator of statements would seldom come to.
-var named = []string{
+// faultyBodies are hook bodies with faults that a generator of random statements would rarely produce.
+var faultyBodies = []string{
 	"while True:\n        pass",
-	"x = \"x\"\n    for i in range(60):\n        x = x + x\n    return change(body = x)", // a gigabyte and more
-	"x = 3\n    for i in range(60):\n        x = x * x",                                  // one step, and endless
+	"x = \"x\"\n    for i in range(60):\n        x = x + x\n    return change(body = x)", // more than a gigabyte
+	"x = 3\n    for i in range(60):\n        x = x * x",                                  // one step that never ends
 	"return change(body = \"y\" * (1 << 29))",
 	"x = [0]\n    while True:\n        x = x + x",
 	"x = []\n    for i in range(300000):\n        x = [x]\n    return change(body = json.encode(x))",
-	"return hook(message)", // no recursion
+	"return hook(message)", // recursion is not permitted
 	"return change(only = [\"elsewhere\"])",
 	"return change(only = [])",
 	"return change(header = {\"Req-Id\": \"0\", \"Content-Length\": \"0\"})",
@@ -38,7 +39,7 @@
 
 var hooks = []struct{ name, params string }{{"intake", "message"}, {"reply", "message, reply"}, {"final", "message, end"}, {"call", "message"}}
 
-// Source returns a plug-in. With call false it has no hook call, which not every class may have.
+// Source returns the source of a plug-in. If call is false it has no call hook, which not every class of messages permits.
 func Source(seed uint64, call bool) string {
 	rng := rand.New(rand.NewPCG(seed, 0x9053))
 	n := len(hooks)
@@ -52,23 +53,23 @@
 		}
 		fmt.Fprintf(&b, "def %s(%s):\n    hook = %s\n    ", h.name, h.params, h.name)
 		if rng.IntN(2) == 0 {
-			b.WriteString(named[rng.IntN(len(named))])
+			b.WriteString(faultyBodies[rng.IntN(len(faultyBodies))])
 		} else {
-			statements(&b, rng, 1, 1+rng.IntN(4))
+			writeStatements(&b, rng, 1, 1+rng.IntN(4))
 		}
 		b.WriteString("\n\n")
 	}
 	return b.String()
 }
 
-var values = []string{"message.id", "1", "0", "-1", "\"x\"", "\"\"", "[]", "{}", "None", "True", "1.5", "message.class_name", "message.destination",
+var simpleExpressions = []string{"message.id", "1", "0", "-1", "\"x\"", "\"\"", "[]", "{}", "None", "True", "1.5", "message.class_name", "message.destination",
 	"x", "y", "z", "json", "len", "(1, 2)", "base64.decode(\"//4=\")"}
 
-func value(rng *rand.Rand, depth int) string {
+func randomExpression(rng *rand.Rand, depth int) string {
 	if depth > 3 || rng.IntN(2) == 0 {
-		return values[rng.IntN(len(values))]
+		return simpleExpressions[rng.IntN(len(simpleExpressions))]
 	}
-	a, b := value(rng, depth+1), value(rng, depth+1)
+	a, b := randomExpression(rng, depth+1), randomExpression(rng, depth+1)
 	switch rng.IntN(10) {
 	case 0:
 		return "(" + a + " + " + b + ")"
@@ -92,13 +93,13 @@
 	return "range(" + a + ")"
 }
 
-func statements(b *strings.Builder, rng *rand.Rand, depth, n int) {
+func writeStatements(b *strings.Builder, rng *rand.Rand, depth, n int) {
 	indent := "\n" + strings.Repeat("    ", depth)
 	b.WriteString("x = message.id" + indent + "y = 0" + indent + "z = []")
 	for range n {
 		b.WriteString(indent)
 		name := []string{"x", "y", "z"}[rng.IntN(3)]
-		switch v := value(rng, 0); rng.IntN(9) {
+		switch v := randomExpression(rng, 0); rng.IntN(9) {
 		case 0, 1, 2:
 			b.WriteString(name + " = " + v)
 		case 3:
--- a/internal/plugin/script/modules.go
+++ b/internal/plugin/script/modules.go
@@ -25,19 +25,19 @@
 )
 
 const (
-	mostNesting = 200 // of JSON
-	mostPattern = 1000
-	keptRegexps = 64
-	bytesAStep  = 16 // that a function of ours goes through for each step it counts
+	maxJSONNesting   = 200 // levels of nested arrays and objects
+	maxPatternBytes  = 1000
+	maxCachedRegexps = 64
+	bytesPerStep     = 16 // bytes of text that a built-in function processes for each step charged
 )
 
-// builtins is all that a file can use beside the language.
+// builtins returns the names that a file can use besides those of the language.
 func (p *Program) builtins() starlark.StringDict {
 	fn := starlark.NewBuiltin
 	module := func(name string, members starlark.StringDict) *starlarkstruct.Module {
 		for k, v := range members {
 			if b, ok := v.(*starlark.Builtin); ok {
-				members[k] = starlark.NewBuiltin(name+"."+k, charged(b))
+				members[k] = starlark.NewBuiltin(name+"."+k, countSteps(b))
 			}
 		}
 		return &starlarkstruct.Module{Name: name, Members: members}
@@ -50,13 +50,13 @@
 		"json": module("json", json),
 		"math": starmath.Module,
 		"re":   module("re", starlark.StringDict{"matches": fn("", p.matches), "find": fn("", p.find), "replace": fn("", p.replace)}),
-		"hash": module("hash", starlark.StringDict{"sha256": text1(func(s string) (string, error) {
+		"hash": module("hash", starlark.StringDict{"sha256": textFunction(func(s string) (string, error) {
 			sum := sha256.Sum256([]byte(s))
 			return hex.EncodeToString(sum[:]), nil
 		}), "hmac_sha256": fn("", hmacSHA256)}),
 		"base64": module("base64", starlark.StringDict{
-			"encode": text1(func(s string) (string, error) { return base64.StdEncoding.EncodeToString([]byte(s)), nil }),
-			"decode": text1(func(s string) (string, error) {
+			"encode": textFunction(func(s string) (string, error) { return base64.StdEncoding.EncodeToString([]byte(s)), nil }),
+			"decode": textFunction(func(s string) (string, error) {
 				b, err := base64.StdEncoding.DecodeString(s)
 				return string(b), err
 			})}),
@@ -65,10 +65,11 @@
 	}
 }
 
-type function = func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error)
+type builtinFunc = func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error)
 
-// charged counts what a function goes through as steps: the interpreter would count the call alone.
-func charged(b *starlark.Builtin) function {
+// countSteps wraps a built-in function so that it adds steps for the size of its arguments and its result. The interpreter would
+// count the call alone.
+func countSteps(b *starlark.Builtin) builtinFunc {
 	return func(t *starlark.Thread, own *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		n := 0
 		for _, a := range args {
@@ -81,16 +82,17 @@
 				n += s.Len()
 			}
 		}
-		t.Steps += uint64(n / bytesAStep)
+		t.Steps += uint64(n / bytesPerStep)
 		v, err := starlark.Call(t, b, args, kwargs)
 		if s, ok := v.(starlark.String); ok {
-			t.Steps += uint64(s.Len() / bytesAStep)
+			t.Steps += uint64(s.Len() / bytesPerStep)
 		}
 		return v, err
 	}
 }
 
-func text1(f func(string) (string, error)) *starlark.Builtin {
+// textFunction returns a built-in function from a string to a string.
+func textFunction(f func(string) (string, error)) *starlark.Builtin {
 	return starlark.NewBuiltin("", func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		var s string
 		if err := starlark.UnpackArgs(b.Name(), args, kwargs, "text", &s); err != nil {
@@ -101,17 +103,17 @@
 	})
 }
 
-// decodeJSON bounds how deep a text is nested before the decoder goes down into it.
+// decodeJSON checks the nesting depth of a text before it calls the decoder, which is recursive.
 func decodeJSON(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if len(args) > 0 {
-		if s, ok := starlark.AsString(args[0]); ok && nesting(s) > mostNesting {
-			return nil, fmt.Errorf("json.decode: nested more than %d deep", mostNesting)
+		if s, ok := starlark.AsString(args[0]); ok && nestingDepth(s) > maxJSONNesting {
+			return nil, fmt.Errorf("json.decode: nested more than %d deep", maxJSONNesting)
 		}
 	}
 	return starlark.Call(t, starjson.Module.Members["decode"], args, kwargs)
 }
 
-func nesting(s string) (most int) {
+func nestingDepth(s string) (maxDepth int) {
 	depth, quoted := 0, false
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
@@ -122,12 +124,12 @@
 		case quoted:
 		case c == '[' || c == '{':
 			depth++
-			most = max(most, depth)
+			maxDepth = max(maxDepth, depth)
 		case c == ']' || c == '}':
 			depth--
 		}
 	}
-	return most
+	return maxDepth
 }
 
 func logLine(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
@@ -149,7 +151,7 @@
 	if r.Counts == nil {
 		r.Counts = map[string]int{}
 	}
-	if _, there := r.Counts[name]; !there && len(r.Counts) >= plugin.MaxCounters {
+	if _, exists := r.Counts[name]; !exists && len(r.Counts) >= plugin.MaxCounters {
 		return nil, fmt.Errorf("count: more than %d counters", plugin.MaxCounters)
 	}
 	r.Counts[name] += min(max(n, 0), 1<<30)
@@ -168,13 +170,14 @@
 	return starlark.Float(d.Seconds()), nil
 }
 
-// pattern compiles a regular expression. Its cost grows with text and pattern only (RE2); both are counted as steps.
-func (p *Program) pattern(t *starlark.Thread, pattern, text string) (*regexp.Regexp, error) {
-	if len(pattern) > mostPattern {
-		return nil, fmt.Errorf("a pattern of %d bytes; at most %d", len(pattern), mostPattern)
+// compilePattern compiles a regular expression. Matching costs at most the product of the sizes of text and pattern (RE2), for
+// which steps are added.
+func (p *Program) compilePattern(t *starlark.Thread, pattern, text string) (*regexp.Regexp, error) {
+	if len(pattern) > maxPatternBytes {
+		return nil, fmt.Errorf("a pattern of %d bytes; at most %d", len(pattern), maxPatternBytes)
 	}
 	t.Steps += uint64((len(text) + 1) * (len(pattern) + 1) / 256)
-	if re := p.res[pattern]; re != nil {
+	if re := p.regexps[pattern]; re != nil {
 		return re, nil
 	}
 	re, err := regexp.Compile(pattern)
@@ -182,27 +185,27 @@
 		return nil, err
 	}
 	t.Steps += uint64(len(pattern) * 16)
-	if len(p.res) >= keptRegexps {
-		clear(p.res)
+	if len(p.regexps) >= maxCachedRegexps {
+		clear(p.regexps)
 	}
-	p.res[pattern] = re
+	p.regexps[pattern] = re
 	return re, nil
 }
 
-func (p *Program) unpackRE(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple, with *string) (re *regexp.Regexp, text string, err error) {
+func (p *Program) unpackRegexpArgs(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple, replacement *string) (re *regexp.Regexp, text string, err error) {
 	var pattern string
 	pairs := []any{"pattern", &pattern, "text", &text}
-	if with != nil {
-		pairs = append(pairs, "replacement", with)
+	if replacement != nil {
+		pairs = append(pairs, "replacement", replacement)
 	}
 	if err = starlark.UnpackArgs(b.Name(), args, kwargs, pairs...); err == nil {
-		re, err = p.pattern(t, pattern, text)
+		re, err = p.compilePattern(t, pattern, text)
 	}
 	return re, text, err
 }
 
 func (p *Program) matches(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	re, text, err := p.unpackRE(t, b, args, kwargs, nil)
+	re, text, err := p.unpackRegexpArgs(t, b, args, kwargs, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -211,7 +214,7 @@
 
 // find returns the first match and its groups, or None.
 func (p *Program) find(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	re, text, err := p.unpackRE(t, b, args, kwargs, nil)
+	re, text, err := p.unpackRegexpArgs(t, b, args, kwargs, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -219,10 +222,10 @@
 	if m == nil {
 		return starlark.None, nil
 	}
-	return strings1(m), nil
+	return stringList(m), nil
 }
 
-func strings1(m []string) *starlark.List {
+func stringList(m []string) *starlark.List {
 	list := make([]starlark.Value, len(m))
 	for i, s := range m {
 		list[i] = starlark.String(s)
@@ -231,16 +234,16 @@
 }
 
 func (p *Program) replace(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	var with string
-	re, text, err := p.unpackRE(t, b, args, kwargs, &with)
+	var replacement string
+	re, text, err := p.unpackRegexpArgs(t, b, args, kwargs, &replacement)
 	if err != nil {
 		return nil, err
 	}
-	// What it could grow to is bounded before it does.
-	if n := len(re.FindAllStringIndex(text, -1)); n*len(with) > 16*plugin.MaxBody {
-		return nil, fmt.Errorf("%d replacements by %d bytes: more than a message can hold", n, len(with))
+	// The size of the result is limited before it is allocated.
+	if n := len(re.FindAllStringIndex(text, -1)); n*len(replacement) > 16*plugin.MaxBody {
+		return nil, fmt.Errorf("%d replacements by %d bytes: more than a message can hold", n, len(replacement))
 	}
-	return starlark.String(re.ReplaceAllString(text, with)), nil
+	return starlark.String(re.ReplaceAllString(text, replacement)), nil
 }
 
 func hmacSHA256(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
@@ -253,7 +256,7 @@
 	return starlark.String(hex.EncodeToString(h.Sum(nil))), nil
 }
 
-// decodeForm returns a dict of names to lists of values.
+// decodeForm returns a dict from names to lists of values.
 func decodeForm(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var text string
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "text", &text); err != nil {
@@ -265,14 +268,14 @@
 	}
 	d := starlark.NewDict(len(values))
 	for _, name := range slices.Sorted(maps.Keys(values)) {
-		if err := d.SetKey(starlark.String(name), strings1(values[name])); err != nil {
+		if err := d.SetKey(starlark.String(name), stringList(values[name])); err != nil {
 			return nil, err
 		}
 	}
 	return d, nil
 }
 
-// encodeForm writes a dict of names to a value or a list of values; names come in order.
+// encodeForm encodes a dict from names to a value or a list of values, sorted by name.
 func encodeForm(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var d *starlark.Dict
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "fields", &d); err != nil {
@@ -299,8 +302,8 @@
 	return starlark.String(values.Encode()), nil
 }
 
-// head splits a MIME entity (RFC 5322 section 2.1) behind its last header field.
-func head(text string) (fields, rest string) {
+// splitEntity splits a MIME entity (RFC 5322 section 2.1) after its last header field.
+func splitEntity(text string) (fields, rest string) {
 	for _, end := range []string{"\r\n\r\n", "\n\n"} {
 		if i := strings.Index(text, end); i >= 0 {
 			return text[:i+len(end)/2], text[i+len(end)/2:]
@@ -314,7 +317,7 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "text", &text, "name", &name); err != nil {
 		return nil, err
 	}
-	fields, _ := head(text)
+	fields, _ := splitEntity(text)
 	h, err := textproto.NewReader(bufio.NewReader(strings.NewReader(fields + "\r\n"))).ReadMIMEHeader()
 	if err != nil {
 		return nil, fmt.Errorf("no MIME header: %w", err)
@@ -325,8 +328,8 @@
 	return starlark.None, nil
 }
 
-// without takes a field out of a header, with the lines that continue it (RFC 5322 section 2.2.3).
-func without(fields, name string) string {
+// removeField removes a field from a header, including its continuation lines (RFC 5322 section 2.2.3).
+func removeField(fields, name string) string {
 	var out bytes.Buffer
 	dropping := false
 	for line := range strings.Lines(fields) {
@@ -346,8 +349,8 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "text", &text, "name", &name); err != nil {
 		return nil, err
 	}
-	fields, rest := head(text)
-	return starlark.String(without(fields, name) + rest), nil
+	fields, rest := splitEntity(text)
+	return starlark.String(removeField(fields, name) + rest), nil
 }
 
 func setMIMEField(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
@@ -362,8 +365,8 @@
 	if strings.Contains(text, "\r\n") {
 		end = "\r\n"
 	}
-	fields, rest := head(text)
-	fields = without(fields, name)
+	fields, rest := splitEntity(text)
+	fields = removeField(fields, name)
 	if fields != "" && !strings.HasSuffix(fields, "\n") {
 		fields += end
 	}
--- a/internal/plugin/script/script.go
+++ b/internal/plugin/script/script.go
@@ -1,5 +1,6 @@
-// Package script runs operators' code: Starlark, which has no files, network, clock or chance of its own, and counts its steps.
-// The functions intake, call, reply and final of a file are its hooks; docs/plugins.md is the reference of what they are given.
+// Package script compiles and runs operators' code in Starlark, a language without access to files, network, clock or random
+// numbers, whose interpreter counts execution steps. The functions intake, call, reply and final of a file are its hooks;
+// docs/plugins.md is the reference for their arguments.
 package script
 
 import (
@@ -22,34 +23,35 @@
 )
 
 const (
-	loadSteps = 1_000_000 // of the code outside functions
-	// MaxSource bounds a file, in bytes.
+	maxLoadSteps = 1_000_000 // step limit for the code outside functions, which runs when a file is compiled
+	// MaxSource is the maximum size of a file in bytes.
 	MaxSource = 256 << 10
 )
 
-// hooks has the parameters of each.
-var hooks = map[plugin.Point]int{plugin.Intake: 1, plugin.Call: 1, plugin.Reply: 2, plugin.Final: 2}
+// hookParams maps each hook to its number of parameters.
+var hookParams = map[plugin.Point]int{plugin.Intake: 1, plugin.Call: 1, plugin.Reply: 2, plugin.Final: 2}
 
-// Program is a file that was compiled. Its calls share nothing but what the file's top level has made, which is frozen.
-// It is used by one goroutine at a time.
+// Program is a compiled file. Its calls share only the values that the file's top level has created, which are frozen. It must be
+// used by one goroutine at a time.
 type Program struct {
-	file  string
-	hooks map[plugin.Point]*starlark.Function
-	known starlark.StringDict // all that a file can use beside the language
-	res   map[string]*regexp.Regexp
+	file        string
+	hooks       map[plugin.Point]*starlark.Function
+	predeclared starlark.StringDict // the names that a file can use besides those of the language
+	regexps     map[string]*regexp.Regexp
 }
 
-// Compile reads a file. The error has its lines, one for each thing that is wrong, with the place.
+// Compile compiles a file and runs its top level. If several names are undefined, the error has one line for each, with its
+// position.
 func Compile(file, source string) (*Program, error) {
 	if len(source) > MaxSource {
 		return nil, fmt.Errorf("%s: %d bytes; at most %d", file, len(source), MaxSource)
 	}
-	p := &Program{file: file, hooks: map[plugin.Point]*starlark.Function{}, res: map[string]*regexp.Regexp{}}
-	p.known = p.builtins()
-	t, _ := p.thread(loadSteps, &plugin.Result{})
-	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{Set: true, While: true, TopLevelControl: true}, t, file, source, p.known)
+	p := &Program{file: file, hooks: map[plugin.Point]*starlark.Function{}, regexps: map[string]*regexp.Regexp{}}
+	p.predeclared = p.builtins()
+	t, _ := p.newThread(maxLoadSteps, &plugin.Result{})
+	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{Set: true, While: true, TopLevelControl: true}, t, file, source, p.predeclared)
 	if err != nil {
-		return nil, p.placed(err)
+		return nil, p.withPosition(err)
 	}
 	globals.Freeze()
 	for _, point := range plugin.Points {
@@ -61,8 +63,8 @@
 		if !ok {
 			return nil, fmt.Errorf("%s: %s is a %s; it must be a function", file, point, v.Type())
 		}
-		if n := f.NumParams(); n != hooks[point] || f.HasVarargs() || f.HasKwargs() {
-			return nil, fmt.Errorf("%v: %s takes %d parameters; it is given %d: write def %s", f.Position(), point, n, hooks[point], signature(point))
+		if n := f.NumParams(); n != hookParams[point] || f.HasVarargs() || f.HasKwargs() {
+			return nil, fmt.Errorf("%v: %s takes %d parameters; it is given %d: write def %s", f.Position(), point, n, hookParams[point], signature(point))
 		}
 		p.hooks[point] = f
 	}
@@ -77,7 +79,7 @@
 		plugin.Final: "final(message, end)"}[p]
 }
 
-// Points lists the hooks that there are.
+// Points lists the points for which the file defines hooks.
 func (p *Program) Points() (list []plugin.Point) {
 	for _, point := range plugin.Points {
 		if p.hooks[point] != nil {
@@ -87,18 +89,20 @@
 	return list
 }
 
-var errSteps = errors.New("too many steps")
+var errTooManySteps = errors.New("too many steps")
 
-func (p *Program) thread(steps uint64, r *plugin.Result) (t *starlark.Thread, over *bool) {
-	over = new(bool)
+// newThread returns a thread that is cancelled after the given number of steps and then sets exceeded. Its log lines and counters
+// go to r.
+func (p *Program) newThread(steps uint64, r *plugin.Result) (t *starlark.Thread, exceeded *bool) {
+	exceeded = new(bool)
 	t = &starlark.Thread{Name: p.file, Print: func(t *starlark.Thread, text string) { addLine(r, text) }}
 	t.SetMaxExecutionSteps(steps)
 	t.OnMaxSteps = func(t *starlark.Thread) {
-		*over = true
-		t.Cancel(errSteps.Error())
+		*exceeded = true
+		t.Cancel(errTooManySteps.Error())
 	}
 	t.SetLocal("result", r)
-	return t, over
+	return t, exceeded
 }
 
 func addLine(r *plugin.Result, text string) {
@@ -107,19 +111,19 @@
 	}
 }
 
-// placed puts the place of the innermost line of the file in front of an error.
-func (p *Program) placed(err error) error {
+// withPosition prefixes an error with the position of the innermost stack frame in the file.
+func (p *Program) withPosition(err error) error {
 	var e *starlark.EvalError
 	var undefined resolve.ErrorList
 	switch {
 	case errors.As(err, &undefined):
 		var all []error
 		for _, u := range undefined {
-			all = append(all, fmt.Errorf("%v: %s%s", u.Pos, u.Msg, p.meant(u.Msg)))
+			all = append(all, fmt.Errorf("%v: %s%s", u.Pos, u.Msg, p.suggestion(u.Msg)))
 		}
 		return errors.Join(all...)
 	case !errors.As(err, &e):
-		return err // of syntax: it has its place
+		return err // a syntax error, which has its position already
 	}
 	for _, f := range slices.Backward(e.CallStack) {
 		if f.Pos.Filename() == p.file && f.Pos.Line > 0 {
@@ -129,13 +133,13 @@
 	return fmt.Errorf("%s: %s", p.file, e.Msg)
 }
 
-// meant names what an undefined name looks like.
-func (p *Program) meant(what string) string {
-	name, ok := strings.CutPrefix(what, "undefined: ")
+// suggestion returns a hint that names a similar predeclared name, if the error is an undefined name.
+func (p *Program) suggestion(message string) string {
+	name, ok := strings.CutPrefix(message, "undefined: ")
 	if !ok || strings.Contains(name, "(") {
 		return ""
 	}
-	for _, known := range slices.Sorted(maps.Keys(p.known)) {
+	for _, known := range slices.Sorted(maps.Keys(p.predeclared)) {
 		if levenshtein.Distance(name, known, nil) <= max(1, len(known)/3) {
 			return fmt.Sprintf(" (did you mean %s?)", known)
 		}
@@ -143,14 +147,14 @@
 	return ""
 }
 
-// Run asks the hook of a point. Whatever the code does, there is a result.
+// Run calls the hook of the request's point. It always returns a result, also if the code fails or a built-in function panics.
 func (p *Program) Run(q *plugin.Request, steps uint64) (r *plugin.Result) {
 	hook := p.hooks[q.Point]
 	r = &plugin.Result{}
 	if hook == nil {
 		return r
 	}
-	t, over := p.thread(steps, r)
+	t, exceeded := p.newThread(steps, r)
 	fail := func(text string, costly bool) {
 		*r = plugin.Result{Error: plugin.SanitizeLine(text, 4*plugin.MaxLogLine), Costly: costly, Steps: t.Steps, Lines: r.Lines, Counts: r.Counts}
 	}
@@ -169,12 +173,12 @@
 	v, err := starlark.Call(t, hook, args, nil)
 	r.Steps = t.Steps
 	if err != nil {
-		fail(p.placed(err).Error(), *over)
+		fail(p.withPosition(err).Error(), *exceeded)
 		return r
 	}
 	switch v := v.(type) {
 	case starlark.NoneType:
-	case *wish:
+	case *hookResult:
 		w := v.result
 		w.Steps, w.Lines, w.Counts = r.Steps, r.Lines, r.Counts
 		*r = w
@@ -193,7 +197,7 @@
 	if q.Point == plugin.Intake || q.Point == plugin.Call {
 		header := starlark.NewDict(len(q.Header))
 		for _, f := range q.Header {
-			header.SetKey(starlark.String(f.Name), starlark.String(f.Value)) // fresh and hashable: no error
+			header.SetKey(starlark.String(f.Name), starlark.String(f.Value)) // cannot fail: the dict is not frozen and the key is hashable
 		}
 		d["body"], d["left"], d["header"] = starlark.String(q.Body), starlark.Float(q.TimeLeft), header
 	}
@@ -222,14 +226,15 @@
 		"status": starlark.MakeInt(q.Status), "header": header, "body": starlark.String(q.ReplyBody)})
 }
 
-// wish is what a hook returns.
-type wish struct{ result plugin.Result }
+// hookResult is the value that change, refuse, not_delivered and wait return, and that a hook returns. Its type name in Starlark
+// is "wish".
+type hookResult struct{ result plugin.Result }
 
-func (w *wish) String() string       { return "wish" }
-func (w *wish) Type() string         { return "wish" }
-func (w *wish) Freeze()              {}
-func (w *wish) Truth() starlark.Bool { return starlark.True }
-func (w *wish) Hash() (uint32, error) {
+func (w *hookResult) String() string       { return "wish" }
+func (w *hookResult) Type() string         { return "wish" }
+func (w *hookResult) Freeze()              {}
+func (w *hookResult) Truth() starlark.Bool { return starlark.True }
+func (w *hookResult) Hash() (uint32, error) {
 	return 0, errors.New("a wish is no key")
 }
 
@@ -238,7 +243,7 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "body??", &body, "header??", &header, "only??", &only, "prefer??", &prefer); err != nil {
 		return nil, err
 	}
-	w := &wish{}
+	w := &hookResult{}
 	switch v := body.(type) {
 	case nil:
 	case starlark.String:
@@ -293,49 +298,50 @@
 }
 
 func refuse(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	w := &wish{result: plugin.Result{Refuse: true}}
+	w := &hookResult{result: plugin.Result{Refuse: true}}
 	var after starlark.Value
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "reason", &w.result.Reason, "retry_after??", &after); err != nil {
 		return nil, err
 	}
 	w.result.Reason = plugin.SanitizeLine(w.result.Reason, plugin.MaxReason)
-	return w, w.wait("refuse: retry_after", after)
+	return w, w.setWait("refuse: retry_after", after)
 }
 
 func notDelivered(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	w := &wish{result: plugin.Result{NotDelivered: true}}
+	w := &hookResult{result: plugin.Result{NotDelivered: true}}
 	var wait starlark.Value
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "wait??", &wait); err != nil {
 		return nil, err
 	}
-	return w, w.wait("not_delivered: wait", wait)
+	return w, w.setWait("not_delivered: wait", wait)
 }
 
 func wait(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	w := &wish{}
+	w := &hookResult{}
 	var v starlark.Value
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "time", &v); err != nil {
 		return nil, err
 	}
-	return w, w.wait("wait", v)
+	return w, w.setWait("wait", v)
 }
 
-func (w *wish) wait(where string, v starlark.Value) error {
+// setWait parses a time given to the function or parameter that function names.
+func (w *hookResult) setWait(function string, v starlark.Value) error {
 	if v == nil {
 		return nil
 	}
 	d, err := duration(v)
 	if err != nil {
-		return fmt.Errorf("%s: %w", where, err)
+		return fmt.Errorf("%s: %w", function, err)
 	}
 	if d > plugin.MaxWait {
-		return fmt.Errorf("%s: %v; at most %v", where, d, plugin.MaxWait)
+		return fmt.Errorf("%s: %v; at most %v", function, d, plugin.MaxWait)
 	}
 	w.result.WaitMS = float64(d) / float64(time.Millisecond)
 	return nil
 }
 
-// duration reads a time with its unit; a bare number could be meant in two ways.
+// duration parses a time with its unit. A number without a unit is an error, since it could mean seconds or milliseconds.
 func duration(v starlark.Value) (time.Duration, error) {
 	text, ok := starlark.AsString(v)
 	if !ok {
--- a/internal/plugin/script/script_test.go
+++ b/internal/plugin/script/script_test.go
@@ -19,8 +19,8 @@
 	return p.Run(q, 100_000)
 }
 
-// TestErrorsNameThePlace: what is wrong with a file, or with what a hook returns, is said with its line and what to write.
-func TestErrorsNameThePlace(t *testing.T) {
+// TestErrorsReportPosition checks that an error in a file, or in what a hook returns, names its position or what to write instead.
+func TestErrorsReportPosition(t *testing.T) {
 	for _, c := range []struct{ source, want string }{
 		{"def intake(message)\n    pass\n", "p.star:2:1: got newline, want ':'"},
 		{"\nx = y\n", "p.star:2:5: undefined: y"},
@@ -34,7 +34,7 @@
 		{strings.Repeat("#", MaxSource+1), "at most"},
 	} {
 		if _, err := Compile("p.star", c.source); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%.60q: %v; %q is wanted", c.source, err, c.want)
+			t.Errorf("%.60q: error %v, want %q in it", c.source, err, c.want)
 		}
 	}
 	for _, c := range []struct {
@@ -59,12 +59,12 @@
 	} {
 		r := run(t, "def intake(message):\n    "+c.body+"\n", &plugin.Request{Point: plugin.Intake})
 		if !strings.Contains(r.Error, c.want) || r.Costly != c.costly {
-			t.Errorf("%s: %q, costly %v; %q is wanted", c.body, r.Error, r.Costly, c.want)
+			t.Errorf("%s: error %q, costly %v; want %q in it", c.body, r.Error, r.Costly, c.want)
 		}
 	}
 }
 
-// TestModules has one expression for each function that a plug-in can call.
+// TestModules checks one or more expressions for each function of the modules, and the attributes of a message.
 func TestModules(t *testing.T) {
 	for _, c := range []struct{ expr, want string }{
 		{`json.encode(json.decode('{"b":[1,2.5,null],"a":"ä"}'))`, `{"a":"ä","b":[1,2.5,null]}`},
@@ -92,18 +92,18 @@
 		}{"X-A", "1"})
 		r := run(t, "def intake(message):\n    return change(body = "+c.expr+")\n", q)
 		if r.Error != "" || string(r.Body) != c.want {
-			t.Errorf("%s: %q %s; %q is wanted", c.expr, r.Body, r.Error, c.want)
+			t.Errorf("%s: body %q, error %s; want %q", c.expr, r.Body, r.Error, c.want)
 		}
 	}
 }
 
-// TestPanicOfOurs: a function of ours that panics costs one call, and says so.
-func TestPanicOfOurs(t *testing.T) {
+// TestBuiltinPanic checks that a panic in a built-in function fails only the call, with an error that says so.
+func TestBuiltinPanic(t *testing.T) {
 	p, err := Compile("p.star", "def intake(message):\n    log(\"\")\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.known["log"] = starlark.NewBuiltin("log", func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
+	p.predeclared["log"] = starlark.NewBuiltin("log", func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
 		panic("ours")
 	})
 	if r := p.Run(&plugin.Request{Point: plugin.Intake}, 1000); !r.Costly || !strings.Contains(r.Error, "panicked: ours") {
@@ -111,24 +111,24 @@
 	}
 }
 
-// TestBoundsOfOneCall: lines and counters are bounded, whatever the code does.
-func TestBoundsOfOneCall(t *testing.T) {
+// TestLogAndCounterLimits checks that the log lines and counters of one call are limited.
+func TestLogAndCounterLimits(t *testing.T) {
 	r := run(t, "def intake(message):\n    for i in range(1000):\n        log(\"\\n\" * 1000)\n        if i < 32:\n            count(str(i), 1 << 40)\n", &plugin.Request{Point: plugin.Intake})
 	if r.Error != "" || len(r.Lines) != plugin.MaxLogLines || len(r.Lines[0]) > plugin.MaxLogLine || strings.Contains(r.Lines[0], "\n") || len(r.Counts) != 32 || r.Counts["0"] > 1<<30 {
 		t.Errorf("%d lines, %d counters: %s", len(r.Lines), len(r.Counts), r.Error)
 	}
 }
 
-// FuzzPlugin: whatever a file has, it is refused or runs to its end within its steps. Hostile ones that are made to grow without
-// end run in processes only (package runner).
+// FuzzPlugin checks that any file either fails to compile or runs to its end within its steps. Hostile ones that allocate without
+// limit are left out here and run in separate processes only (package runner).
 func FuzzPlugin(f *testing.F) {
 	for seed := range uint64(400) {
 		f.Add(hostile.Source(seed, true), "body")
 	}
 	f.Add("def call(message):\n    return change(body = message.body[::-1])\n", "\xff\x00")
 	f.Fuzz(func(t *testing.T, source, body string) {
-		for _, grows := range []string{"x + x", "x * x", "<<", "range(300000)", "* 65", "* 1000", "* 6", "*"} {
-			if strings.Contains(source, grows) {
+		for _, expression := range []string{"x + x", "x * x", "<<", "range(300000)", "* 65", "* 1000", "* 6", "*"} {
+			if strings.Contains(source, expression) {
 				return
 			}
 		}
