--- a/cmd/scaleroutectl/door.go
+++ b/cmd/scaleroutectl/door.go
@@ -15,53 +15,53 @@
 	"scaleroute/internal/operations"
 )
 
-// doorCommands are the calls at a forwarder's door for operators.
-type doorCommands struct {
-	Ready readyCommand   `cmd:"" help:"Whether the process is ready to serve; exit 1 if not."`
-	Stats figuresCommand `cmd:"" help:"Its figures."`
-	Maint maintCommand   `cmd:"" help:"Leave targets out until they are put back."`
-	Back  backCommand    `cmd:"" help:"Put targets back."`
-	Drain drainCommand   `cmd:"" help:"Send clients away until they are taken again."`
-	Take  takeCommand    `cmd:"" help:"Take clients again."`
+// adminCommands are the commands that call a forwarder's admin API.
+type adminCommands struct {
+	Ready readyCommand `cmd:"" help:"Show whether the process is ready to serve; exit 1 if not."`
+	Stats statsCommand `cmd:"" help:"Show its statistics."`
+	Maint maintCommand `cmd:"" help:"Disable endpoints until they are re-enabled."`
+	Back  backCommand  `cmd:"" help:"Re-enable endpoints."`
+	Drain drainCommand `cmd:"" help:"Drain clients, until 'door take' accepts them again."`
+	Take  takeCommand  `cmd:"" help:"Accept clients again after a drain."`
 }
 
-type atDoor struct {
-	At string `required:"" env:"NODE_OPS" placeholder:"HOST:PORT" help:"The operators' address of the forwarder ('ops' in its configuration)."`
+type adminAPI struct {
+	At string `required:"" env:"NODE_OPS" placeholder:"HOST:PORT" help:"Address of the forwarder's admin API ('ops' in its configuration)."`
 }
 
 type (
-	readyCommand   struct{ atDoor }
-	figuresCommand struct {
-		atDoor
-		JSON bool `help:"As the forwarder tells them."`
+	readyCommand struct{ adminAPI }
+	statsCommand struct {
+		adminAPI
+		JSON bool `help:"Print the statistics as the forwarder's JSON."`
 	}
 	maintCommand struct {
-		atDoor
-		Targets []string `arg:"" help:"Their names in discovery's list."`
+		adminAPI
+		Targets []string `arg:"" help:"Names of the endpoints in discovery's list."`
 	}
 	backCommand struct {
-		atDoor
-		Targets []string `arg:"" help:"Their names in discovery's list."`
+		adminAPI
+		Targets []string `arg:"" help:"Names of the endpoints in discovery's list."`
 	}
-	drainCommand struct{ atDoor }
-	takeCommand  struct{ atDoor }
+	drainCommand struct{ adminAPI }
+	takeCommand  struct{ adminAPI }
 )
 
-func (d atDoor) client() (*door.Client, error) {
+func (d adminAPI) client() (*door.Client, error) {
 	if _, _, err := net.SplitHostPort(d.At); err != nil {
-		return nil, fmt.Errorf("--at %s: an address and a port, as 10.0.0.4:19000 (%w)", d.At, err)
+		return nil, fmt.Errorf("--at %s is not an address and a port, such as 10.0.0.4:19000 (%w)", d.At, err)
 	}
 	return door.NewClient(d.At), nil
 }
 
-func (d atDoor) call(method, path string) (string, error) {
+func (d adminAPI) call(method, path string) (string, error) {
 	c, err := d.client()
 	if err != nil {
 		return "", err
 	}
 	text, err := c.Call(context.Background(), method, path)
 	if err != nil && !errors.Is(err, door.ErrRejected) {
-		err = fmt.Errorf("no answer from the operators' door: is 'ops' or NODE_OPS set there? (%w)", err)
+		err = fmt.Errorf("no answer from the admin API: is 'ops' or NODE_OPS set for that forwarder? (%w)", err)
 	}
 	return text, err
 }
@@ -70,7 +70,7 @@
 	_, err := c.call("GET", "/healthcheck")
 	if errors.Is(err, door.ErrRejected) {
 		fmt.Fprintln(out, err)
-		return errFound
+		return errFindings
 	}
 	if err == nil {
 		fmt.Fprintln(out, "ready")
@@ -78,7 +78,7 @@
 	return err
 }
 
-func (c *figuresCommand) Run(out io.Writer) error {
+func (c *statsCommand) Run(out io.Writer) error {
 	text, err := c.call("GET", "/stats")
 	if err != nil || c.JSON {
 		fmt.Fprintln(out, text)
@@ -86,7 +86,7 @@
 	}
 	var s operations.Stats
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
-		return fmt.Errorf("figures that can't be read: is %s a forwarder's door? (%w)", c.At, err)
+		return fmt.Errorf("invalid statistics: is %s the admin API of a forwarder? (%w)", c.At, err)
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tfulfilled\tthrottled\tfaulted\t")
@@ -94,12 +94,12 @@
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t\n", class, s.Fulfilled[class], s.Throttled[class], s.Faulted[class])
 	}
 	t.Flush()
-	fmt.Fprintf(out, "%d open, %d written to targets, %d targets listed, %d of them out of rotation\n", s.OpenRequests, s.Relayed, s.Registry, s.OutOfRotation)
+	fmt.Fprintf(out, "%d open, %d written to endpoints, %d endpoints listed, %d of them out of rotation\n", s.OpenRequests, s.Relayed, s.Registry, s.OutOfRotation)
 	return nil
 }
 
-// each makes a call about each target; one that is refused keeps none of the others back.
-func (d atDoor) each(targets []string, do func(*door.Client, string) error, done string, out io.Writer) error {
+// forEachTarget makes one call for each endpoint. If a call fails, the calls for the other endpoints are still made.
+func (d adminAPI) forEachTarget(targets []string, do func(*door.Client, string) error, done string, out io.Writer) error {
 	c, err := d.client()
 	if err != nil {
 		return err
@@ -116,16 +116,16 @@
 }
 
 func (c *maintCommand) Run(out io.Writer) error {
-	return c.each(c.Targets, (*door.Client).DisableEndpoint, "left out", out)
+	return c.forEachTarget(c.Targets, (*door.Client).DisableEndpoint, "disabled", out)
 }
 func (c *backCommand) Run(out io.Writer) error {
-	return c.each(c.Targets, (*door.Client).EnableEndpoint, "put back", out)
+	return c.forEachTarget(c.Targets, (*door.Client).EnableEndpoint, "re-enabled", out)
 }
 
 func (c *drainCommand) Run(out io.Writer) error {
 	_, err := c.call("PUT", "/healthcheck/fail")
 	if err == nil {
-		fmt.Fprintln(out, "clients are sent away; 'door take' takes them again")
+		fmt.Fprintln(out, "clients are being drained; 'door take' accepts them again")
 	}
 	return err
 }
@@ -133,7 +133,7 @@
 func (c *takeCommand) Run(out io.Writer) error {
 	_, err := c.call("PUT", "/healthcheck/ok")
 	if err == nil {
-		fmt.Fprintln(out, "clients are taken")
+		fmt.Fprintln(out, "clients are accepted")
 	}
 	return err
 }
--- a/cmd/scaleroutectl/fleet.go
+++ b/cmd/scaleroutectl/fleet.go
@@ -24,58 +24,58 @@
 	"scaleroute/internal/version"
 )
 
-// fleetCommands ask and tell a fleet whose operators' file has a block fleet.
+// fleetCommands query and control a fleet of forwarders. The forwarders' operators' file needs a fleet block.
 type fleetCommands struct {
-	Status statusCommand `cmd:"" help:"How each member stands, as one of them sees it; the exit status says the worst."`
-	Audit  auditCommand  `cmd:"" help:"Who acted on which version, and who called a target, out of the members' ledgers."`
-	Want   wantCommand   `cmd:"" help:"Say what the fleet is to act under, and by when."`
-	Up     upCommand     `cmd:"" help:"Want of all what one member acts under."`
-	Out    outCommand    `cmd:"" help:"Have members shut out, within the share that is set."`
-	In     inCommand     `cmd:"" help:"Have members in, whatever they lack."`
-	Load   loadCommand   `cmd:"" help:"How the calls of all members are spread over the targets: herds with their ground, idle targets and why."`
+	Status statusCommand `cmd:"" help:"Show the state of each member, as one of them sees it; the exit status is that of the worst verdict."`
+	Audit  auditCommand  `cmd:"" help:"Show from the members' audit logs which member used which version, and which members called an endpoint."`
+	Want   wantCommand   `cmd:"" help:"Set the desired version of the fleet and its deadline."`
+	Up     upCommand     `cmd:"" help:"Make the version that one member uses the desired version of the fleet."`
+	Out    outCommand    `cmd:"" help:"Force members out of rotation, within the quota that is set."`
+	In     inCommand     `cmd:"" help:"Force members into rotation, even if they are out of date."`
+	Load   loadCommand   `cmd:"" help:"Show how the calls of all members are spread over the endpoints: hot spots and starved endpoints, each with its cause."`
 }
 
-// exits are the exit statuses by the worst verdict. 2 is that the command could not do what was asked.
-var exits = map[straggler.Verdict]exit{straggler.Stale: 1, straggler.FencedOff: 1, straggler.Silent: 3, straggler.Diverged: 4, straggler.Duplicate: 5}
+// verdictExitStatuses maps the worst verdict to the exit status. Status 2 is not in it: it means that the command could not be carried out.
+var verdictExitStatuses = map[straggler.Verdict]exitStatus{straggler.Stale: 1, straggler.FencedOff: 1, straggler.Silent: 3, straggler.Diverged: 4, straggler.Duplicate: 5}
 
-// found is a verdict that is an exit status.
-type found struct{ exit }
+// findingError is returned by a command that was carried out and has findings with an exit status of their own.
+type findingError struct{ exitStatus }
 
-func (found) Error() string { return errFound.Error() }
+func (findingError) Error() string { return errFindings.Error() }
 
 func verdictError(v straggler.Verdict) error {
-	if e := exits[v]; e != 0 {
-		return found{e}
+	if e := verdictExitStatuses[v]; e != 0 {
+		return findingError{e}
 	}
 	return nil
 }
 
-// fleetView is what a member knows of the fleet.
+// fleetView is the fleet as one member sees it.
 type fleetView struct {
-	Name    string             `json:"name"`
-	Want    *straggler.Desired `json:"want"`
-	Lost    *straggler.Desired `json:"lost"`
-	Share   float64            `json:"share"`
-	Members []straggler.View   `json:"members"`
+	Name       string             `json:"name"`
+	Desired    *straggler.Desired `json:"want"`
+	Superseded *straggler.Desired `json:"lost"`
+	Share      float64            `json:"share"`
+	Members    []straggler.View   `json:"members"`
 }
 
-func (d atDoor) view() (v fleetView, text string, err error) {
+func (d adminAPI) fetchFleetView() (v fleetView, text string, err error) {
 	if text, err = d.call("GET", "/fleet"); err != nil {
-		return v, "", fmt.Errorf("%w; is there a block fleet in the operators' file of that forwarder?", err)
+		return v, "", fmt.Errorf("%w; does the operators' file of that forwarder have a fleet block?", err)
 	}
 	if err := json.Unmarshal([]byte(text), &v); err != nil {
-		return v, "", fmt.Errorf("a view that can't be read: is %s a forwarder's door, of this version? (%w)", d.At, err)
+		return v, "", fmt.Errorf("invalid view of the fleet: is %s the admin API of a forwarder of this version? (%w)", d.At, err)
 	}
 	return v, text, nil
 }
 
 type statusCommand struct {
-	atDoor
-	JSON bool `help:"As the forwarder tells it."`
+	adminAPI
+	JSON bool `help:"Print the view as the forwarder's JSON."`
 }
 
 func (c *statusCommand) Run(out io.Writer) error {
-	v, text, err := c.view()
+	v, text, err := c.fetchFleetView()
 	if err != nil {
 		return err
 	}
@@ -90,20 +90,20 @@
 		fmt.Fprintln(out, text)
 		return verdictError(worst)
 	}
-	fmt.Fprintf(out, "%d members as %s sees them\n", len(v.Members), v.Name)
-	tellWant(out, v)
+	fmt.Fprintf(out, "%d members, as seen by %s\n", len(v.Members), v.Name)
+	writeDesired(out, v)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "member\tzone\tverdict\tlist\tbuild\toperators\tlacks\tfor\tclock\tnews")
 	for _, m := range v.Members {
-		lacks := make([]string, len(m.Mismatches))
+		mismatches := make([]string, len(m.Mismatches))
 		for i, l := range m.Mismatches {
-			lacks[i] = string(l)
+			mismatches[i] = string(l)
 		}
 		since := ""
 		if m.StaleFor > 0 {
 			since = m.StaleFor.Round(100 * time.Millisecond).String()
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%.8s\t%s\t%s\t%+.1fs\t%v ago\n", m.Name, m.Zone, m.Verdict, m.Vector.List.Index, m.Vector.Build, m.Vector.Operators.Digest, strings.Join(lacks, ","), since,
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%.8s\t%s\t%s\t%+.1fs\t%v ago\n", m.Name, m.Zone, m.Verdict, m.Vector.List.Index, m.Vector.Build, m.Vector.Operators.Digest, strings.Join(mismatches, ","), since,
 			m.ClockSkew.Seconds(), m.ReportAge.Round(100*time.Millisecond))
 	}
 	t.Flush()
@@ -122,34 +122,34 @@
 	return verdictError(worst)
 }
 
-func tellWant(out io.Writer, v fleetView) {
-	if v.Want == nil {
-		fmt.Fprintln(out, "nothing is wanted: behind is who has an older list than others")
+func writeDesired(out io.Writer, v fleetView) {
+	if v.Desired == nil {
+		fmt.Fprintln(out, "no desired version is set: a member is behind if its list is older than those of other members")
 		return
 	}
-	text, _ := json.Marshal(v.Want.Version) // plain values
-	fmt.Fprintf(out, "want %d of %s, within %v: %s; %.0f%% may be shut out\n", v.Want.Gen, v.Want.By, v.Want.Deadline, text, 100*v.Share)
-	if v.Lost != nil {
-		fmt.Fprintf(out, "another want %d, of %s, came at the same time and had to give way: agree, and put one after them\n", v.Lost.Gen, v.Lost.By)
+	text, _ := json.Marshal(v.Desired.Version) // can't fail: all fields are plain values
+	fmt.Fprintf(out, "desired version %d, set by %s, within %v: %s; up to %.0f%% of the members may be shut out\n", v.Desired.Gen, v.Desired.By, v.Desired.Deadline, text, 100*v.Share)
+	if v.Superseded != nil {
+		fmt.Fprintf(out, "desired version %d, set by %s at the same time, was superseded: agree with its operator, and set a new one\n", v.Superseded.Gen, v.Superseded.By)
 	}
 }
 
-// wanting is what all commands that put a want have in common.
-type wanting struct {
-	atDoor
-	By       string        `help:"Who wants it; default: the user and machine that runs this."`
-	Deadline time.Duration `default:"1m" help:"How long after it is heard a member that lacks something may be shut out; 0: never."`
+// desiredFlags are the flags that all commands that set a desired version have in common.
+type desiredFlags struct {
+	adminAPI
+	By       string        `help:"The operator who sets the desired version; default: the user and host that run this command."`
+	Deadline time.Duration `default:"1m" help:"Time after which a member that knows the desired version and is still out of date may be shut out; 0: never."`
 }
 
-// put puts the next want after the one that holds.
-func (c *wanting) put(out io.Writer, change func(v fleetView, w *straggler.Desired) error) error {
-	v, _, err := c.view()
+// putDesired sets a desired version that supersedes the current one.
+func (c *desiredFlags) putDesired(out io.Writer, change func(v fleetView, w *straggler.Desired) error) error {
+	v, _, err := c.fetchFleetView()
 	if err != nil {
 		return err
 	}
 	w := straggler.Desired{}
-	if v.Want != nil {
-		w = *v.Want
+	if v.Desired != nil {
+		w = *v.Desired
 	}
 	w.Gen++
 	if w.By = c.By; w.By == "" {
@@ -174,26 +174,26 @@
 	if _, err := d.Put(context.Background(), "/fleet/want", text); err != nil {
 		return err
 	}
-	v.Want, v.Lost = &w, nil
-	tellWant(out, v)
-	fmt.Fprintln(out, "it goes from member to member; scaleroutectl fleet status shows who lacks it")
+	v.Desired, v.Superseded = &w, nil
+	writeDesired(out, v)
+	fmt.Fprintln(out, "it spreads from member to member; scaleroutectl fleet status shows which members are out of date")
 	return nil
 }
 
 type wantCommand struct {
-	wanting
-	Index     int64  `help:"Index of the list, at least."`
-	Newest    bool   `help:"The newest list that any member has."`
-	Operators string `type:"existingfile" help:"The resolved operators' file, as scaleroutectl compile writes it."`
-	Build     string `help:"Revision of the program, or how it begins."`
-	Nothing   bool   `help:"Want nothing any more."`
+	desiredFlags
+	Index     int64  `help:"Minimum index of the endpoint list."`
+	Newest    bool   `help:"Require the newest endpoint list that any member has."`
+	Operators string `type:"existingfile" help:"The resolved operators' file that scaleroutectl compile writes."`
+	Build     string `help:"Revision of the program, or a prefix of it."`
+	Nothing   bool   `help:"Remove the desired version."`
 }
 
 func (c *wantCommand) Run(out io.Writer) error {
 	if !c.Nothing && c.Index == 0 && !c.Newest && c.Operators == "" && c.Build == "" {
-		return errors.New("say what is wanted: --index, --newest, --operators, --build, or --nothing")
+		return errors.New("no desired version given: use --index, --newest, --operators, --build, or --nothing")
 	}
-	return c.put(out, func(v fleetView, w *straggler.Desired) error {
+	return c.putDesired(out, func(v fleetView, w *straggler.Desired) error {
 		w.Version, w.ForceOut, w.ForceIn = version.Desired{Index: c.Index, Build: c.Build}, nil, nil
 		if c.Newest {
 			for _, m := range v.Members {
@@ -211,24 +211,24 @@
 			}
 			w.Version.Operators = set.Digest()
 		}
-		reach := 0
+		matching := 0
 		for _, m := range v.Members {
 			if len(m.Vector.Mismatches(w.Version)) == 0 {
-				reach++
+				matching++
 			}
 		}
-		fmt.Fprintf(out, "%d of %d members act under it now\n", reach, len(v.Members))
+		fmt.Fprintf(out, "%d of %d members match it now\n", matching, len(v.Members))
 		return nil
 	})
 }
 
-type upCommand struct{ wanting }
+type upCommand struct{ desiredFlags }
 
 func (c *upCommand) Run(out io.Writer) error {
-	return c.put(out, func(v fleetView, w *straggler.Desired) error {
+	return c.putDesired(out, func(v fleetView, w *straggler.Desired) error {
 		i := slices.IndexFunc(v.Members, func(m straggler.View) bool { return m.Name == v.Name })
 		if i < 0 {
-			return fmt.Errorf("%s does not know itself yet: ask again in a second", v.Name)
+			return fmt.Errorf("%s is not in its own view of the fleet yet: retry in a second", v.Name)
 		}
 		own := v.Members[i].Vector
 		w.Version = version.Desired{Index: own.List.Index, List: own.List.Digest, Operators: own.Operators.Digest, Build: own.Build.Revision}
@@ -237,27 +237,31 @@
 }
 
 type outCommand struct {
-	wanting
-	Members []string `arg:"" help:"Their names."`
+	desiredFlags
+	Members []string `arg:"" help:"Names of the members."`
 }
 
 type inCommand struct {
-	wanting
-	Members []string `arg:"" help:"Their names."`
+	desiredFlags
+	Members []string `arg:"" help:"Names of the members."`
 }
 
 func (c *outCommand) Run(out io.Writer) error {
-	return c.put(out, func(v fleetView, w *straggler.Desired) error { return move(v, c.Members, &w.ForceOut, &w.ForceIn) })
+	return c.putDesired(out, func(v fleetView, w *straggler.Desired) error {
+		return forceMembers(v, c.Members, &w.ForceOut, &w.ForceIn)
+	})
 }
 
 func (c *inCommand) Run(out io.Writer) error {
-	return c.put(out, func(v fleetView, w *straggler.Desired) error { return move(v, c.Members, &w.ForceIn, &w.ForceOut) })
+	return c.putDesired(out, func(v fleetView, w *straggler.Desired) error {
+		return forceMembers(v, c.Members, &w.ForceIn, &w.ForceOut)
+	})
 }
 
-func move(v fleetView, names []string, to, from *[]string) error {
+func forceMembers(v fleetView, names []string, to, from *[]string) error {
 	for _, name := range names {
 		if !slices.ContainsFunc(v.Members, func(m straggler.View) bool { return m.Name == name }) {
-			return fmt.Errorf("%s knows no member %q: scaleroutectl fleet status lists them", v.Name, name)
+			return fmt.Errorf("%s knows no member %q: scaleroutectl fleet status lists the members", v.Name, name)
 		}
 		*from = slices.DeleteFunc(slices.Clone(*from), func(n string) bool { return n == name })
 		if !slices.Contains(*to, name) {
@@ -268,44 +272,44 @@
 }
 
 type auditCommand struct {
-	At      string        `env:"NODE_OPS" placeholder:"HOST:PORT" help:"The door of one member, which tells those of the others."`
-	Door    []string      `placeholder:"HOST:PORT" help:"Doors of members, where they do not gossip."`
-	Folder  []string      `placeholder:"[NAME=]DIR" help:"Folders (NODE_STATE) of members whose doors are not there."`
-	Target  string        `help:"Who called this target?"`
-	Older   int64         `help:"Only under lists with a lower index."`
-	Steps   bool          `help:"Each member's step of each roll-out."`
-	Lists   int           `default:"10" help:"Lists that are told of, the newest."`
-	Timeout time.Duration `default:"2s" help:"For one member's answer."`
-	JSON    bool          `help:"The whole report as JSON."`
-	Parquet string        `type:"path" help:"Write all ledgers as one table."`
-	Chart   string        `type:"path" help:"Draw the roll-outs, as PNG."`
+	At      string        `env:"NODE_OPS" placeholder:"HOST:PORT" help:"Address of the admin API of one member, which knows those of the others."`
+	Door    []string      `placeholder:"HOST:PORT" help:"Admin API addresses of members that do not gossip."`
+	Folder  []string      `placeholder:"[NAME=]DIR" help:"Folders (NODE_STATE) of members whose admin API can't be reached."`
+	Target  string        `help:"Show which members called this endpoint."`
+	Older   int64         `help:"With --target, count only calls under endpoint lists with a lower index."`
+	Steps   bool          `help:"Show when each member reached each roll-out."`
+	Lists   int           `default:"10" help:"Number of endpoint lists to show, the newest ones."`
+	Timeout time.Duration `default:"2s" help:"Time limit for the answer of one member."`
+	JSON    bool          `help:"Print the whole report as JSON."`
+	Parquet string        `type:"path" help:"Write all audit logs to this file as one table."`
+	Chart   string        `type:"path" help:"Draw the roll-outs in this PNG file."`
 	Quiet   bool          `help:"Show no progress."`
 }
 
 func (c *auditCommand) Run(out io.Writer, errs stderr) error {
-	doors, unheard, err := memberDoors(c.At, c.Door)
+	addresses, unreported, err := adminAddresses(c.At, c.Door)
 	if err != nil {
 		return err
 	}
-	var want version.Desired
+	var desired version.Desired
 	if c.At != "" {
-		v, _, err := atDoor{c.At}.view()
+		v, _, err := adminAPI{c.At}.fetchFleetView()
 		if err != nil {
 			return err
 		}
-		if v.Want != nil {
-			want = v.Want.Version
+		if v.Desired != nil {
+			desired = v.Desired.Version
 		}
 	}
-	if len(doors)+len(c.Folder) == 0 {
-		return errors.New("whose ledgers? Name a member that gossips by --at, doors by --door, or folders by --folder")
+	if len(addresses)+len(c.Folder) == 0 {
+		return errors.New("no audit logs named: use --at for a member that gossips, --door for admin API addresses, or --folder for folders")
 	}
-	bar := progressbar.NewOptions(len(doors), progressbar.OptionSetWriter(errs.Writer), progressbar.OptionSetDescription("asking"), progressbar.OptionShowCount(), progressbar.OptionSetPredictTime(true),
+	bar := progressbar.NewOptions(len(addresses), progressbar.OptionSetWriter(errs.Writer), progressbar.OptionSetDescription("querying members"), progressbar.OptionShowCount(), progressbar.OptionSetPredictTime(true),
 		progressbar.OptionClearOnFinish(), progressbar.OptionSetVisibility(!c.Quiet && !c.JSON))
-	all := audit.CollectMembers(context.Background(), doors, c.Timeout, func() { bar.Add(1) })
+	all := audit.CollectMembers(context.Background(), addresses, c.Timeout, func() { bar.Add(1) })
 	bar.Finish()
-	for _, name := range unheard {
-		all = append(all, audit.MemberData{Source: "?", Name: name, Err: "it has not told its door: is ops set there?"})
+	for _, name := range unreported {
+		all = append(all, audit.MemberData{Source: "?", Name: name, Err: "it has not reported the address of its admin API: is ops set for it?"})
 	}
 	for _, f := range c.Folder {
 		name, dir, ok := strings.Cut(f, "=")
@@ -318,8 +322,8 @@
 	if c.Target != "" {
 		q = &audit.CallQuery{Target: c.Target, BelowIndex: c.Older}
 	}
-	r := audit.Merge(all, want, q)
-	if err := export(c.Parquet, func(w io.Writer) error { return audit.WriteParquet(w, audit.Rows(all)) },
+	r := audit.Merge(all, desired, q)
+	if err := exportTableAndChart(c.Parquet, func(w io.Writer) error { return audit.WriteParquet(w, audit.Rows(all)) },
 		c.Chart, func(w io.Writer) error { return audit.WriteRolloutChart(w, r, len(r.Members)) }); err != nil {
 		return err
 	}
@@ -330,49 +334,50 @@
 		}
 		fmt.Fprintln(out, string(text))
 	} else {
-		c.tell(out, r)
+		c.writeText(out, r)
 	}
 	return verdictError(r.Worst())
 }
 
-// memberDoors are the doors of all members that one of them knows, and those that are named; unheard are members that have told none.
-func memberDoors(at string, named []string) (doors, unheard []string, err error) {
-	doors = slices.Clone(named)
+// adminAddresses returns the admin API addresses of all members that the member at an address knows, and the named ones, sorted and without repeats;
+// unreported are the names of members that have not reported an address.
+func adminAddresses(at string, named []string) (addresses, unreported []string, err error) {
+	addresses = slices.Clone(named)
 	if at != "" {
-		v, _, err := atDoor{at}.view()
+		v, _, err := adminAPI{at}.fetchFleetView()
 		if err != nil {
 			return nil, nil, err
 		}
-		doors = append(doors, at)
+		addresses = append(addresses, at)
 		for _, m := range v.Members {
 			switch {
 			case m.Name == v.Name:
 			case m.AdminAddress == "":
-				unheard = append(unheard, m.Name)
+				unreported = append(unreported, m.Name)
 			default:
-				doors = append(doors, m.AdminAddress)
+				addresses = append(addresses, m.AdminAddress)
 			}
 		}
 	}
-	slices.Sort(doors)
-	return slices.Compact(doors), unheard, nil
+	slices.Sort(addresses)
+	return slices.Compact(addresses), unreported, nil
 }
 
-// export writes a table and a chart, where files are named for them.
-func export(parquet string, table func(io.Writer) error, chart string, draw func(io.Writer) error) error {
+// exportTableAndChart writes the table and the chart to the named files; an empty name skips its file.
+func exportTableAndChart(parquet string, table func(io.Writer) error, chart string, draw func(io.Writer) error) error {
 	if parquet != "" {
-		if err := toFile(parquet, table); err != nil {
+		if err := writeFileAtomically(parquet, table); err != nil {
 			return err
 		}
 	}
 	if chart == "" {
 		return nil
 	}
-	return toFile(chart, draw)
+	return writeFileAtomically(chart, draw)
 }
 
-// toFile writes a file whole or not at all.
-func toFile(path string, write func(io.Writer) error) error {
+// writeFileAtomically writes to a temporary file and renames it, so that a failed write leaves no partial file at path.
+func writeFileAtomically(path string, write func(io.Writer) error) error {
 	var b bytes.Buffer
 	if err := write(&b); err != nil {
 		return err
@@ -384,7 +389,7 @@
 	return os.Rename(next, path)
 }
 
-func (c *auditCommand) tell(out io.Writer, r *audit.Report) {
+func (c *auditCommand) writeText(out io.Writer, r *audit.Report) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "member\tverdict\tlist\tbuild\toperators\tchanges\tslept\tclock\tsince")
 	for _, m := range r.Members {
@@ -403,12 +408,12 @@
 		}
 	}
 	for _, o := range r.Lists[max(0, len(r.Lists)-c.Lists):] {
-		c.rollOut(out, &o)
+		c.writeRollOut(out, &o)
 	}
 	if len(r.OperatorFiles) > 1 {
 		for _, o := range r.OperatorFiles {
 			fmt.Fprint(out, "operators ")
-			c.rollOut(out, &o)
+			c.writeRollOut(out, &o)
 		}
 	}
 	if a := r.Calls; a != nil {
@@ -416,25 +421,25 @@
 		if a.BelowIndex > 0 {
 			under = fmt.Sprintf("lists before %d", a.BelowIndex)
 		}
-		fmt.Fprintf(out, "%s under %s: %s calls have arrived, by %d members\n", a.Target, under, count(a.Total.Min, a.Total.Max), len(a.Members))
+		fmt.Fprintf(out, "%s under %s: %s calls have arrived, from %d members\n", a.Target, under, formatRange(a.Total.Min, a.Total.Max), len(a.Members))
 		for _, by := range a.Members {
-			fmt.Fprintf(out, "  %s: %s, the last at %s (clock of this machine), under list %d, operators %.8s, build %s, since %q\n", by.Name, count(by.Arrived.Min, by.Arrived.Max),
+			fmt.Fprintf(out, "  %s: %s, the last at %s (clock of this machine), under list %d, operators %.8s, build %s, since %q\n", by.Name, formatRange(by.Arrived.Min, by.Arrived.Max),
 				by.LastCorrected.UTC().Format("2006-01-02 15:04:05.000"), by.LastVector.List.Index, by.LastVector.Operators.Digest, by.LastVector.Build, by.Cause)
 		}
 	}
 	for _, text := range r.Caveats {
-		fmt.Fprintln(out, "not whole:", text)
+		fmt.Fprintln(out, "incomplete:", text)
 	}
 }
 
-func count(least, most uint64) string {
+func formatRange(least, most uint64) string {
 	if least == most {
 		return fmt.Sprint(least)
 	}
 	return fmt.Sprintf("%d to %d", least, most)
 }
 
-func (c *auditCommand) rollOut(out io.Writer, o *audit.Rollout) {
+func (c *auditCommand) writeRollOut(out io.Writer, o *audit.Rollout) {
 	fmt.Fprintln(out, o)
 	if c.Steps {
 		for _, s := range o.Steps {
--- a/cmd/scaleroutectl/fleetload_test.go
+++ b/cmd/scaleroutectl/fleetload_test.go
@@ -14,8 +14,9 @@
 	"scaleroute/internal/load"
 )
 
-// loadDoor stands in for the door of a member that calls each of four targets once a second, the last not at all, and the first five times as often if it is heavy.
-func loadDoor(t *testing.T, name string, heavy bool) string {
+// fakeLoadMember serves the admin API of a member with four endpoints, for 100 seconds. In each second it calls the first three endpoints 4 times each, or the first 20 times if
+// heavy is set, and the last not at all.
+func fakeLoadMember(t *testing.T, name string, heavy bool) string {
 	t.Helper()
 	now := time.Now()
 	s := load.Snapshot{Name: name, Clock: now, Began: now.Unix() - 500, Until: now.Unix() - 1}
@@ -41,25 +42,25 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestFleetLoadCommand: what doors tell comes out as text, JSON, a table and a chart; the table read again says the same counts; and each bad input is named with what to do.
+// TestFleetLoadCommand checks the report of the members' calls as text, JSON, a table and a chart. The table, read again, has the same counts, and each invalid input is named in an error.
 func TestFleetLoadCommand(t *testing.T) {
-	a, b := loadDoor(t, "n1", true), loadDoor(t, "n2", false)
+	a, b := fakeLoadMember(t, "n1", true), fakeLoadMember(t, "n2", false)
 	dir := t.TempDir()
 	table, chart := filepath.Join(dir, "kept.parquet"), filepath.Join(dir, "load.png")
-	status, out, errs := ctl("fleet", "load", "--quiet", "--door", a, "--door", b, "--door", "127.0.0.1:1", "--over", "60s", "--parquet", table, "--chart", chart)
-	for _, want := range []string{"2 members, 60 s", "destination 7: 2400 calls", "s-a", "herd: s-a had 240 calls", "ground: one sender", "idle: s-d", "drains for 2 members", "not whole: 127.0.0.1:1"} {
+	status, out, errs := runSeparate("fleet", "load", "--quiet", "--door", a, "--door", b, "--door", "127.0.0.1:1", "--over", "60s", "--parquet", table, "--chart", chart)
+	for _, want := range []string{"2 members, 60 s", "destination 7: 2400 calls", "s-a", "hot spot: s-a had 240 calls", "cause: one sender", "starved: s-d", "drains for 2 members", "incomplete: 127.0.0.1:1"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("no %q in\n%s%s", want, out, errs)
 		}
 	}
 	if status != 1 {
-		t.Errorf("exit %d with a herd", status)
+		t.Errorf("exit %d with a hot spot, want 1", status)
 	}
 	if text, err := os.ReadFile(chart); err != nil || !bytes.HasPrefix(text, []byte("\x89PNG")) {
-		t.Errorf("the chart: %v", err)
+		t.Errorf("invalid chart: %v", err)
 	}
 	counts := func(args ...string) (list []int) {
-		_, out, errs := ctl(append([]string{"fleet", "load", "--quiet", "--json", "--over", "60s"}, args...)...)
+		_, out, errs := runSeparate(append([]string{"fleet", "load", "--quiet", "--json", "--over", "60s"}, args...)...)
 		var r load.Report
 		if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Destinations) != 1 {
 			t.Fatalf("%v: %v %s%s", args, err, out, errs)
@@ -69,29 +70,29 @@
 		}
 		return list
 	}
-	if asked, kept := counts("--door", a, "--door", b), counts("--from", table); len(asked) != 4 || asked[0] != 1440 || len(kept) != 4 || kept[0] != asked[0] || kept[1] != asked[1] || kept[3] != 0 {
-		t.Errorf("asked %v, kept %v", asked, kept)
+	if fetched, stored := counts("--door", a, "--door", b), counts("--from", table); len(fetched) != 4 || fetched[0] != 1440 || len(stored) != 4 || stored[0] != fetched[0] || stored[1] != fetched[1] || stored[3] != 0 {
+		t.Errorf("from the members %v, from the table %v", fetched, stored)
 	}
-	if status, out, errs := ctl("fleet", "load", "--from", table, "--quiet"); status != 1 || !strings.Contains(out, "a table has no grounds") {
+	if status, out, errs := runSeparate("fleet", "load", "--from", table, "--quiet"); status != 1 || !strings.Contains(out, "a table has no grounds") {
 		t.Errorf("%d %s%s", status, out, errs)
 	}
-	spoilt := filepath.Join(dir, "spoilt.parquet")
+	invalid := filepath.Join(dir, "invalid.parquet")
 	text, _ := os.ReadFile(table)
 	for name, c := range map[string]struct {
 		content []byte
 		args    []string
-		says    string
+		text    string
 	}{
-		"too short a time":  {nil, []string{"--door", a, "--over", "3s"}, "--over 3s"},
-		"nobody named":      {nil, nil, "--door"},
-		"no such dest":      {nil, []string{"--door", a, "--dest", "9"}, "--dest 9"},
-		"not a table":       {[]byte("calls, many"), []string{"--from", spoilt}, spoilt},
-		"cut in half":       {text[:len(text)/2], []string{"--from", spoilt}, spoilt},
-		"another's content": {append(bytes.Clone(text[:40]), text[len(text)-40:]...), []string{"--from", spoilt}, spoilt},
+		"period too short":    {nil, []string{"--door", a, "--over", "3s"}, "--over 3s"},
+		"no member named":     {nil, nil, "--door"},
+		"unknown destination": {nil, []string{"--door", a, "--dest", "9"}, "--dest 9"},
+		"not a table":         {[]byte("calls, many"), []string{"--from", invalid}, invalid},
+		"truncated":           {text[:len(text)/2], []string{"--from", invalid}, invalid},
+		"mismatched halves":   {append(bytes.Clone(text[:40]), text[len(text)-40:]...), []string{"--from", invalid}, invalid},
 	} {
-		os.WriteFile(spoilt, c.content, 0o600)
-		status, out, errs := ctl(append([]string{"fleet", "load", "--quiet"}, c.args...)...)
-		if status != 2 || !strings.Contains(errs, c.says) {
+		os.WriteFile(invalid, c.content, 0o600)
+		status, out, errs := runSeparate(append([]string{"fleet", "load", "--quiet"}, c.args...)...)
+		if status != 2 || !strings.Contains(errs, c.text) {
 			t.Errorf("%s: exit %d, %s%s", name, status, out, errs)
 		}
 	}
--- a/cmd/scaleroutectl/journal.go
+++ b/cmd/scaleroutectl/journal.go
@@ -16,36 +16,36 @@
 	"scaleroute/internal/journal"
 )
 
-// journalCommands look into the folder that NODE_STATE of a forwarder names.
+// journalCommands read the journal in the folder that a forwarder's NODE_STATE names.
 type journalCommands struct {
-	Verify verifyCommand `cmd:"" help:"What can't be read, and what it hit."`
-	Stat   statCommand   `cmd:"" help:"What is held, by destination, class, age and attempts."`
-	Dump   dumpCommand   `cmd:"" help:"What is held, a line of JSON each."`
-	Repair repairCommand `cmd:"" help:"Write what is held into a new folder."`
+	Verify verifyCommand `cmd:"" help:"Report damaged records and the messages that they affect."`
+	Stat   statCommand   `cmd:"" help:"Count queued messages by destination, class and attempts, with their remaining time."`
+	Dump   dumpCommand   `cmd:"" help:"Print each queued message as a line of JSON."`
+	Repair repairCommand `cmd:"" help:"Write the queued messages into a new folder."`
 }
 
-type source struct {
-	Folder string `arg:"" type:"existingdir" help:"NODE_STATE of a forwarder. Nothing in it is changed, and it may be in use: what is written meanwhile may then be missing."`
+type journalFolder struct {
+	Folder string `arg:"" type:"existingdir" help:"NODE_STATE of a forwarder. Nothing in it is changed. It may be in use: records that are written during the command may then be missing."`
 }
 
 type (
 	verifyCommand struct {
-		source
-		JSON bool `help:"One line of JSON."`
+		journalFolder
+		JSON bool `help:"Print one line of JSON."`
 	}
 	statCommand struct {
-		source
-		JSON bool `help:"One line of JSON."`
+		journalFolder
+		JSON bool `help:"Print one line of JSON."`
 	}
-	dumpCommand   struct{ source }
+	dumpCommand   struct{ journalFolder }
 	repairCommand struct {
-		source
-		To string `arg:"" name:"new-folder" help:"A folder that is not there yet."`
+		journalFolder
+		To string `arg:"" name:"new-folder" help:"A folder that does not exist yet."`
 	}
 )
 
-// read reads the folder's journal for a command.
-func (f source) read(do func(*journal.Journal) error) error {
+// withJournal opens the folder's journal read-only, passes it to do, and closes it.
+func (f journalFolder) withJournal(do func(*journal.Journal) error) error {
 	j, err := journal.Read(f.Folder)
 	if err != nil {
 		return err
@@ -55,25 +55,25 @@
 }
 
 func (c *verifyCommand) Run(out io.Writer) error {
-	return c.read(func(j *journal.Journal) error {
+	return c.withJournal(func(j *journal.Journal) error {
 		found, err := verify(j, c.JSON, out)
 		if err == nil && found {
-			err = errFound
+			err = errFindings
 		}
 		return err
 	})
 }
 
 func (c *statCommand) Run(out io.Writer) error {
-	return c.read(func(j *journal.Journal) error { return stat(j, c.JSON, out, time.Now()) })
+	return c.withJournal(func(j *journal.Journal) error { return stat(j, c.JSON, out, time.Now()) })
 }
 
 func (c *dumpCommand) Run(out io.Writer) error {
-	return c.read(func(j *journal.Journal) error { return dump(j, out) })
+	return c.withJournal(func(j *journal.Journal) error { return dump(j, out) })
 }
 
 func (c *repairCommand) Run(out io.Writer) error {
-	return c.read(func(j *journal.Journal) error { return repair(j, c.To, out) })
+	return c.withJournal(func(j *journal.Journal) error { return repair(j, c.To, out) })
 }
 
 func verify(j *journal.Journal, asJSON bool, out io.Writer) (found bool, err error) {
@@ -87,41 +87,41 @@
 	for _, d := range damage {
 		fmt.Fprintf(out, "%s: at %d, %d bytes: %s\n", d.File, d.Offset, d.Bytes, d.Description)
 		for _, id := range d.IDs {
-			fmt.Fprintf(out, "\t%s counts as one that may have run\n", id)
+			fmt.Fprintf(out, "\t%s is treated as possibly executed\n", id)
 		}
 	}
 	if len(damage) > 0 {
-		fmt.Fprintf(out, "%d places are damaged; %d messages are held. The forwarder starts with what is left, and says the same in its log.\n", len(damage), len(j.Queued()))
+		fmt.Fprintf(out, "%d places are damaged; %d messages are queued. The forwarder starts with the remaining messages, and logs the same damage.\n", len(damage), len(j.Queued()))
 	} else {
-		fmt.Fprintf(out, "all records check; %d messages are held\n", len(j.Queued()))
+		fmt.Fprintf(out, "all records are valid; %d messages are queued\n", len(j.Queued()))
 	}
 	return len(damage) > 0, nil
 }
 
-// counts is what stat tells of one group of messages.
-type counts struct {
-	Held       int   `json:"held"`
-	Bytes      int64 `json:"bytes"` // of bodies
-	MayHaveRun int   `json:"may_have_run"`
-	Ended      int   `json:"ended"` // their final answer is still to be told
-	Overdue    int   `json:"overdue"`
-	Attempts   int   `json:"attempts"`
-	OldestMS   int64 `json:"least_left_ms"` // until the first of them must have its end
+// messageCounts summarizes one group of messages for stat.
+type messageCounts struct {
+	Queued      int   `json:"held"`
+	Bytes       int64 `json:"bytes"` // of bodies
+	MayHaveRun  int   `json:"may_have_run"`
+	Completed   int   `json:"ended"` // their completion notice is still to be sent
+	Overdue     int   `json:"overdue"`
+	Attempts    int   `json:"attempts"`
+	LeastLeftMS int64 `json:"least_left_ms"` // until the earliest deadline among them
 }
 
-func (c *counts) add(s *journal.MessageState, now time.Time) {
+func (c *messageCounts) add(s *journal.MessageState, now time.Time) {
 	left := s.Deadline.Sub(now).Milliseconds()
-	if c.Held == 0 || left < c.OldestMS {
-		c.OldestMS = left
+	if c.Queued == 0 || left < c.LeastLeftMS {
+		c.LeastLeftMS = left
 	}
-	c.Held++
+	c.Queued++
 	c.Bytes += int64(s.Body.Len())
 	c.Attempts += s.Attempts
 	if s.PossiblyRan() {
 		c.MayHaveRun++
 	}
 	if s.Completion != 0 {
-		c.Ended++
+		c.Completed++
 	}
 	if left < 0 {
 		c.Overdue++
@@ -129,11 +129,11 @@
 }
 
 func stat(j *journal.Journal, asJSON bool, out io.Writer, now time.Time) error {
-	var all counts
-	byClass, byDest, byTries := map[string]*counts{}, map[string]*counts{}, map[string]*counts{}
-	group := func(m map[string]*counts, key string, s *journal.MessageState) {
+	var all messageCounts
+	byClass, byDest, byAttempts := map[string]*messageCounts{}, map[string]*messageCounts{}, map[string]*messageCounts{}
+	group := func(m map[string]*messageCounts, key string, s *journal.MessageState) {
 		if m[key] == nil {
-			m[key] = &counts{}
+			m[key] = &messageCounts{}
 		}
 		m[key].add(s, now)
 	}
@@ -141,31 +141,31 @@
 		all.add(s, now)
 		group(byClass, s.Class, s)
 		group(byDest, fmt.Sprint(s.Dest), s)
-		group(byTries, fmt.Sprint(s.Attempts), s)
+		group(byAttempts, fmt.Sprint(s.Attempts), s)
 	}
 	if asJSON {
-		return json.NewEncoder(out).Encode(map[string]any{"all": all, "class": byClass, "destination": byDest, "attempts": byTries})
+		return json.NewEncoder(out).Encode(map[string]any{"all": all, "class": byClass, "destination": byDest, "attempts": byAttempts})
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\theld\tbytes\tmay have run\tended\toverdue\tleast time left\t")
-	row := func(name string, c *counts) {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%v\t\n", name, c.Held, c.Bytes, c.MayHaveRun, c.Ended, c.Overdue,
-			time.Duration(c.OldestMS)*time.Millisecond)
+	row := func(name string, c *messageCounts) {
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%v\t\n", name, c.Queued, c.Bytes, c.MayHaveRun, c.Completed, c.Overdue,
+			time.Duration(c.LeastLeftMS)*time.Millisecond)
 	}
 	row("all", &all)
 	for _, part := range []struct {
 		name string
-		of   map[string]*counts
-	}{{"class ", byClass}, {"attempts ", byTries}, {"destination ", byDest}} {
+		of   map[string]*messageCounts
+	}{{"class ", byClass}, {"attempts ", byAttempts}, {"destination ", byDest}} {
 		keys := slices.SortedFunc(maps.Keys(part.of), func(a, b string) int {
-			return cmp.Or(cmp.Compare(part.of[b].Held, part.of[a].Held), cmp.Compare(a, b))
+			return cmp.Or(cmp.Compare(part.of[b].Queued, part.of[a].Queued), cmp.Compare(a, b))
 		})
-		const most = 20 // the whole list is in the JSON
-		for _, k := range keys[:min(most, len(keys))] {
+		const maxRows = 20 // the JSON has all of them
+		for _, k := range keys[:min(maxRows, len(keys))] {
 			row(part.name+k, part.of[k])
 		}
-		if len(keys) > most {
-			fmt.Fprintf(t, "%d more\t\t\t\t\t\t\t\n", len(keys)-most)
+		if len(keys) > maxRows {
+			fmt.Fprintf(t, "%d more\t\t\t\t\t\t\t\n", len(keys)-maxRows)
 		}
 	}
 	return t.Flush()
@@ -176,7 +176,7 @@
 	for _, s := range j.Queued() {
 		line := map[string]any{"id": s.ID, "class": s.Class, "destination": s.Dest, "deadline": s.Deadline.UTC().Format(time.RFC3339Nano),
 			"attempts": s.Attempts, "open": s.InFlight, "may_have_run": s.PossiblyRan()}
-		// In a folder that is in use a body may have moved or ended since it was read; damage may have cost it.
+		// In a folder that is in use, the body may have moved, or the message completed, since the journal was read. Damage may have destroyed the body too.
 		if body, err := s.Body.Load(); err != nil {
 			line["body_error"] = err.Error()
 		} else {
@@ -196,16 +196,16 @@
 	return nil
 }
 
-// repair writes what is held into a new folder, in which a forwarder can be started.
+// repair writes the queued messages into a new folder, in which a forwarder can be started.
 func repair(j *journal.Journal, to string, out io.Writer) error {
 	if err := os.Mkdir(to, 0o700); errors.Is(err, os.ErrExist) {
-		return fmt.Errorf("%s is there already: name a folder that is not, nothing is repaired in place", to)
+		return fmt.Errorf("%s already exists: name a folder that does not, since nothing is repaired in place", to)
 	} else if err != nil {
 		return err
 	}
 	n, err := journal.Copy(j, to)
 	if err != nil {
-		return fmt.Errorf("%w; %s is not complete, remove it", err, to)
+		return fmt.Errorf("%w; %s is incomplete, remove it", err, to)
 	}
 	fmt.Fprintf(out, "%d messages written to %s\n", n, to)
 	return nil
--- a/cmd/scaleroutectl/journal_test.go
+++ b/cmd/scaleroutectl/journal_test.go
@@ -14,8 +14,8 @@
 	"scaleroute/internal/message"
 )
 
-// folder is a journal with some messages, still open as a forwarder has it.
-func folder(t *testing.T) string {
+// newTestJournal returns the folder of a journal with 40 messages. The journal is still open, as in a running forwarder.
+func newTestJournal(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	j, err := journal.Open(dir, journal.Options{DiskLimit: 3e6})
@@ -26,8 +26,8 @@
 	for i := range 40 {
 		s := &journal.MessageState{ID: fmt.Sprintf("id%02d", i), Class: []string{"status-update", "signature-handover"}[i%2], Dest: i % 3,
 			Deadline: time.Now().Add(time.Minute), Body: message.Bytes(strings.Repeat("x", 100))}
-		if room, err := j.Reserve(s.Size()); !room || err != nil {
-			t.Fatal(room, err)
+		if reserved, err := j.Reserve(s.Size()); !reserved || err != nil {
+			t.Fatal(reserved, err)
 		}
 		if err := j.RecordAccepted(s); err != nil {
 			t.Fatal(err)
@@ -43,7 +43,7 @@
 	return dir
 }
 
-func tool(t *testing.T, want int, args ...string) string {
+func runTool(t *testing.T, want int, args ...string) string {
 	t.Helper()
 	var out, errs bytes.Buffer
 	if got := run(args, &out, &errs); got != want {
@@ -53,29 +53,29 @@
 }
 
 func TestJournalCommands(t *testing.T) {
-	dir := folder(t)
-	if got := tool(t, 0, "journal", "verify", dir); !strings.Contains(got, "all records check; 40 messages") {
+	dir := newTestJournal(t)
+	if got := runTool(t, 0, "journal", "verify", dir); !strings.Contains(got, "all records are valid; 40 messages") {
 		t.Error(got)
 	}
 	var s struct {
-		All   counts            `json:"all"`
-		Class map[string]counts `json:"class"`
+		All   messageCounts            `json:"all"`
+		Class map[string]messageCounts `json:"class"`
 	}
-	if err := json.Unmarshal([]byte(tool(t, 0, "journal", "stat", "-json", dir)), &s); err != nil {
+	if err := json.Unmarshal([]byte(runTool(t, 0, "journal", "stat", "-json", dir)), &s); err != nil {
 		t.Fatal(err)
 	}
-	if s.All.Held != 40 || s.All.Bytes != 4000 || s.All.MayHaveRun != 2 || s.All.Ended != 1 || s.Class["status-update"].Held != 20 {
+	if s.All.Queued != 40 || s.All.Bytes != 4000 || s.All.MayHaveRun != 2 || s.All.Completed != 1 || s.Class["status-update"].Queued != 20 {
 		t.Errorf("%+v", s)
 	}
-	if got := tool(t, 0, "journal", "stat", dir); !strings.Contains(got, "class signature-handover") {
+	if got := runTool(t, 0, "journal", "stat", dir); !strings.Contains(got, "class signature-handover") {
 		t.Error(got)
 	}
-	lines := strings.Split(strings.TrimSpace(tool(t, 0, "journal", "dump", dir)), "\n")
+	lines := strings.Split(strings.TrimSpace(runTool(t, 0, "journal", "dump", dir)), "\n")
 	if len(lines) != 40 || !strings.Contains(lines[5], `"end":"bounced"`) || !strings.Contains(lines[1], `"may_have_run":true`) {
 		t.Errorf("%d lines, %s", len(lines), lines[1])
 	}
 
-	// One bit flipped is put right and told; a block destroyed costs what stood there. What is left can be repaired.
+	// A flipped bit is corrected and reported. A destroyed block loses the records in it, and repair still writes the other messages.
 	names, err := filepath.Glob(filepath.Join(dir, "*.seg"))
 	if err != nil || len(names) != 1 {
 		t.Fatal(names, err)
@@ -94,30 +94,30 @@
 		}
 	}
 	write()
-	if got := tool(t, 1, "journal", "verify", copied); !strings.Contains(got, "put right") || !strings.Contains(got, "40 messages") {
+	if got := runTool(t, 1, "journal", "verify", copied); !strings.Contains(got, "put right") || !strings.Contains(got, "40 messages") {
 		t.Error(got)
 	}
 	for i := range 30 {
 		text[at+i] = 0xff
 	}
 	write()
-	if got := tool(t, 1, "journal", "verify", copied); !strings.Contains(got, filepath.Base(damaged)) || !strings.Contains(got, "39 messages") {
+	if got := runTool(t, 1, "journal", "verify", copied); !strings.Contains(got, filepath.Base(damaged)) || !strings.Contains(got, "39 messages") {
 		t.Error(got)
 	}
 	to := filepath.Join(t.TempDir(), "new")
-	if got := tool(t, 0, "journal", "repair", copied, to); !strings.Contains(got, "39 messages written") {
+	if got := runTool(t, 0, "journal", "repair", copied, to); !strings.Contains(got, "39 messages written") {
 		t.Error(got)
 	}
-	tool(t, 0, "journal", "verify", to)
-	if got := tool(t, 2, "journal", "repair", copied, to); !strings.Contains(got, "is there already") {
+	runTool(t, 0, "journal", "verify", to)
+	if got := runTool(t, 2, "journal", "repair", copied, to); !strings.Contains(got, "already exists") {
 		t.Error(got)
 	}
 	if after, _ := os.ReadFile(damaged); !bytes.Equal(after, text) {
-		t.Error("the folder was changed")
+		t.Error("repair changed the damaged segment in the source folder")
 	}
 }
 
-// TestOperatorsFiles checks, lays out and compiles files: what is wrong has its place and exit status 1, and replaces nothing.
+// TestOperatorsFiles checks, formats and compiles files. An error is reported with its place and exit status 1, and the output file stays as it was.
 func TestOperatorsFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -131,58 +131,58 @@
 	bad, out := file("bad.hcl", "journal {\n  sync_every = 3\n}\n"), filepath.Join(dir, "out.json")
 	samples, err := filepath.Glob("../../deploy/*.hcl")
 	if err != nil || len(samples) == 0 {
-		t.Fatal("no samples", err)
+		t.Fatal("no operators' files in deploy", err)
 	}
 	for _, s := range samples {
-		tool(t, 0, "check", s)
-		tool(t, 0, "fmt", "-check", s)
+		runTool(t, 0, "check", s)
+		runTool(t, 0, "fmt", "-check", s)
 	}
-	tool(t, 0, "check", good)
-	if got := tool(t, 1, "check", bad); !strings.Contains(got, "bad.hcl line 2") || !strings.Contains(got, `"3ms"`) {
+	runTool(t, 0, "check", good)
+	if got := runTool(t, 1, "check", bad); !strings.Contains(got, "bad.hcl line 2") || !strings.Contains(got, `"3ms"`) {
 		t.Error(got)
 	}
 	var line struct{ Line int }
-	if err := json.Unmarshal([]byte(tool(t, 1, "check", "-json", bad)), &line); err != nil || line.Line != 2 {
+	if err := json.Unmarshal([]byte(runTool(t, 1, "check", "-json", bad)), &line); err != nil || line.Line != 2 {
 		t.Error(line, err)
 	}
-	tool(t, 0, "compile", good, "-o", out)
+	runTool(t, 0, "compile", good, "-o", out)
 	before, err := os.ReadFile(out)
 	if err != nil || !strings.Contains(string(before), `"durability": "group"`) {
 		t.Fatal(string(before), err)
 	}
-	tool(t, 1, "compile", bad, "-o", out)
+	runTool(t, 1, "compile", bad, "-o", out)
 	if after, _ := os.ReadFile(out); !bytes.Equal(before, after) {
-		t.Error("a bad file has replaced the resolved one")
+		t.Error("compiling an invalid file has replaced the resolved file")
 	}
 	limits := func(name, attempts string) string {
 		return file(name, "limits \"slow\" {\n  destinations = [7]\n  attempts = "+attempts+"\n}\n")
 	}
 	two, three := limits("two.hcl", "2"), limits("three.hcl", "3")
-	tool(t, 0, "diff", two, limits("same.hcl", "2"))
-	if got := tool(t, 1, "diff", two, three); !strings.Contains(got, "every class and destination 7: attempts from 2 to 3") || !strings.Contains(got, "three.hcl:3") {
+	runTool(t, 0, "diff", two, limits("same.hcl", "2"))
+	if got := runTool(t, 1, "diff", two, three); !strings.Contains(got, "every class and destination 7: attempts from 2 to 3") || !strings.Contains(got, "three.hcl:3") {
 		t.Error(got)
 	}
-	tool(t, 2, "diff", two, bad)
-	tool(t, 0, "compile", two, "-o", out)
-	tool(t, 0, "diff", out, two) // what runs, and what it was made from
-	if got := tool(t, 0, "explain", two, "--class", "x", "--destination", "7"); !strings.Contains(got, "attempts: 2") || !strings.Contains(got, "two.hcl:3") {
+	runTool(t, 2, "diff", two, bad)
+	runTool(t, 0, "compile", two, "-o", out)
+	runTool(t, 0, "diff", out, two) // a resolved file and its source
+	if got := runTool(t, 0, "explain", two, "--class", "x", "--destination", "7"); !strings.Contains(got, "attempts: 2") || !strings.Contains(got, "two.hcl:3") {
 		t.Error(got)
 	}
-	if got := tool(t, 0, "explain", two, "--class", "x", "--destination", "8"); !strings.Contains(got, "attempts: as the platform says") {
+	if got := runTool(t, 0, "explain", two, "--class", "x", "--destination", "8"); !strings.Contains(got, "attempts: as the platform says") {
 		t.Error(got)
 	}
 	platform := file("platform.json", `{"seed":"1","settings":{"Limits":{"MaxAttempts":2},"Classes":[{"Name":"a","Effect":"pure","OnTime":1000.0,"Deadline":3000.0,"Worth":1.0,"LateShare":0.4}]}}`)
-	tool(t, 0, "check", "--platform", platform, two)
-	tool(t, 1, "compile", "--platform", platform, three, "-o", out)
-	tool(t, 0, "diff", out, two)
-	if got := tool(t, 1, "check", "--platform", platform, three); !strings.Contains(got, "three.hcl:3: 3 attempts, and the platform allows 2") {
+	runTool(t, 0, "check", "--platform", platform, two)
+	runTool(t, 1, "compile", "--platform", platform, three, "-o", out)
+	runTool(t, 0, "diff", out, two)
+	if got := runTool(t, 1, "check", "--platform", platform, three); !strings.Contains(got, "three.hcl:3: 3 attempts, and the platform allows 2") {
 		t.Error(got)
 	}
-	if got := tool(t, 1, "fmt", "-check", good, bad); got != good+"\n" {
+	if got := runTool(t, 1, "fmt", "-check", good, bad); got != good+"\n" {
 		t.Error(got)
 	}
-	tool(t, 0, "fmt", "-w", good, bad)
-	tool(t, 0, "fmt", "-check", good, bad)
+	runTool(t, 0, "fmt", "-w", good, bad)
+	runTool(t, 0, "fmt", "-check", good, bad)
 	if text, _ := os.ReadFile(good); string(text) != "journal {\n  durability = \"group\" # why\n}\n" {
 		t.Errorf("%q", text)
 	}
@@ -190,15 +190,15 @@
 		t.Error("the file's mode has changed", err)
 	}
 	if names, _ := filepath.Glob(filepath.Join(dir, ".*")); len(names) > 0 {
-		t.Error("left over:", names)
+		t.Error("temporary files remain:", names)
 	}
 }
 
-func TestUsage(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	for _, args := range [][]string{{}, {"journal"}, {"other", "x"}, {"journal", "verify"}, {"journal", "mend", t.TempDir()},
 		{"journal", "verify", "-fast", t.TempDir()}, {"journal", "verify", filepath.Join(t.TempDir(), "none")}} {
-		if got := tool(t, 2, args...); got == "" {
-			t.Errorf("%v: no word on what is wrong", args)
+		if got := runTool(t, 2, args...); got == "" {
+			t.Errorf("%v: no error text", args)
 		}
 	}
 }
--- a/cmd/scaleroutectl/main.go
+++ b/cmd/scaleroutectl/main.go
@@ -1,7 +1,7 @@
 // Command scaleroutectl is the operators' tool: scaleroutectl --help lists its commands.
 //
-// It exits with 0 if all is well, 1 if something was found, and 2 if it could not do what was asked; fleet status and fleet audit with 3, 4 or 5 where a member is
-// silent, has diverged, or is doubled.
+// Its exit status is 0 if there are no findings, 1 if there are findings, and 2 if the command could not be carried out. The commands fleet status and fleet audit
+// exit with 3, 4 or 5 if a member is silent, has diverged, or shares its name with another running process.
 package main
 
 import (
@@ -18,19 +18,19 @@
 )
 
 type commands struct {
-	Journal journalCommands `cmd:"" help:"Look into the journal of a forwarder."`
-	Check   checkCommand    `cmd:"" help:"Say all that is wrong with an operators' file."`
-	Door    doorCommands    `cmd:"" help:"Ask or tell a running forwarder at its door for operators."`
-	Fleet   fleetCommands   `cmd:"" help:"Say of a fleet who acts on which version, who called a target, and what is wanted."`
-	Explain explainCommand  `cmd:"" help:"Say what holds for a message, and which line says so."`
-	Diff    diffCommand     `cmd:"" help:"Say what two versions change in effect; exit 1 if anything."`
-	Fmt     fmtCommand      `cmd:"" help:"Lay operators' files out; comments stay."`
+	Journal journalCommands `cmd:"" help:"Inspect or repair the journal of a forwarder."`
+	Check   checkCommand    `cmd:"" help:"Report all errors and warnings in an operators' file."`
+	Door    adminCommands   `cmd:"" help:"Query or control a running forwarder through its admin API."`
+	Fleet   fleetCommands   `cmd:"" help:"Show which version each member of a fleet uses and which members called an endpoint, and set the desired version."`
+	Explain explainCommand  `cmd:"" help:"Show which settings apply to a message, and the line that sets each."`
+	Diff    diffCommand     `cmd:"" help:"Show how the effective settings of two versions differ; exit 1 if they do."`
+	Fmt     fmtCommand      `cmd:"" help:"Format operators' files; comments are kept."`
 	Plugin  pluginCommands  `cmd:"" help:"Check, test and run plug-ins."`
 	Compile compileCommand  `cmd:"" help:"Check an operators' file and write the resolved form that the daemon reads."`
 }
 
-// errFound tells that a command has carried out what was asked, and found something.
-var errFound = errors.New("something was found")
+// errFindings is returned by a command that was carried out and has findings: exit status 1.
+var errFindings = errors.New("the command has findings")
 
 func main() {
 	if len(os.Args) == 2 && os.Args[1] == pluginHostCommand {
@@ -40,13 +40,13 @@
 }
 
 func run(args []string, out, errs io.Writer) (status int) {
-	tool := commandline.Tool{Name: "scaleroutectl", Description: "The operators' tool of scaleroute.", Stdout: out, Stderr: errs, StatusOf: statusOf,
+	tool := commandline.Tool{Name: "scaleroutectl", Description: "The operators' tool of scaleroute.", Stdout: out, Stderr: errs, StatusOf: exitStatusOf,
 		Options: []kong.Option{kong.UsageOnError(), kong.Bind(stderr{errs})}}
-	return tool.Run(&commands{}, doubleDashes(args))
+	return tool.Run(&commands{}, normalizeFlags(args))
 }
 
-// doubleDashes takes -flag for --flag.
-func doubleDashes(args []string) []string {
+// normalizeFlags returns the arguments with each -flag before "--" written as --flag. Single letters and arguments with "=" stay.
+func normalizeFlags(args []string) []string {
 	list := slices.Clone(args)
 	for i, a := range args {
 		if a == "--" {
@@ -59,17 +59,17 @@
 	return list
 }
 
-// statusOf is the exit status of what a command found.
-func statusOf(err error) (status int, isFinding bool) {
-	var worst found
+// exitStatusOf returns the exit status of an error that stands for a command's findings; isFinding is false for any other error.
+func exitStatusOf(err error) (status int, isFinding bool) {
+	var worst findingError
 	if errors.As(err, &worst) {
-		return int(worst.exit), true
+		return int(worst.exitStatus), true
 	}
-	return 1, errors.Is(err, errFound)
+	return 1, errors.Is(err, errFindings)
 }
 
-// exit is an exit status.
-type exit int
+// exitStatus is the exit status of a command with findings.
+type exitStatus int
 
-// stderr is where findings go.
+// stderr is the writer for findings and progress.
 type stderr struct{ io.Writer }
--- a/cmd/scaleroutectl/operators.go
+++ b/cmd/scaleroutectl/operators.go
@@ -19,29 +19,29 @@
 )
 
 type checkCommand struct {
-	File string `arg:"" type:"existingfile" help:"An operators' file; what it includes is read too."`
-	JSON bool   `help:"One line of JSON for each finding."`
+	File string `arg:"" type:"existingfile" help:"An operators' file. Files that it includes are read too."`
+	JSON bool   `help:"Print one line of JSON for each finding."`
 
-	Platform string `type:"existingfile" help:"The platform's configuration (NODE_CONFIG): limits are checked against its classes and their times too."`
+	Platform string `type:"existingfile" help:"The platform's configuration (NODE_CONFIG): limits are also checked against its classes and their time limits."`
 }
 
-// Run exits with 0 if the file may be used, also if there are warnings.
+// Run returns no error if the file can be used, even if there are warnings.
 func (c *checkCommand) Run(out io.Writer, errs stderr) error {
 	r, err := opfile.Load(c.File, os.LookupEnv)
 	if err != nil {
 		return err
 	}
-	if err := tell(r, c.JSON, out, errs); err != nil {
+	if err := writeDiagnostics(r, c.JSON, out, errs); err != nil {
 		return err
 	}
 	if r.Config == nil {
-		return errFound
+		return errFindings
 	}
-	return against(r.Config, c.Platform, c.JSON, out, errs)
+	return checkAgainstPlatform(r.Config, c.Platform, c.JSON, out, errs)
 }
 
-// against says what the platform's configuration does not allow; an empty name checks nothing.
-func against(set *operator.Config, platform string, asJSON bool, out io.Writer, errs stderr) error {
+// checkAgainstPlatform reports settings that the platform's configuration does not allow. It checks nothing if platform, the file's name, is empty.
+func checkAgainstPlatform(set *operator.Config, platform string, asJSON bool, out io.Writer, errs stderr) error {
 	if platform == "" {
 		return nil
 	}
@@ -65,14 +65,14 @@
 		}
 	}
 	if len(problems) > 0 {
-		return errFound
+		return errFindings
 	}
 	return nil
 }
 
-// resolved loads a file that must be good: an operators' file, or one that is resolved already, such as that of a running
-// daemon.
-func resolved(file string, out io.Writer, errs stderr) (*operator.Config, error) {
+// loadConfig loads an operators' file, or a resolved file (.json) such as that of a running daemon. It returns an error if the
+// file is invalid.
+func loadConfig(file string, out io.Writer, errs stderr) (*operator.Config, error) {
 	if filepath.Ext(file) == ".json" {
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -82,10 +82,10 @@
 	}
 	r, err := opfile.Load(file, os.LookupEnv)
 	if err == nil {
-		err = tell(r, false, out, errs)
+		err = writeDiagnostics(r, false, out, errs)
 	}
 	if err == nil && r.Config == nil {
-		err = fmt.Errorf("%s can't be used as it is: see check", file)
+		err = fmt.Errorf("%s has errors: see scaleroutectl check", file)
 	}
 	if err != nil {
 		return nil, err
@@ -95,15 +95,15 @@
 
 type explainCommand struct {
 	File        string            `arg:"" type:"existingfile" help:"An operators' file, or a resolved one (.json)."`
-	Class       string            `required:"" help:"Class of the message."`
-	Destination int               `required:"" help:"The destination that its client names."`
-	Front       string            `default:"resp2" help:"The front that it comes by."`
-	Field       map[string]string `placeholder:"NAME=VALUE" help:"What its client says beside; any number of them."`
-	JSON        bool              `help:"One line of JSON for each figure."`
+	Class       string            `required:"" help:"The message's class."`
+	Destination int               `required:"" help:"The destination that the client names."`
+	Front       string            `default:"resp2" help:"The front that receives the message."`
+	Field       map[string]string `placeholder:"NAME=VALUE" help:"Another field that the client sends. Can be repeated."`
+	JSON        bool              `help:"Print one line of JSON for each setting."`
 }
 
 func (c *explainCommand) Run(out io.Writer, errs stderr) error {
-	set, err := resolved(c.File, out, errs)
+	set, err := loadConfig(c.File, out, errs)
 	if err != nil {
 		return err
 	}
@@ -127,16 +127,16 @@
 
 type diffCommand struct {
 	Old  string `arg:"" type:"existingfile" help:"An operators' file, or a resolved one (.json)."`
-	New  string `arg:"" type:"existingfile" help:"The same."`
-	JSON bool   `help:"One line of JSON for each change."`
+	New  string `arg:"" type:"existingfile" help:"The file to compare it with, of either kind."`
+	JSON bool   `help:"Print one line of JSON for each change."`
 }
 
 func (c *diffCommand) Run(out io.Writer, errs stderr) error {
-	before, err := resolved(c.Old, out, errs)
+	before, err := loadConfig(c.Old, out, errs)
 	if err != nil {
 		return err
 	}
-	after, err := resolved(c.New, out, errs)
+	after, err := loadConfig(c.New, out, errs)
 	if err != nil {
 		return err
 	}
@@ -152,13 +152,13 @@
 		}
 	}
 	if len(list) > 0 {
-		return errFound
+		return errFindings
 	}
 	return nil
 }
 
-// tell says what was found in a file.
-func tell(r *opfile.Result, asJSON bool, out io.Writer, errs stderr) error {
+// writeDiagnostics prints the errors and warnings of a file: as JSON to out, or as text with excerpts to errs.
+func writeDiagnostics(r *opfile.Result, asJSON bool, out io.Writer, errs stderr) error {
 	if !asJSON {
 		return hcl.NewDiagnosticTextWriter(errs, r.Files, 100, false).WriteDiagnostics(r.Diags)
 	}
@@ -176,8 +176,8 @@
 
 type fmtCommand struct {
 	Files []string `arg:"" type:"existingfile" help:"Operators' files."`
-	Write bool     `short:"w" xor:"how" help:"Write them back."`
-	Check bool     `xor:"how" help:"Only name those that would change, and exit with 1 if there are any."`
+	Write bool     `short:"w" xor:"how" help:"Write the formatted text back to the files."`
+	Check bool     `xor:"how" help:"Only print the names of files that formatting would change, and exit with 1 if there are any."`
 }
 
 func (c *fmtCommand) Run(out io.Writer) error {
@@ -187,36 +187,36 @@
 		if err != nil {
 			return err
 		}
-		laid, err := opfile.Format(text, name)
+		formatted, err := opfile.Format(text, name)
 		if err != nil {
 			return err
 		}
-		same := bytes.Equal(text, laid)
+		same := bytes.Equal(text, formatted)
 		changed = changed || !same
 		switch {
 		case c.Check && !same:
 			fmt.Fprintln(out, name)
 		case c.Check || c.Write && same:
 		case c.Write:
-			err = replace(name, laid)
+			err = replaceFile(name, formatted)
 		default:
-			_, err = out.Write(laid)
+			_, err = out.Write(formatted)
 		}
 		if err != nil {
 			return err
 		}
 	}
 	if c.Check && changed {
-		return errFound
+		return errFindings
 	}
 	return nil
 }
 
 type compileCommand struct {
-	File string `arg:"" type:"existingfile" help:"An operators' file; what it includes is read too."`
-	To   string `short:"o" required:"" placeholder:"FILE" help:"The resolved file. It is replaced whole, or not at all."`
+	File string `arg:"" type:"existingfile" help:"An operators' file. Files that it includes are read too."`
+	To   string `short:"o" required:"" placeholder:"FILE" help:"The resolved file to write. It is replaced atomically."`
 
-	Platform string `type:"existingfile" help:"The platform's configuration (NODE_CONFIG): as with check."`
+	Platform string `type:"existingfile" help:"The platform's configuration (NODE_CONFIG), used as by check."`
 }
 
 func (c *compileCommand) Run(out io.Writer, errs stderr) error {
@@ -224,24 +224,24 @@
 	if err != nil {
 		return err
 	}
-	if err := tell(r, false, out, errs); err != nil {
+	if err := writeDiagnostics(r, false, out, errs); err != nil {
 		return err
 	}
 	if r.Config == nil {
-		return errFound
+		return errFindings
 	}
-	if err := against(r.Config, c.Platform, false, out, errs); err != nil {
+	if err := checkAgainstPlatform(r.Config, c.Platform, false, out, errs); err != nil {
 		return err
 	}
 	text, err := json.MarshalIndent(r.Config, "", "  ")
 	if err != nil {
 		return err
 	}
-	return replace(c.To, append(text, '\n'))
+	return replaceFile(c.To, append(text, '\n'))
 }
 
-// replace puts a file in the place of another in one step.
-func replace(name string, text []byte) (err error) {
+// replaceFile atomically replaces a file and keeps its mode. A symbolic link is followed.
+func replaceFile(name string, text []byte) (err error) {
 	if to, e := filepath.EvalSymlinks(name); e == nil {
 		name = to
 	}
--- a/cmd/scaleroutectl/plugin.go
+++ b/cmd/scaleroutectl/plugin.go
@@ -26,18 +26,18 @@
 )
 
 type pluginCommands struct {
-	Check  pluginCheck  `cmd:"" help:"Compile plug-ins and say what is wrong with them."`
-	Test   pluginTest   `cmd:"" help:"Run plug-ins on sample messages and compare what comes of them; exit 1 if anything differs."`
+	Check  pluginCheck  `cmd:"" help:"Compile plug-ins and report their errors."`
+	Test   pluginTest   `cmd:"" help:"Run plug-ins on sample messages and compare the outcomes with the expected ones; exit 1 if any differs."`
 	Run    pluginRun    `cmd:"" help:"Run one hook on one message and show what it changes."`
-	Status pluginStatus `cmd:"" help:"Show what the plug-ins of a running daemon have done."`
+	Status pluginStatus `cmd:"" help:"Show the state and counters of the plug-ins of a running daemon."`
 }
 
-// pluginHostCommand has this program be the process in which a plug-in runs, under the bounds that it has in the daemon.
+// pluginHostCommand is the argument that makes this program the process in which a plug-in runs, with the same resource limits as in the daemon.
 const pluginHostCommand = "plugin-host"
 
 type pluginCheck struct {
-	Files []string `arg:"" type:"existingfile" help:"Plug-ins (.star)."`
-	JSON  bool     `help:"One line of JSON for each file."`
+	Files []string `arg:"" type:"existingfile" help:"Plug-in files (.star)."`
+	JSON  bool     `help:"Print one line of JSON for each file."`
 }
 
 func (c *pluginCheck) Run(out io.Writer, errs stderr) error {
@@ -50,7 +50,7 @@
 		program, err := script.Compile(file, string(text))
 		line := map[string]any{"file": file, "error": "", "points": []plugin.Point{}}
 		if err != nil {
-			found, line["error"] = errFound, err.Error()
+			found, line["error"] = errFindings, err.Error()
 		} else {
 			line["points"] = program.Points()
 		}
@@ -60,7 +60,7 @@
 		case err != nil:
 			_, err = fmt.Fprintf(errs, "%v\n", err)
 		default:
-			_, err = fmt.Fprintf(out, "%s: well; hooks: %v\n", file, program.Points())
+			_, err = fmt.Fprintf(out, "%s: ok; hooks: %v\n", file, program.Points())
 		}
 		if err != nil {
 			return err
@@ -69,22 +69,22 @@
 	return found
 }
 
-// sample is one message and what is to come of it, as a file of samples has it.
+// sample is one message and its expected outcome, as written in a samples file.
 type sample struct {
-	Name        string            `hcl:"name,label"`
-	Point       string            `hcl:"point,optional"` // intake if it is left out
-	ID          string            `hcl:"id,optional"`
-	Class       string            `hcl:"class,optional"`
-	Destination int               `hcl:"destination,optional"`
-	Left        string            `hcl:"left,optional"`
-	Body        string            `hcl:"body,optional"`
-	Header      map[string]string `hcl:"header,optional"`
-	Endpoints   []sampleEndpoint  `hcl:"endpoint,block"`
-	To          string            `hcl:"to,optional"` // the endpoint of a call or reply
-	Attempt     int               `hcl:"attempt,optional"`
-	Reply       *sampleReply      `hcl:"reply,block"`
-	End         string            `hcl:"end,optional"`
-	Want        *sampleWant       `hcl:"want,block"`
+	Name        string             `hcl:"name,label"`
+	Point       string             `hcl:"point,optional"` // intake if it is omitted
+	ID          string             `hcl:"id,optional"`
+	Class       string             `hcl:"class,optional"`
+	Destination int                `hcl:"destination,optional"`
+	Left        string             `hcl:"left,optional"`
+	Body        string             `hcl:"body,optional"`
+	Header      map[string]string  `hcl:"header,optional"`
+	Endpoints   []sampleEndpoint   `hcl:"endpoint,block"`
+	To          string             `hcl:"to,optional"` // the called endpoint, for a call or reply
+	Attempt     int                `hcl:"attempt,optional"`
+	Reply       *sampleReply       `hcl:"reply,block"`
+	End         string             `hcl:"end,optional"`
+	Expected    *sampleExpectation `hcl:"want,block"`
 }
 
 type sampleEndpoint struct {
@@ -99,30 +99,30 @@
 	Header map[string]string `hcl:"header,optional"`
 }
 
-// sampleWant names all that is to come of a message: what is left out must not be there.
-type sampleWant struct {
-	Body         *string           `hcl:"body,optional"` // unaltered if it is left out
+// sampleExpectation is the complete expected outcome of a message: an effect that is omitted must not occur.
+type sampleExpectation struct {
+	Body         *string           `hcl:"body,optional"` // unchanged if it is omitted
 	Header       map[string]string `hcl:"header,optional"`
 	Only         []string          `hcl:"only,optional"`
 	Prefer       []string          `hcl:"prefer,optional"`
-	Refused      string            `hcl:"refused,optional"` // the reason
+	Refused      string            `hcl:"refused,optional"` // the reason of the refusal
 	Wait         string            `hcl:"wait,optional"`
 	NotDelivered bool              `hcl:"not_delivered,optional"`
-	Error        string            `hcl:"error,optional"` // a part of it
+	Error        string            `hcl:"error,optional"` // a part of the error's text
 }
 
-type samples struct {
+type sampleFile struct {
 	List []sample `hcl:"sample,block"`
 }
 
 func (s *sample) request() (*plugin.Request, error) {
 	q := &plugin.Request{Point: plugin.Point(s.Point), ID: s.ID, Class: s.Class, Destination: s.Destination, TimeLeft: 3, Body: []byte(s.Body),
-		Endpoint: s.To, Attempt: s.Attempt, Outcome: s.End, Header: fields(s.Header)}
+		Endpoint: s.To, Attempt: s.Attempt, Outcome: s.End, Header: headerFields(s.Header)}
 	if s.Point == "" {
 		q.Point = plugin.Intake
 	}
 	if !slices.Contains(plugin.Points, q.Point) {
-		return nil, fmt.Errorf("sample %q: there is no point %q: write one of %v", s.Name, s.Point, plugin.Points)
+		return nil, fmt.Errorf("sample %q: unknown point %q: use one of %v", s.Name, s.Point, plugin.Points)
 	}
 	if s.Left != "" {
 		d, err := time.ParseDuration(s.Left)
@@ -143,7 +143,7 @@
 	return q, nil
 }
 
-func fields(m map[string]string) (list []message.Field) {
+func headerFields(m map[string]string) (list []message.Field) {
 	for name, value := range m {
 		list = append(list, message.Field{Name: name, Value: value})
 	}
@@ -151,7 +151,7 @@
 	return list
 }
 
-// outcome is what comes of a message once the rules have let a wish through, in the words of a sample.
+// outcome is the effect of a hook on a message after the daemon's checks, with the names that a sample uses.
 type outcome struct {
 	Body         string            `json:"body,omitempty"`
 	Header       map[string]string `json:"header,omitempty"`
@@ -163,19 +163,19 @@
 	Error        string            `json:"error,omitempty"`
 	Steps        uint64            `json:"steps,omitempty"`
 	CPU          string            `json:"cpu,omitempty"`
-	Says         []string          `json:"says,omitempty"`
+	LogLines     []string          `json:"says,omitempty"`
 	Counts       map[string]int    `json:"counts,omitempty"`
 }
 
-// ask has a plug-in's process answer a request, and applies the rules to the answer as the daemon does.
-func ask(p *runner.TestProcess, q *plugin.Request, output int) outcome {
+// runHook sends a request to a plug-in's process, and checks and applies the answer as the daemon does.
+func runHook(p *runner.TestProcess, q *plugin.Request, output int) outcome {
 	r, err := p.Call(q)
 	o := outcome{Body: string(q.Body), Header: map[string]string{}}
 	if err != nil {
 		o.Error = err.Error()
 		return o
 	}
-	o.Steps, o.Says, o.Counts, o.CPU = r.Steps, r.Lines, r.Counts, (time.Duration(r.CPU) * time.Microsecond).String()
+	o.Steps, o.LogLines, o.Counts, o.CPU = r.Steps, r.Lines, r.Counts, (time.Duration(r.CPU) * time.Microsecond).String()
 	header := q.Header
 	switch {
 	case r.Error != "":
@@ -202,7 +202,7 @@
 			}
 		}
 	case r.RequestsChange():
-		err = errors.New("after the end nothing can be changed")
+		err = errors.New("a hook that runs after the completion of the message can't change anything")
 	}
 	if err != nil {
 		o.Error = err.Error()
@@ -213,19 +213,19 @@
 	return o
 }
 
-// differ says how an outcome is not the one that is wanted.
-func (w *sampleWant) differ(o outcome, s *sample) (list []string) {
+// differences describes each difference between an outcome and the expected one.
+func (w *sampleExpectation) differences(o outcome, s *sample) (list []string) {
 	if w == nil {
-		w = &sampleWant{}
+		w = &sampleExpectation{}
 	}
-	is := func(what string, got, want any) {
+	compare := func(what string, got, want any) {
 		if g, w := fmt.Sprintf("%q", got), fmt.Sprintf("%q", want); g != w {
-			list = append(list, fmt.Sprintf("%s is %s, and %s is wanted", what, g, w))
+			list = append(list, fmt.Sprintf("%s is %s, expected %s", what, g, w))
 		}
 	}
 	if w.Error != "" || o.Error != "" {
 		if w.Error == "" || !strings.Contains(o.Error, w.Error) {
-			is("error", o.Error, w.Error)
+			compare("error", o.Error, w.Error)
 		}
 		return list
 	}
@@ -236,17 +236,17 @@
 	if w.Header != nil {
 		header = w.Header
 	}
-	is("body", o.Body, body)
-	is("header", fmt.Sprint(o.Header), fmt.Sprint(orEmpty(header)))
-	is("only", o.Only, w.Only)
-	is("prefer", o.Prefer, w.Prefer)
-	is("refused", o.Refused, w.Refused)
-	is("not_delivered", strconv.FormatBool(o.NotDelivered), strconv.FormatBool(w.NotDelivered))
+	compare("body", o.Body, body)
+	compare("header", fmt.Sprint(o.Header), fmt.Sprint(orEmpty(header)))
+	compare("only", o.Only, w.Only)
+	compare("prefer", o.Prefer, w.Prefer)
+	compare("refused", o.Refused, w.Refused)
+	compare("not_delivered", strconv.FormatBool(o.NotDelivered), strconv.FormatBool(w.NotDelivered))
 	wait := w.Wait
 	if d, err := time.ParseDuration(wait); err == nil {
 		wait = d.String()
 	}
-	is("wait", o.Wait, wait)
+	compare("wait", o.Wait, wait)
 	return list
 }
 
@@ -257,13 +257,13 @@
 	return m
 }
 
-// trial starts a plug-in as the daemon would where nothing is set for it.
-func trial(file string) (*runner.TestProcess, *operator.Plugin, error) {
+// startTrial starts a plug-in with the settings that the daemon uses by default.
+func startTrial(file string) (*runner.TestProcess, *operator.Plugin, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
 	}
-	program, err := script.Compile(file, string(text)) // its messages come before those of a process
+	program, err := script.Compile(file, string(text)) // so that compile errors are reported before errors of the plug-in's process
 	if err != nil {
 		return nil, nil, err
 	}
@@ -278,8 +278,8 @@
 }
 
 type pluginTest struct {
-	Files []string `arg:"" type:"existingfile" help:"Plug-ins (.star); the samples of NAME.star are in NAME.samples.hcl beside it."`
-	JSON  bool     `help:"One line of JSON for each sample."`
+	Files []string `arg:"" type:"existingfile" help:"Plug-in files (.star). The samples of NAME.star are in NAME.samples.hcl in the same folder."`
+	JSON  bool     `help:"Print one line of JSON for each sample."`
 }
 
 func (c *pluginTest) Run(out io.Writer, errs stderr) error {
@@ -288,7 +288,7 @@
 		name := strings.TrimSuffix(file, ".star") + ".samples.hcl"
 		parser := hclparse.NewParser()
 		f, diags := parser.ParseHCLFile(name)
-		var all samples
+		var all sampleFile
 		if !diags.HasErrors() {
 			diags = append(diags, gohcl.DecodeBody(f.Body, nil, &all)...)
 		}
@@ -296,12 +296,12 @@
 			if err := hcl.NewDiagnosticTextWriter(errs, parser.Files(), 100, false).WriteDiagnostics(diags); err != nil {
 				return err
 			}
-			return fmt.Errorf("the samples of %s can't be used", file)
+			return fmt.Errorf("the samples of %s are invalid", file)
 		}
 		if len(all.List) == 0 {
-			return fmt.Errorf(`%s has no sample: write sample "NAME" { ... }`, name)
+			return fmt.Errorf(`%s has no samples: add a block sample "NAME" { ... }`, name)
 		}
-		t, p, err := trial(file)
+		t, p, err := startTrial(file)
 		if err != nil {
 			return err
 		}
@@ -312,7 +312,7 @@
 				t.Close()
 				return fmt.Errorf("%s: %w", name, err)
 			}
-			wrong := s.Want.differ(ask(t, q, p.Output), s)
+			wrong := s.Expected.differences(runHook(t, q, p.Output), s)
 			if len(wrong) == 0 {
 				passed++
 			} else {
@@ -335,23 +335,23 @@
 		fmt.Fprintf(out, "%d passed, %d failed\n", passed, failed)
 	}
 	if failed > 0 {
-		return errFound
+		return errFindings
 	}
 	return nil
 }
 
 type pluginRun struct {
-	File        string   `arg:"" type:"existingfile" help:"A plug-in (.star)."`
-	Point       string   `default:"intake" enum:"intake,call,reply,final" help:"The hook."`
-	Body        string   `help:"File with the message's body; - for standard input."`
-	ID          string   `default:"0000000000000001" help:"The message's id."`
-	Class       string   `default:"status-update" help:"Its class."`
-	Destination int      `help:"Its destination."`
-	Endpoint    []string `help:"Endpoints of its destination; of a call or reply, the one that is called. Can be repeated."`
-	Status      int      `default:"200" help:"Of a reply."`
-	Reply       string   `type:"existingfile" help:"File with a reply's body."`
-	End         string   `default:"delivered" enum:"delivered,refused,failed" help:"What became of the message."`
-	JSON        bool     `help:"One line of JSON."`
+	File        string   `arg:"" type:"existingfile" help:"A plug-in file (.star)."`
+	Point       string   `default:"intake" enum:"intake,call,reply,final" help:"The hook to run."`
+	Body        string   `help:"File with the message's body; - reads standard input."`
+	ID          string   `default:"0000000000000001" help:"The message's ID."`
+	Class       string   `default:"status-update" help:"The message's class."`
+	Destination int      `help:"The message's destination."`
+	Endpoint    []string `help:"Endpoint of the destination; for a call or reply, the first one is the called one. Can be repeated."`
+	Status      int      `default:"200" help:"Status of the reply."`
+	Reply       string   `type:"existingfile" help:"File with the reply's body."`
+	End         string   `default:"delivered" enum:"delivered,refused,failed" help:"How the message was completed."`
+	JSON        bool     `help:"Print one line of JSON."`
 }
 
 func (c *pluginRun) Run(out io.Writer, errs stderr) error {
@@ -372,7 +372,7 @@
 		return err
 	}
 	if len(q.Body) > plugin.MaxBody {
-		return fmt.Errorf("the body has more than %d bytes, which no message has", plugin.MaxBody)
+		return fmt.Errorf("the body has more than %d bytes, the limit for messages", plugin.MaxBody)
 	}
 	for i, name := range c.Endpoint {
 		if i == 0 {
@@ -380,7 +380,7 @@
 		}
 		q.Endpoints = append(q.Endpoints, plugin.Endpoint{Name: name})
 	}
-	t, p, err := trial(c.File)
+	t, p, err := startTrial(c.File)
 	if err != nil {
 		return err
 	}
@@ -388,20 +388,20 @@
 	if !slices.Contains(p.Points, q.Point) {
 		return fmt.Errorf("%s has no hook %s; it has %v", c.File, q.Point, p.Points)
 	}
-	o := ask(t, q, p.Output)
+	o := runHook(t, q, p.Output)
 	if c.JSON {
 		err = json.NewEncoder(out).Encode(o)
 	} else {
-		err = o.show(out, q)
+		err = o.writeTrace(out, q)
 	}
 	if err == nil && o.Error != "" {
-		err = errFound
+		err = errFindings
 	}
 	return err
 }
 
-// show writes a trace of what a hook has changed.
-func (o *outcome) show(out io.Writer, q *plugin.Request) error {
+// writeTrace prints each change that a hook made, and the resources that it used.
+func (o *outcome) writeTrace(out io.Writer, q *plugin.Request) error {
 	var b bytes.Buffer
 	line := func(name, value string) {
 		if value != "" {
@@ -420,17 +420,17 @@
 		line("body before", fmt.Sprintf("%d bytes %.300q", len(q.Body), q.Body))
 		line("body after", fmt.Sprintf("%d bytes %.300q", len(o.Body), o.Body))
 	}
-	for _, f := range fields(o.Header) {
+	for _, f := range headerFields(o.Header) {
 		line("header", f.Name+": "+f.Value)
 	}
-	for _, s := range o.Says {
+	for _, s := range o.LogLines {
 		line("says", s)
 	}
 	for name, n := range o.Counts {
 		line("counts", fmt.Sprintf("%s %d", name, n))
 	}
 	if b.Len() == 0 {
-		fmt.Fprintln(&b, "nothing is changed")
+		fmt.Fprintln(&b, "the hook changed nothing")
 	}
 	line("used", fmt.Sprintf("%d steps, %s of CPU", o.Steps, o.CPU))
 	_, err := out.Write(b.Bytes())
@@ -438,8 +438,8 @@
 }
 
 type pluginStatus struct {
-	File string `arg:"" type:"existingfile" help:"The file that plugins { status } names in the operators' file."`
-	JSON bool   `help:"The file as it is."`
+	File string `arg:"" type:"existingfile" help:"The status file, which plugins { status } in the operators' file names."`
+	JSON bool   `help:"Print the file unchanged."`
 }
 
 func (c *pluginStatus) Run(out io.Writer) error {
@@ -455,7 +455,7 @@
 		Plugins []runner.Status `json:"plugins"`
 	}
 	if err := json.Unmarshal(text, &all); err != nil {
-		return fmt.Errorf("%s is no status of plug-ins: %w", c.File, err)
+		return fmt.Errorf("%s is not a plug-in status file: %w", c.File, err)
 	}
 	for _, s := range all.Plugins {
 		fmt.Fprintf(out, "%s %s: circuit %s, %d processes, %d calls, %d changed, %d failed (%d costly), %d skipped, %d restarts, %.2f s of CPU\n",
--- a/cmd/scaleroutectl/plugin_test.go
+++ b/cmd/scaleroutectl/plugin_test.go
@@ -9,7 +9,7 @@
 	"scaleroute/internal/plugin/host"
 )
 
-// TestMain lets the test program be the process that runs a plug-in.
+// TestMain makes the test binary the process that runs a plug-in if it is started with pluginHostCommand.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == pluginHostCommand {
 		os.Exit(host.Main())
@@ -17,20 +17,20 @@
 	os.Exit(m.Run())
 }
 
-// TestExamples checks and tests the worked examples.
-func TestExamples(t *testing.T) {
+// TestExamplePlugins runs plugin check and plugin test on all example plug-ins.
+func TestExamplePlugins(t *testing.T) {
 	files, err := filepath.Glob("../../examples/plugins/*.star")
 	if err != nil || len(files) < 6 {
 		t.Fatal(files, err)
 	}
-	tool(t, 0, append([]string{"plugin", "check"}, files...)...)
-	got := tool(t, 0, append([]string{"plugin", "test"}, files...)...)
+	runTool(t, 0, append([]string{"plugin", "check"}, files...)...)
+	got := runTool(t, 0, append([]string{"plugin", "test"}, files...)...)
 	if !strings.Contains(got, " passed, 0 failed") {
 		t.Error(got)
 	}
 }
 
-// TestPluginCommands: what is wrong is found, and said with its place.
+// TestPluginCommands runs each plug-in command on good and bad input, and checks that errors are reported with their place.
 func TestPluginCommands(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -69,36 +69,36 @@
   }
 }
 `)
-	got := tool(t, 1, "plugin", "test", star)
-	for _, want := range []string{`sample "wrong"`, `body is "b!", and "b?" is wanted`, `only is ["s-1"], and ["s-2"] is wanted`, `header is "map[X-A:1]"`, "2 passed, 1 failed"} {
+	got := runTool(t, 1, "plugin", "test", star)
+	for _, want := range []string{`sample "wrong"`, `body is "b!", expected "b?"`, `only is ["s-1"], expected ["s-2"]`, `header is "map[X-A:1]"`, "2 passed, 1 failed"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%s; %q is missing", got, want)
 		}
 	}
 	body := write("body", "text")
-	got = tool(t, 0, "plugin", "run", star, "--body", body, "--endpoint", "s-1")
+	got = runTool(t, 0, "plugin", "run", star, "--body", body, "--endpoint", "s-1")
 	for _, want := range []string{`body before:   4 bytes "text"`, `body after:    5 bytes "text!"`, "X-A: 1", "only:          s-1", "steps"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%s; %q is missing", got, want)
 		}
 	}
-	if got = tool(t, 0, "plugin", "run", star, "--point", "final", "--end", "failed"); !strings.Contains(got, "says:          failed") {
+	if got = runTool(t, 0, "plugin", "run", star, "--point", "final", "--end", "failed"); !strings.Contains(got, "says:          failed") {
 		t.Error(got)
 	}
-	if got = tool(t, 1, "plugin", "run", star); !strings.Contains(got, `only names "s-1", which is no active endpoint`) {
+	if got = runTool(t, 1, "plugin", "run", star); !strings.Contains(got, `only names "s-1", which is no active endpoint`) {
 		t.Error(got)
 	}
-	if got = tool(t, 2, "plugin", "run", star, "--point", "call"); !strings.Contains(got, "has no hook call") {
+	if got = runTool(t, 2, "plugin", "run", star, "--point", "call"); !strings.Contains(got, "has no hook call") {
 		t.Error(got)
 	}
-	if got = tool(t, 1, "plugin", "check", write("bad.star", "def intake(m):\n    return chnge()\n")); !strings.Contains(got, "bad.star:2:12: undefined: chnge (did you mean change?)") {
+	if got = runTool(t, 1, "plugin", "check", write("bad.star", "def intake(m):\n    return chnge()\n")); !strings.Contains(got, "bad.star:2:12: undefined: chnge (did you mean change?)") {
 		t.Error(got)
 	}
-	if got = tool(t, 2, "plugin", "test", write("q.star", "def intake(m):\n    pass\n")); !strings.Contains(got, "q.samples.hcl") {
+	if got = runTool(t, 2, "plugin", "test", write("q.star", "def intake(m):\n    pass\n")); !strings.Contains(got, "q.samples.hcl") {
 		t.Error(got)
 	}
 	status := write("status", `{"plugins":[{"name":"p","circuit":"open","calls":7,"errors":[{"at":"2026-12-01T00:00:00Z","point":"intake","id":"7f","error":"why"}]}]}`)
-	if got = tool(t, 0, "plugin", "status", status); !strings.Contains(got, "p : circuit open") && !strings.Contains(got, "circuit open") || !strings.Contains(got, "intake 7f: why") {
+	if got = runTool(t, 0, "plugin", "status", status); !strings.Contains(got, "p : circuit open") && !strings.Contains(got, "circuit open") || !strings.Contains(got, "intake 7f: why") {
 		t.Error(got)
 	}
 }
