--- a/cmd/scaleroute-lab/operators.go
+++ b/cmd/scaleroute-lab/operators.go
@@ -41,7 +41,7 @@
 	if unsafe {
 		class = standin.Unsafe
 	}
-	calls, intake := o.limits.For(class, destination, ""), o.limits.Intake(class, destination, "")
+	calls, intake := o.limits.DecisionLimits(class, destination, ""), o.limits.IntakeLimits(class, destination, "")
 	return standin.Set{Attempts: calls.MaxAttempts, Answer: calls.AttemptTimeout, Whole: intake.Total, Out: calls.MaxInFlight, Rate: calls.MaxRate}
 }
 
--- a/cmd/scaleroute-lab/routes.go
+++ b/cmd/scaleroute-lab/routes.go
@@ -127,7 +127,7 @@
 		}
 		to := h.Destination
 		if way := v.ways.Find(&route.Message{Front: "resp2", Class: class, Destination: h.Destination, Field: field}); way != nil {
-			to = way.To
+			to = way.Destination
 		}
 		if !slices.Contains(list, to) {
 			list = append(list, to)
--- a/cmd/scaleroute/fleet.go
+++ b/cmd/scaleroute/fleet.go
@@ -63,7 +63,7 @@
 	if s == nil {
 		return 0
 	}
-	return s.forwarder.operators.current.Fleet.Ledger
+	return s.forwarder.operators.current.Fleet.LedgerBytes
 }
 
 func (s *fleetState) generation() int {
@@ -99,15 +99,15 @@
 	if why := s.member.fencedOff.Load(); why != nil { // this process serves again since the next one did not take over, and was fenced off before
 		accounting.FencedOff = *why
 	}
-	if config.Fleet.Ledger > 0 {
+	if config.Fleet.LedgerBytes > 0 {
 		var err error
-		if s.ledger, err = ledger.Open(journal.DirFS(s.forwarder.config.StateDir), config.Fleet.Ledger, s.forwarder.config.Name); err != nil {
+		if s.ledger, err = ledger.Open(journal.DirFS(s.forwarder.config.StateDir), config.Fleet.LedgerBytes, s.forwarder.config.Name); err != nil {
 			return nil, err
 		}
 		accounting.Ledger = s.ledger
 	}
-	if config.Fleet.Fence > 0 {
-		accounting.Fence = fence.New(time.Duration(config.Fleet.Fence))
+	if config.Fleet.Lease > 0 {
+		accounting.Fence = fence.New(time.Duration(config.Fleet.Lease))
 	}
 	return accounting, nil
 }
@@ -134,7 +134,7 @@
 // confirmVersions refreshes the endpoint list after a suspension and then lets calls begin again. If discovery does not answer, calls are held back for a
 // bounded time only, since it may be unreachable for the whole fleet.
 func (s *fleetState) confirmVersions(ctx context.Context, e *engine.Engine, suspended suspension) {
-	limit, cancel := context.WithTimeout(ctx, time.Duration(s.forwarder.operators.current.Fleet.Unheard))
+	limit, cancel := context.WithTimeout(ctx, time.Duration(s.forwarder.operators.current.Fleet.DiscoveryWait))
 	defer cancel()
 	cause := ledger.CauseConfirmed
 	if err := s.forwarder.refreshList(limit); err != nil {
--- a/cmd/scaleroute/fleet_test.go
+++ b/cmd/scaleroute/fleet_test.go
@@ -146,7 +146,7 @@
 func TestFleetAudit(t *testing.T) {
 	l := newFleetLogs()
 	stop := filepath.Join(t.TempDir(), "stop")
-	set := operator.Fleet{Ledger: 1 << 20, Fence: operator.Duration(400 * time.Millisecond), Unheard: operator.Duration(time.Minute)}
+	set := operator.Fleet{LedgerBytes: 1 << 20, Lease: operator.Duration(400 * time.Millisecond), DiscoveryWait: operator.Duration(time.Minute)}
 	r := newFleetRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 4 * time.Second, Set: operatorsFile(t, set), Env: []string{"SCALEROUTE_TEST_STOP=" + stop}, Command: []string{"-log-steps"}}, l)
 	n := r.Nodes
 	for _, e := range r.World.Endpoints { // slow, so that a forwarder needs all three endpoints of a destination
@@ -178,7 +178,7 @@
 		eventually(t, one.Name+" has the list", func() bool { return getJSON[VersionReport](t, one, "/versions").Vector.List.Index >= index })
 	}
 	// A new operators' file: all but n1 and n3 are sent SIGHUP.
-	changed := operatorsFile(t, set, operator.Limit{Name: "few", Attempts: 4})
+	changed := operatorsFile(t, set, operator.Limit{Name: "few", MaxAttempts: 4})
 	digest := decodeConfig(t, changed).Digest()
 	for _, one := range n {
 		if err := one.SetOperators(changed); err != nil {
--- a/cmd/scaleroute/load_test.go
+++ b/cmd/scaleroute/load_test.go
@@ -22,7 +22,7 @@
 //   - a forwarder that is stopped costs no more than its time-out, and is named in the report.
 func TestFleetLoad(t *testing.T) {
 	l := newFleetLogs()
-	set := operator.Fleet{Ledger: 1 << 20}
+	set := operator.Fleet{LedgerBytes: 1 << 20}
 	r := newFleetRig(t, fleet.Shape{Forwarders: 8, Destinations: 1, Targets: 6, Left: 6 * time.Second, Set: operatorsFile(t, set)}, l)
 	nodes := r.Nodes
 	for _, e := range r.World.Endpoints {
--- a/cmd/scaleroute/member.go
+++ b/cmd/scaleroute/member.go
@@ -66,7 +66,7 @@
 
 func newMember(fleet *fleetState) (*member, error) {
 	config := fleet.forwarder.operators.current.Fleet
-	evaluatorConfig := straggler.Config{Name: fleet.forwarder.config.Name, Zone: fleet.forwarder.config.Settings.Zone, MaxOutFraction: config.Share, ReportTTL: reportTTL, SettleTime: settleTime, DetectionTime: detectionTime, NewerListGrace: newerListGrace, Seed: fleet.forwarder.config.Settings.Seed}
+	evaluatorConfig := straggler.Config{Name: fleet.forwarder.config.Name, Zone: fleet.forwarder.config.Settings.Zone, MaxOutFraction: config.MaxFencedShare, ReportTTL: reportTTL, SettleTime: settleTime, DetectionTime: detectionTime, NewerListGrace: newerListGrace, Seed: fleet.forwarder.config.Settings.Seed}
 	shortTimes := os.Getenv(quickFleetVariable) != ""
 	if shortTimes {
 		evaluatorConfig.ReportTTL, evaluatorConfig.SettleTime, evaluatorConfig.DetectionTime = quickReportTTL, quickSettleTime, quickSettleTime
@@ -85,7 +85,7 @@
 	}
 	advertise := cmp.Or(fleet.forwarder.config.GossipAdvertise, config.Gossip.Advertise)
 	var key []byte
-	if file := config.Gossip.Key; file != "" {
+	if file := config.Gossip.KeyFile; file != "" {
 		var err error
 		if key, err = os.ReadFile(file); err != nil {
 			return nil, fmt.Errorf("fleet.gossip.key_file: %w", err)
@@ -307,7 +307,7 @@
 func (m *member) view() FleetView {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	v := FleetView{Name: m.fleet.forwarder.config.Name, Share: m.fleet.forwarder.operators.current.Fleet.Share, Members: m.evaluator.Fleet(m.elapsed())}
+	v := FleetView{Name: m.fleet.forwarder.config.Name, Share: m.fleet.forwarder.operators.current.Fleet.MaxFencedShare, Members: m.evaluator.Fleet(m.elapsed())}
 	v.Desired, v.Superseded = m.evaluator.Desired()
 	return v
 }
--- a/cmd/scaleroute/member_faults_test.go
+++ b/cmd/scaleroute/member_faults_test.go
@@ -115,7 +115,7 @@
 func TestFleetPartition(t *testing.T) {
 	t.Parallel()
 	l := newFleetLogs()
-	set := operator.Fleet{Ledger: 1 << 20, Fence: operator.Duration(time.Second), Unheard: operator.Duration(2 * time.Second), Share: 0.25}
+	set := operator.Fleet{LedgerBytes: 1 << 20, Lease: operator.Duration(time.Second), DiscoveryWait: operator.Duration(2 * time.Second), MaxFencedShare: 0.25}
 	r := newGossipRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 3 * time.Second}, set, l)
 	n := r.Nodes
 	lossy := fleet.Fault{Loss: 0.3, Delay: 5 * time.Millisecond, Jitter: 30 * time.Millisecond}
@@ -205,7 +205,7 @@
 func TestFleetSharesRetryAfter(t *testing.T) {
 	t.Parallel()
 	l := newFleetLogs()
-	r := newGossipRig(t, fleet.Shape{Forwarders: 8, Destinations: 1, Targets: 2, Left: 20 * time.Second}, operator.Fleet{Share: 0.25}, l, func(r *fleet.Rig) {
+	r := newGossipRig(t, fleet.Shape{Forwarders: 8, Destinations: 1, Targets: 2, Left: 20 * time.Second}, operator.Fleet{MaxFencedShare: 0.25}, l, func(r *fleet.Rig) {
 		r.Nodes[1].Env = []string{"SCALEROUTE_TEST_FORMAT=1"} // sends status reports in the format of an older build
 		r.Nodes[2].Env = []string{"SCALEROUTE_TEST_FORMAT=9"}
 	})
@@ -267,7 +267,7 @@
 func TestFleetMixedVersions(t *testing.T) {
 	t.Parallel()
 	l := newFleetLogs()
-	set := operator.Fleet{Ledger: ledger.MinBytes, Fence: operator.Duration(time.Second), Unheard: operator.Duration(2 * time.Second), Share: 0.25}
+	set := operator.Fleet{LedgerBytes: ledger.MinBytes, Lease: operator.Duration(time.Second), DiscoveryWait: operator.Duration(2 * time.Second), MaxFencedShare: 0.25}
 	r := newGossipRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 3 * time.Second}, set, l, func(r *fleet.Rig) {
 		for i, env := range []string{"FORMAT=1", "FORMAT=1", "FORMAT=7", "CLOCK=10m", "CLOCK=-10m"} {
 			r.Nodes[i].Env = []string{"SCALEROUTE_TEST_" + env}
@@ -413,13 +413,13 @@
 func TestFleetUpgradeWhileFencedOff(t *testing.T) {
 	t.Parallel()
 	l := newFleetLogs()
-	set := operator.Fleet{Ledger: 1 << 20, Share: 0.5}
+	set := operator.Fleet{LedgerBytes: 1 << 20, MaxFencedShare: 0.5}
 	r := newGossipRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 2, Left: 2 * time.Second, Inherited: true}, set, l)
 	n := r.Nodes
 	done := make(chan struct{})
 	wait := r.Load(20, 4, 200, done)
 	set.Gossip = &operator.Gossip{Join: []string{r.Mesh.Told(0)}}
-	changed := operatorsFile(t, set, operator.Limit{Name: "few", Attempts: 4})
+	changed := operatorsFile(t, set, operator.Limit{Name: "few", MaxAttempts: 4})
 	for _, one := range n[3:] {
 		if err := one.SetOperators(changed); err != nil {
 			t.Fatal(err)
--- a/cmd/scaleroute/member_test.go
+++ b/cmd/scaleroute/member_test.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := operator.Fleet{Ledger: 1 << 20, Fence: operator.Duration(time.Second), Unheard: operator.Duration(2 * time.Second), Share: 0.25,
+	set := operator.Fleet{LedgerBytes: 1 << 20, Lease: operator.Duration(time.Second), DiscoveryWait: operator.Duration(2 * time.Second), MaxFencedShare: 0.25,
 		Gossip: &operator.Gossip{Join: []string{mesh.Told(0)}}}
 	r := newFleetRig(t, fleet.Shape{Forwarders: 8, Destinations: 2, Targets: 3, Left: 3 * time.Second, Mesh: mesh, Set: operatorsFile(t, set), Env: []string{quickFleetVariable + "=1"}}, l)
 	nodes := r.Nodes
@@ -143,7 +143,7 @@
 	}
 
 	// The operators' file changes and no member gets a signal. It becomes the desired version, and all members read it.
-	changed := operatorsFile(t, set, operator.Limit{Name: "few", Attempts: 4})
+	changed := operatorsFile(t, set, operator.Limit{Name: "few", MaxAttempts: 4})
 	digest := decodeConfig(t, changed).Digest()
 	for _, node := range nodes {
 		if err := node.SetOperators(changed); err != nil {
--- a/cmd/scaleroute/partial.go
+++ b/cmd/scaleroute/partial.go
@@ -53,7 +53,7 @@
 	seed := fnv.New64a() // so that each forwarder tries the servers in another order
 	seed.Write([]byte(f.config.Name + " " + f.config.Seed))
 	limits := partial.DefaultLimits()
-	limits.MaxFetched, limits.LookupBytesPerSecond, limits.Burst = set.Fetched, float64(set.LookupBytes), 2*float64(set.LookupBytes)
+	limits.MaxFetched, limits.LookupBytesPerSecond, limits.Burst = set.MaxFetched, float64(set.LookupBytesPerSecond), 2*float64(set.LookupBytesPerSecond)
 	return &partialList{forwarder: f, limits: limits, client: control.New(control.Config{Servers: set.Servers, Name: f.config.Name, Zone: f.config.Settings.Zone, Seed: seed.Sum64(),
 		Layout: ownership.Layout{Partitions: set.Partitions, Replicas: set.Replicas}})}
 }
@@ -257,7 +257,7 @@
 // keepControlBlock keeps the control block, which a reload can't change, and logs a warning if the new file has another one.
 func keepControlBlock(current, next *operator.Config) {
 	if !reflect.DeepEqual(current.Control, next.Control) {
-		slog.Warn("the control block can't change while the process runs: restart", "where", cmp.Or(next.Where["control"], "control"))
+		slog.Warn("the control block can't change while the process runs: restart", "where", cmp.Or(next.Positions["control"], "control"))
 		next.Control = current.Control
 	}
 }
--- a/cmd/scaleroute/partial_env_test.go
+++ b/cmd/scaleroute/partial_env_test.go
@@ -84,7 +84,7 @@
 		}
 	})
 	t.Cleanup(sync.OnceFunc(func() { w.releaseCalls() }))
-	w.set.Partitions, w.set.Replicas, w.set.LookupBytes = partialListLayout.Partitions, partialListLayout.Replicas, 1<<20
+	w.set.Partitions, w.set.Replicas, w.set.LookupBytesPerSecond = partialListLayout.Partitions, partialListLayout.Replicas, 1<<20
 	w.noInitialList, w.env = true, []string{"NODE_OPS=127.0.0.1:0"}
 	own := partialListLayout.OwnedPartitions("n0", partialListMembers)
 	for d := 1; len(w.ownedDestinations) < destinations || len(w.otherDestinations) < destinations; d++ {
--- a/cmd/scaleroute/partial_test.go
+++ b/cmd/scaleroute/partial_test.go
@@ -70,7 +70,7 @@
 func TestLookupBudget(t *testing.T) {
 	t.Parallel()
 	w := newPartialListEnv(t, 1, 30)
-	w.set.LookupBytes = 500
+	w.set.LookupBytesPerSecond = 500
 	w.writeOperatorsFile()
 	p := w.start()
 	p.awaitControlStatus("the part is not received", ownsPartOfAll)
@@ -222,7 +222,7 @@
 	t.Parallel()
 	const lease = 300 * time.Millisecond
 	w := newPartialListEnv(t, 1, 5)
-	w.fleet = &operator.Fleet{Ledger: 1 << 20, Fence: operator.Duration(lease), Unheard: operator.Duration(testTimeout)}
+	w.fleet = &operator.Fleet{LedgerBytes: 1 << 20, Lease: operator.Duration(lease), DiscoveryWait: operator.Duration(testTimeout)}
 	w.writeOperatorsFile()
 	p := w.start()
 	p.awaitControlStatus("the part is not received", ownsPartOfAll)
@@ -254,7 +254,7 @@
 func TestFetchedDestinationsLimit(t *testing.T) {
 	t.Parallel()
 	w := newPartialListEnv(t, 1, 3)
-	w.set.Fetched = 1
+	w.set.MaxFetched = 1
 	w.writeOperatorsFile()
 	p := w.start()
 	p.awaitControlStatus("the part is not received", ownsPartOfAll)
--- a/cmd/scaleroute/routes.go
+++ b/cmd/scaleroute/routes.go
@@ -20,14 +20,14 @@
 	}
 	found := routes.Find(&route.Message{Front: frontName(m), Class: m.Class, Destination: m.Destination, Field: m.Field})
 	switch {
-	case found == nil && routes.Rejects():
+	case found == nil && routes.RejectsUnrouted():
 		return engine.Answer{Kind: engine.Rejected, Reason: "no route"}
 	case found == nil:
 		return r.next.Accept(m)
 	}
 	routed := *m // a copy, since the client's goroutine still uses m
 	routed.Extras = &message.Extras{Route: found.Name, Requested: m.Destination}
-	routed.Destination = found.To
+	routed.Destination = found.Destination
 	return r.next.Accept(&routed)
 }
 
--- a/cmd/scaleroute/routes_test.go
+++ b/cmd/scaleroute/routes_test.go
@@ -66,7 +66,7 @@
 		{Name: "4", Fields: map[string]string{"campaign": "/[0-9]+/"}, Order: 1, Pool: "seven"},
 		{Name: "5", Destinations: []int{99}, Pool: "failing"},
 	}
-	set.Limits = []operator.Limit{{Name: "two", Routes: []string{"5"}, Attempts: 2}}
+	set.Limits = []operator.Limit{{Name: "two", Routes: []string{"5"}, MaxAttempts: 2}}
 	path := filepath.Join(t.TempDir(), "operators.json")
 	put := func() {
 		t.Helper()
@@ -132,7 +132,7 @@
 				want[id] = strings.TrimSuffix(want[id], `"`)
 			case explained == "destination 7" || strings.HasSuffix(explained, "to destination 7"):
 				want[id] = "seven"
-			case set.Unrouted == operator.Reject:
+			case set.Unrouted == operator.RejectUnrouted:
 				if got != "-ERR no route" {
 					t.Fatalf("%s: %q, and %s", id, got, explained)
 				}
@@ -165,7 +165,7 @@
 	if n := len(p.endpointsByID["two"]); n != 2 {
 		t.Errorf("%d attempts by a route with a limit of 2", n)
 	}
-	if got := proc.connect().do("ENQUEUE", "0", "no", fmt.Sprintf("c=harmless,d=60000,dest=%d", set.Pools[0].Number()), "body"); got != "-ERR bad destination" {
+	if got := proc.connect().do("ENQUEUE", "0", "no", fmt.Sprintf("c=harmless,d=60000,dest=%d", set.Pools[0].DestinationNumber()), "body"); got != "-ERR bad destination" {
 		t.Errorf("a client used the number of a pool as a destination: %q", got)
 	}
 
@@ -176,7 +176,7 @@
 	late.Listener.Close()
 	set.Pools = append(set.Pools, operator.Pool{Name: "not yet", Endpoints: []operator.PoolEndpoint{{Name: "n", Address: address}}})
 	set.Routes = append(set.Routes, operator.Route{Name: "6", Classes: []string{"harmless"}, Destinations: []int{8}, Fields: map[string]string{"held": "*"}, Pool: "not yet"})
-	set.Unrouted = operator.Reject
+	set.Unrouted = operator.RejectUnrouted
 	put()
 	proc.cmd.Process.Signal(syscall.SIGHUP)
 	proc.awaitLog("set by operators")
--- a/cmd/scaleroute/settings.go
+++ b/cmd/scaleroute/settings.go
@@ -85,7 +85,7 @@
 // apply checks the operators' limits against the platform's settings, and makes the decision module use them.
 func (s *settings) apply(set *decide.Settings) error {
 	s.platform = *set
-	if err := s.current.Error(s.current.Against(*set)); err != nil {
+	if err := s.current.Error(s.current.CheckPlatform(*set)); err != nil {
 		return fmt.Errorf("-operators: %w", err)
 	}
 	if s.file != "" {
@@ -96,7 +96,7 @@
 		s.routes.Store(routes)
 		s.limits.Store(s.current.NewLimits())
 		set.Limits = func(class string, dest int, route string) decide.Limits {
-			return s.limits.Load().For(class, dest, route)
+			return s.limits.Load().DecisionLimits(class, dest, route)
 		}
 	}
 	return nil
@@ -108,7 +108,7 @@
 		return nil
 	}
 	return func(class string, dest int, route string) engine.Limits {
-		return s.limits.Load().Intake(class, dest, route)
+		return s.limits.Load().IntakeLimits(class, dest, route)
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 	next, err := loadOperators(s.file)
 	if err == nil {
-		err = next.Error(next.Against(s.platform))
+		err = next.Error(next.CheckPlatform(s.platform))
 	}
 	if next == nil {
 		next = s.current // so that the checks below can read it
@@ -135,9 +135,9 @@
 		err = errors.New("the file for the plug-ins' status can't change: restart, or set it as it was")
 	}
 	if err == nil && next.HasMail() && !s.mailReserved {
-		i := slices.IndexFunc(next.Pools, func(p operator.Pool) bool { return p.Mail() })
+		i := slices.IndexFunc(next.Pools, func(p operator.Pool) bool { return p.HasMail() })
 		key := "pool." + next.Pools[i].Name
-		err = fmt.Errorf("%s: the first mail endpoint needs descriptors that were not reserved at the start: restart, or remove it", cmp.Or(next.Where[key], key))
+		err = fmt.Errorf("%s: the first mail endpoint needs descriptors that were not reserved at the start: restart, or remove it", cmp.Or(next.Positions[key], key))
 	}
 	var routes *operator.Routes
 	if err == nil {
@@ -163,8 +163,8 @@
 		s.routes.Store(routes)
 	}, !reflect.DeepEqual(s.current.Pools, next.Pools), next)
 	s.current = next
-	for _, c := range operator.DiffMost(old, next, maxLoggedChanges) {
-		slog.Info("set by operators", "for", c.For, "key", c.Key, "old", c.Old, "new", c.New, "where", c.To)
+	for _, c := range operator.DiffAtMost(old, next, maxLoggedChanges) {
+		slog.Info("set by operators", "for", c.Scope, "key", c.Key, "old", c.Old, "new", c.New, "where", c.NewPosition)
 	}
 }
 
--- a/cmd/scaleroute/warmup_test.go
+++ b/cmd/scaleroute/warmup_test.go
@@ -30,7 +30,7 @@
 // messages are queued; then it returns and warms up. In any 3 s window it receives no more calls from all forwarders together than the limit
 // allows, and in the end every message is completed.
 func TestWarmUpAcrossFleet(t *testing.T) {
-	r := newFleetRig(t, fleet.Shape{Forwarders: warmUpForwarders, Destinations: 1, Targets: 1, Left: 12 * time.Second, Set: operatorsFile(t, operator.Fleet{Ledger: 1 << 20})}, newFleetLogs())
+	r := newFleetRig(t, fleet.Shape{Forwarders: warmUpForwarders, Destinations: 1, Targets: 1, Left: 12 * time.Second, Set: operatorsFile(t, operator.Fleet{LedgerBytes: 1 << 20})}, newFleetLogs())
 	endpoint := r.World.Endpoints[0]
 	working := standin.Script{Latency: 10 * time.Millisecond}
 	endpoint.Set(working)
--- a/cmd/scaleroutectl/operators.go
+++ b/cmd/scaleroutectl/operators.go
@@ -49,9 +49,9 @@
 	if err != nil {
 		return err
 	}
-	problems := set.Against(p.Settings)
-	for i, b := range append(problems, set.WarningsAgainst(p.Settings)...) {
-		where, level := cmp.Or(set.Where[b.Key], b.Key), "Error"
+	problems := set.CheckPlatform(p.Settings)
+	for i, b := range append(problems, set.PlatformWarnings(p.Settings)...) {
+		where, level := cmp.Or(set.Positions[b.Key], b.Key), "Error"
 		if i >= len(problems) {
 			level = "Warning"
 		}
@@ -116,7 +116,7 @@
 		if c.JSON {
 			err = json.NewEncoder(out).Encode(e)
 		} else {
-			_, err = fmt.Fprintf(out, "%s: %s\t%s\n", e.Key, e.New, e.To)
+			_, err = fmt.Fprintf(out, "%s: %s\t%s\n", e.Key, e.New, e.NewPosition)
 		}
 		if err != nil {
 			return err
@@ -145,7 +145,7 @@
 		if c.JSON {
 			err = json.NewEncoder(out).Encode(d)
 		} else {
-			_, err = fmt.Fprintf(out, "%s: %s from %s to %s\t%s -> %s\n", d.For, d.Key, d.Old, d.New, cmp.Or(d.From, "-"), cmp.Or(d.To, "-"))
+			_, err = fmt.Fprintf(out, "%s: %s from %s to %s\t%s -> %s\n", d.Scope, d.Key, d.Old, d.New, cmp.Or(d.OldPosition, "-"), cmp.Or(d.NewPosition, "-"))
 		}
 		if err != nil {
 			return err
--- a/internal/operator/control.go
+++ b/internal/operator/control.go
@@ -10,16 +10,16 @@
 
 // Control has the forwarder know only its part of the endpoint list, by control servers. Without it the whole list is watched at the platform's discovery.
 type Control struct {
-	Servers     []string `json:"servers"`
-	Partitions  int      `json:"partitions"`   // the same in the whole fleet, and at its control servers
-	Replicas    int      `json:"replicas"`     // owners of each partition; the same in the whole fleet
-	Fetched     int      `json:"fetched"`      // destinations outside the part that are known at most
-	LookupBytes int64    `json:"lookup_bytes"` // a second, for looking such destinations up
+	Servers              []string `json:"servers"`
+	Partitions           int      `json:"partitions"`   // the same in the whole fleet, and at its control servers
+	Replicas             int      `json:"replicas"`     // owners of each partition; the same in the whole fleet
+	MaxFetched           int      `json:"fetched"`      // destinations outside the part that are known at most
+	LookupBytesPerSecond int64    `json:"lookup_bytes"` // a second, for looking such destinations up
 }
 
 // DefaultControl is what holds where a block control sets nothing but its servers.
 func DefaultControl() Control {
-	return Control{Partitions: 1 << 21, Replicas: 3, Fetched: 256, LookupBytes: 1500}
+	return Control{Partitions: 1 << 21, Replicas: 3, MaxFetched: 256, LookupBytesPerSecond: 1500}
 }
 
 // Bounds of a Control.
@@ -54,11 +54,11 @@
 	if err := (ownership.Layout{Partitions: 1, Replicas: s.Replicas}).Validate(); err != nil {
 		add("control.replicas", err.Error(), "write the number that all forwarders have, as 3")
 	}
-	if s.Fetched < 1 || s.Fetched > maxFetched {
-		add("control.fetched", fmt.Sprintf("%d destinations fetched on demand", s.Fetched), fmt.Sprintf("set from 1 to %d", maxFetched))
+	if s.MaxFetched < 1 || s.MaxFetched > maxFetched {
+		add("control.fetched", fmt.Sprintf("%d destinations fetched on demand", s.MaxFetched), fmt.Sprintf("set from 1 to %d", maxFetched))
 	}
-	if s.LookupBytes < minLookupBytes || s.LookupBytes > maxLookupBytes {
-		add("control.lookup_bytes", fmt.Sprintf("%d bytes a second for look-ups", s.LookupBytes), fmt.Sprintf("set from %d to %d: one look-up costs some 500", minLookupBytes, maxLookupBytes))
+	if s.LookupBytesPerSecond < minLookupBytes || s.LookupBytesPerSecond > maxLookupBytes {
+		add("control.lookup_bytes", fmt.Sprintf("%d bytes a second for look-ups", s.LookupBytesPerSecond), fmt.Sprintf("set from %d to %d: one look-up costs some 500", minLookupBytes, maxLookupBytes))
 	}
 	if c.Fleet != nil && c.Fleet.Gossip != nil {
 		add("control", "with a block control, forwarders have different lists, and gossip would take all but one for stale", "remove the block gossip of fleet: control servers have the members")
@@ -72,7 +72,7 @@
 		if s == nil {
 			return [6]string{"the whole list", "none", "none", "none", "none", "none"}
 		}
-		return [6]string{"a part of the list", strings.Join(s.Servers, " "), fmt.Sprint(s.Partitions), fmt.Sprint(s.Replicas), fmt.Sprint(s.Fetched), fmt.Sprint(s.LookupBytes)}
+		return [6]string{"a part of the list", strings.Join(s.Servers, " "), fmt.Sprint(s.Partitions), fmt.Sprint(s.Replicas), fmt.Sprint(s.MaxFetched), fmt.Sprint(s.LookupBytesPerSecond)}
 	}
 	a, b := words(old), words(new)
 	for i, key := range []string{"control", "control.servers", "control.partitions", "control.replicas", "control.fetched", "control.lookup_bytes"} {
@@ -88,5 +88,5 @@
 	}
 	layout := ownership.Layout{Partitions: s.Partitions, Replicas: s.Replicas}
 	text := fmt.Sprintf("by control servers: partition %d of %d, sent to its %d owners; others look it up", layout.PartitionOf(destination), s.Partitions, s.Replicas)
-	return []Change{{For: fmt.Sprintf("destination %d", destination), Key: "control", New: text, To: c.Where["control"]}}
+	return []Change{{Scope: fmt.Sprintf("destination %d", destination), Key: "control", New: text, NewPosition: c.Positions["control"]}}
 }
--- a/internal/operator/control_test.go
+++ b/internal/operator/control_test.go
@@ -28,8 +28,8 @@
 			func(s *Control) { s.Servers = []string{":7400"} }, func(s *Control) { s.Servers = []string{"a:1", "a:1"} }, func(s *Control) { s.Servers = make([]string, 17) }},
 		"control.partitions":   {func(s *Control) { s.Partitions = 1000 }, func(s *Control) { s.Partitions = 0 }},
 		"control.replicas":     {func(s *Control) { s.Replicas = 0 }, func(s *Control) { s.Replicas = 99 }},
-		"control.fetched":      {func(s *Control) { s.Fetched = 0 }, func(s *Control) { s.Fetched = 257 }},
-		"control.lookup_bytes": {func(s *Control) { s.LookupBytes = 499 }, func(s *Control) { s.LookupBytes = -1 }},
+		"control.fetched":      {func(s *Control) { s.MaxFetched = 0 }, func(s *Control) { s.MaxFetched = 257 }},
+		"control.lookup_bytes": {func(s *Control) { s.LookupBytesPerSecond = 499 }, func(s *Control) { s.LookupBytesPerSecond = -1 }},
 	} {
 		for i, change := range spoil {
 			list := withControl(change).Check()
@@ -51,7 +51,7 @@
 		t.Errorf("%+v", d)
 	}
 	d := Diff(withControl(nil), withControl(func(s *Control) {
-		s.Servers, s.Partitions, s.Replicas, s.Fetched, s.LookupBytes = s.Servers[:1], 4, 2, 1, 600
+		s.Servers, s.Partitions, s.Replicas, s.MaxFetched, s.LookupBytesPerSecond = s.Servers[:1], 4, 2, 1, 600
 	}))
 	if len(d) != 5 {
 		t.Errorf("%+v", d)
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -13,12 +13,12 @@
 
 // Change is one thing that differs in effect between two versions.
 type Change struct {
-	For  string `json:"for"` // what it holds for
-	Key  string `json:"key"`
-	Old  string `json:"old"`
-	New  string `json:"new"`
-	From string `json:"from,omitempty"` // the places that set it
-	To   string `json:"to,omitempty"`
+	Scope       string `json:"for"` // what it holds for
+	Key         string `json:"key"`
+	Old         string `json:"old"`
+	New         string `json:"new"`
+	OldPosition string `json:"from,omitempty"` // the places that set it
+	NewPosition string `json:"to,omitempty"`
 }
 
 const unset = "as the platform says"
@@ -27,20 +27,20 @@
 // names the widest kinds that a change holds for and, below them, only those for which it is another.
 func Diff(old, new *Config) (list []Change) { return diff(old, new, math.MaxInt) }
 
-// DiffMost is Diff that looks for so many kinds of messages that go elsewhere.
-func DiffMost(old, new *Config, most int) []Change { return diff(old, new, most) }
+// DiffAtMost is Diff that looks for so many kinds of messages that go elsewhere.
+func DiffAtMost(old, new *Config, most int) []Change { return diff(old, new, most) }
 
 func diff(old, new *Config, most int) (list []Change) {
 	whole := func(key, a, b string) {
 		if a != b {
-			list = append(list, Change{of(key), key, a, b, old.Where[key], new.Where[key]})
+			list = append(list, Change{of(key), key, a, b, old.Positions[key], new.Positions[key]})
 		}
 	}
 	every := func(c *Config) string { return time.Duration(c.Journal.SyncEvery).String() }
 	whole("journal.durability", old.Journal.Durability, new.Journal.Durability)
 	whole("journal.sync_every", every(old), every(new))
 
-	whole("unrouted", cmp.Or(old.Unrouted, Go), cmp.Or(new.Unrouted, Go))
+	whole("unrouted", cmp.Or(old.Unrouted, ForwardUnrouted), cmp.Or(new.Unrouted, ForwardUnrouted))
 	whole("plugin_status", cmp.Or(old.PluginStatus, "none"), cmp.Or(new.PluginStatus, "none"))
 	diffFleet(old, new, whole)
 	diffControl(old, new, whole)
@@ -93,7 +93,7 @@
 			if a == b || s != (scope{}) && slices.ContainsFunc(s.parents(new), func(o scope) bool { q, known := said[o]; return known && q == p }) {
 				continue
 			}
-			list = append(list, Change{new.shownOr(old, s), key, a, b, old.Where["limits."+from+"."+key], new.Where["limits."+to+"."+key]})
+			list = append(list, Change{new.shownOr(old, s), key, a, b, old.Positions["limits."+from+"."+key], new.Positions["limits."+to+"."+key]})
 		}
 	}
 	return list
@@ -145,18 +145,18 @@
 	}
 	l, dest := c.NewLimits(), m.Destination
 	s := scope{class: m.Class, dest: dest, named: true}
-	goes := Change{For: c.shown(s), Key: "goes", New: c.goal(dest)}
+	goes := Change{Scope: c.shown(s), Key: "goes", New: c.goal(dest)}
 	if r := t.Find(m); r != nil {
-		dest, s.route = r.To, r.Name
-		goes.New, goes.To = fmt.Sprintf("by route %q to %s", r.Name, c.goal(dest)), c.Where["route."+r.Name]
-	} else if c.Unrouted == Reject {
-		goes.New, goes.To = "rejected: it fits no route", c.Where["unrouted"]
+		dest, s.route = r.Destination, r.Name
+		goes.New, goes.NewPosition = fmt.Sprintf("by route %q to %s", r.Name, c.goal(dest)), c.Positions["route."+r.Name]
+	} else if c.Unrouted == RejectUnrouted {
+		goes.New, goes.NewPosition = "rejected: it fits no route", c.Positions["unrouted"]
 	}
 	list = append(list, goes)
 	s.dest = dest
 	for n, key := range figureNames {
 		v, rule := l.figure(n, s, c)
-		list = append(list, Change{For: c.shown(s), Key: key, New: v, To: c.Where["limits."+rule+"."+key]})
+		list = append(list, Change{Scope: c.shown(s), Key: key, New: v, NewPosition: c.Positions["limits."+rule+"."+key]})
 	}
 	list = append(list, c.explainPool(dest)...)
 	list = append(list, c.explainControl(dest)...)
--- a/internal/operator/diff_test.go
+++ b/internal/operator/diff_test.go
@@ -17,10 +17,10 @@
 	for range 20_000 {
 		old := Default()
 		for i := range 1 + rng.IntN(5) {
-			l := Limit{Name: fmt.Sprint("l", i), Attempts: rng.IntN(3), Answer: Duration(time.Duration(rng.IntN(3)) * time.Second)}
+			l := Limit{Name: fmt.Sprint("l", i), MaxAttempts: rng.IntN(3), AttemptTimeout: Duration(time.Duration(rng.IntN(3)) * time.Second)}
 			l.Classes = [][]string{nil, {"a"}, {"b"}, {"a", "b"}}[rng.IntN(4)]
 			l.Destinations = [][]int{nil, {1}, {2, 3}}[rng.IntN(3)]
-			if l.Attempts+int(l.Answer) > 0 {
+			if l.MaxAttempts+int(l.AttemptTimeout) > 0 {
 				old.Limits = append(old.Limits, l)
 			}
 		}
@@ -37,7 +37,7 @@
 			t.Fatalf("reordered and renamed: %+v", d)
 		}
 		i := rng.IntN(len(new.Limits))
-		new.Limits[i].Attempts = rng.IntN(4)
+		new.Limits[i].MaxAttempts = rng.IntN(4)
 		if len(new.Check()) > 0 {
 			continue
 		}
@@ -46,10 +46,10 @@
 		differs := false
 		for _, c := range classes {
 			for _, dest := range dests {
-				x, y := a.For(c, dest, ""), b.For(c, dest, "")
+				x, y := a.DecisionLimits(c, dest, ""), b.DecisionLimits(c, dest, "")
 				differs = differs || x != y
 				named := slices.ContainsFunc(d, func(ch Change) bool {
-					return slices.ContainsFunc(append((scope{class: c, dest: dest, named: true}).parents(new), scope{class: c, dest: dest, named: true}), func(s scope) bool { return ch.For == s.String() })
+					return slices.ContainsFunc(append((scope{class: c, dest: dest, named: true}).parents(new), scope{class: c, dest: dest, named: true}), func(s scope) bool { return ch.Scope == s.String() })
 				})
 				if x != y && !named {
 					t.Fatalf("%s to %d changes from %+v to %+v and is not named: %+v", c, dest, x, y, d)
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -13,11 +13,11 @@
 
 // Fleet is what makes several forwarders a fleet that can be audited. Without it there is none of that.
 type Fleet struct {
-	Ledger  int64    `json:"ledger,omitempty"`  // bytes of the folder that lasts; 0: no ledger
-	Fence   Duration `json:"fence,omitempty"`   // the lease; a process that slept longer makes no call until it has asked again. 0: none
-	Unheard Duration `json:"unheard,omitempty"` // how long it waits for discovery then
-	Gossip  *Gossip  `json:"gossip,omitempty"`
-	Share   float64  `json:"share,omitempty"` // of the fleet, and of each zone, that may be shut out
+	LedgerBytes    int64    `json:"ledger,omitempty"`  // bytes of the folder that lasts; 0: no ledger
+	Lease          Duration `json:"fence,omitempty"`   // the lease; a process that slept longer makes no call until it has asked again. 0: none
+	DiscoveryWait  Duration `json:"unheard,omitempty"` // how long it waits for discovery then
+	Gossip         *Gossip  `json:"gossip,omitempty"`
+	MaxFencedShare float64  `json:"share,omitempty"` // of the fleet, and of each zone, that may be shut out
 }
 
 // Gossip is how forwarders tell each other what they act under.
@@ -25,15 +25,15 @@
 	Listen    string   `json:"listen,omitempty"`    // NODE_GOSSIP goes before it
 	Advertise string   `json:"advertise,omitempty"` // where others reach it, if that is elsewhere; NODE_GOSSIP_ADVERTISE goes before it
 	Join      []string `json:"join,omitempty"`
-	Key       string   `json:"key_file,omitempty"` // the library's keyring: 16, 24 or 32 bytes; empty: none
+	KeyFile   string   `json:"key_file,omitempty"` // the library's keyring: 16, 24 or 32 bytes; empty: none
 }
 
 // Defaults and bounds of a fleet.
 const (
-	DefaultUnheard = 3 * time.Second
-	DefaultShare   = 0.2
-	mostFence      = time.Minute
-	mostJoin       = 64
+	DefaultDiscoveryWait  = 3 * time.Second
+	DefaultMaxFencedShare = 0.2
+	mostFence             = time.Minute
+	mostJoin              = 64
 )
 
 func (c *Config) checkFleet(add func(key, what, remedy string)) {
@@ -41,20 +41,20 @@
 	if f == nil {
 		return
 	}
-	if f.Ledger != 0 && (f.Ledger < ledger.MinBytes || f.Ledger > ledger.MaxBytes) {
-		add("fleet.ledger", fmt.Sprintf("a ledger of %d bytes", f.Ledger), fmt.Sprintf("set from %d to %d bytes, or leave it out", ledger.MinBytes, ledger.MaxBytes))
+	if f.LedgerBytes != 0 && (f.LedgerBytes < ledger.MinBytes || f.LedgerBytes > ledger.MaxBytes) {
+		add("fleet.ledger", fmt.Sprintf("a ledger of %d bytes", f.LedgerBytes), fmt.Sprintf("set from %d to %d bytes, or leave it out", ledger.MinBytes, ledger.MaxBytes))
 	}
-	if d := time.Duration(f.Fence); d != 0 && (d < fence.MinLease || d > mostFence) {
+	if d := time.Duration(f.Lease); d != 0 && (d < fence.MinLease || d > mostFence) {
 		add("fleet.fence", fmt.Sprintf("a lease of %v", d), fmt.Sprintf("set from %v to %v, or leave it out", fence.MinLease, mostFence))
 	}
-	if d := time.Duration(f.Unheard); d != 0 && (f.Fence == 0 || d < fence.MinLease || d > mostFence) {
+	if d := time.Duration(f.DiscoveryWait); d != 0 && (f.Lease == 0 || d < fence.MinLease || d > mostFence) {
 		add("fleet.unheard", fmt.Sprintf("to wait %v for discovery after a sleep", d), fmt.Sprintf("set fence as well, and from %v to %v", fence.MinLease, mostFence))
 	}
-	if f.Fence != 0 && f.Unheard == 0 { // a file made by hand: the compiler sets it
-		add("fleet.unheard", "nothing says how long a process that slept waits for discovery", fmt.Sprintf("set unheard, as %v", DefaultUnheard))
+	if f.Lease != 0 && f.DiscoveryWait == 0 { // a file made by hand: the compiler sets it
+		add("fleet.unheard", "nothing says how long a process that slept waits for discovery", fmt.Sprintf("set unheard, as %v", DefaultDiscoveryWait))
 	}
-	if f.Share < 0 || f.Share > 0.5 || f.Share != 0 && f.Gossip == nil {
-		add("fleet.share", fmt.Sprintf("a share of %v that may be shut out", f.Share), "set from 0 to 0.5, with gossip: more than half would be the outage that it is to prevent")
+	if f.MaxFencedShare < 0 || f.MaxFencedShare > 0.5 || f.MaxFencedShare != 0 && f.Gossip == nil {
+		add("fleet.share", fmt.Sprintf("a share of %v that may be shut out", f.MaxFencedShare), "set from 0 to 0.5, with gossip: more than half would be the outage that it is to prevent")
 	}
 	if g := f.Gossip; g != nil {
 		if len(g.Join) > mostJoin {
@@ -71,7 +71,7 @@
 // Digest is that of what is set, wherever it is written, but for what is each forwarder's own.
 func (c *Config) Digest() version.Digest {
 	d := *c
-	d.Where = nil
+	d.Positions = nil
 	if c.Fleet != nil && c.Fleet.Gossip != nil {
 		f, g := *c.Fleet, *c.Fleet.Gossip
 		g.Listen, g.Advertise = "", ""
@@ -96,7 +96,7 @@
 			g = string(text)
 		}
 		f := c.Fleet
-		return [6]string{"kept", fmt.Sprint(f.Ledger), time.Duration(f.Fence).String(), time.Duration(f.Unheard).String(), g, fmt.Sprint(f.Share)}
+		return [6]string{"kept", fmt.Sprint(f.LedgerBytes), time.Duration(f.Lease).String(), time.Duration(f.DiscoveryWait).String(), g, fmt.Sprint(f.MaxFencedShare)}
 	}
 	a, b := word(old), word(new)
 	for i, key := range []string{"fleet", "fleet.ledger", "fleet.fence", "fleet.unheard", "fleet.gossip", "fleet.share"} {
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -15,24 +15,24 @@
 // Limit bounds what is done for some messages. Each of its figures holds on its own: one that a rule does not set comes from
 // the next less specific one, and in the end from the platform. A limit can only tighten.
 type Limit struct {
-	Name         string   `json:"name"`
-	Classes      []string `json:"classes,omitempty"`      // none: all
-	Destinations []int    `json:"destinations,omitempty"` // where messages go; none: all
-	Pools        []string `json:"pools,omitempty"`        // the same, by the names of pools
-	Routes       []string `json:"routes,omitempty"`       // by which they came; none: any, or none
-	Attempts     int      `json:"attempts,omitempty"`     // for one message; 0: not set
-	Answer       Duration `json:"answer,omitempty"`       // how long one attempt may wait for its answer; 0: not set
-	Whole        Duration `json:"whole,omitempty"`        // how long a message may be delivered in all; 0: not set
-	Held         int      `json:"held,omitempty"`         // messages held at once, for each destination apart; 0: not set
-	Connect      Duration `json:"connect,omitempty"`      // how long a connection may take; 0: not set
-	Wait         Duration `json:"wait,omitempty"`         // before the first further try, jittered; it doubles from there; 0: not set
+	Name           string   `json:"name"`
+	Classes        []string `json:"classes,omitempty"`      // none: all
+	Destinations   []int    `json:"destinations,omitempty"` // where messages go; none: all
+	Pools          []string `json:"pools,omitempty"`        // the same, by the names of pools
+	Routes         []string `json:"routes,omitempty"`       // by which they came; none: any, or none
+	MaxAttempts    int      `json:"attempts,omitempty"`     // for one message; 0: not set
+	AttemptTimeout Duration `json:"answer,omitempty"`       // how long one attempt may wait for its answer; 0: not set
+	TotalTimeout   Duration `json:"whole,omitempty"`        // how long a message may be delivered in all; 0: not set
+	MaxQueued      int      `json:"held,omitempty"`         // messages held at once, for each destination apart; 0: not set
+	ConnectTimeout Duration `json:"connect,omitempty"`      // how long a connection may take; 0: not set
+	RetryDelay     Duration `json:"wait,omitempty"`         // before the first further try, jittered; it doubles from there; 0: not set
 
-	Copy Duration `json:"copy,omitempty"` // until a second copy goes out of what may be repeated; 0: none
+	HedgeDelay Duration `json:"copy,omitempty"` // until a second copy goes out of what may be repeated; 0: none
 
 	// Of all messages for a destination together, whatever their class.
-	Out   int     `json:"out,omitempty"`   // calls out at once; 0: not set
-	Rate  float64 `json:"rate,omitempty"`  // calls a second; 0: not set
-	Ratio float64 `json:"ratio,omitempty"` // further tries as a share of first tries; 0: not set
+	MaxInFlight   int     `json:"out,omitempty"`   // calls out at once; 0: not set
+	MaxRate       float64 `json:"rate,omitempty"`  // calls a second; 0: not set
+	MaxRetryRatio float64 `json:"ratio,omitempty"` // further tries as a share of first tries; 0: not set
 
 	numbers []int // of the pools, once they are known
 }
@@ -58,8 +58,8 @@
 
 // figure is one of them; 0 if it is not set.
 func (l *Limit) figure(n int) float64 {
-	return [figures]float64{float64(l.Attempts), float64(l.Answer), float64(l.Whole), float64(l.Held), float64(l.Connect), float64(l.Wait), float64(l.Copy),
-		float64(l.Out), l.Rate, l.Ratio}[n]
+	return [figures]float64{float64(l.MaxAttempts), float64(l.AttemptTimeout), float64(l.TotalTimeout), float64(l.MaxQueued), float64(l.ConnectTimeout), float64(l.RetryDelay), float64(l.HedgeDelay),
+		float64(l.MaxInFlight), l.MaxRate, l.MaxRetryRatio}[n]
 }
 
 // show is one of them as it is written.
@@ -68,7 +68,7 @@
 	case answer, whole, connect, wait, second:
 		return time.Duration(l.figure(n)).String()
 	case rate:
-		return fmt.Sprint(l.Rate, "/s")
+		return fmt.Sprint(l.MaxRate, "/s")
 	}
 	return fmt.Sprint(l.figure(n))
 }
@@ -170,43 +170,43 @@
 	return nil
 }
 
-// For is what the decision module applies.
-func (l *Limits) For(class string, dest int, route string) (m decide.Limits) {
+// DecisionLimits is what the decision module applies.
+func (l *Limits) DecisionLimits(class string, dest int, route string) (m decide.Limits) {
 	if rule := l.of(attempts, class, dest, route); rule != nil {
-		m.MaxAttempts = rule.Attempts
+		m.MaxAttempts = rule.MaxAttempts
 	}
 	if rule := l.of(answer, class, dest, route); rule != nil {
-		m.AttemptTimeout = time.Duration(rule.Answer)
+		m.AttemptTimeout = time.Duration(rule.AttemptTimeout)
 	}
 	if rule := l.of(wait, class, dest, route); rule != nil {
-		m.RetryDelay = time.Duration(rule.Wait)
+		m.RetryDelay = time.Duration(rule.RetryDelay)
 	}
 	if rule := l.of(second, class, dest, route); rule != nil {
-		m.HedgeDelay = time.Duration(rule.Copy)
+		m.HedgeDelay = time.Duration(rule.HedgeDelay)
 	}
 	if rule := l.of(out, "", dest, ""); rule != nil {
-		m.MaxInFlight = rule.Out
+		m.MaxInFlight = rule.MaxInFlight
 	}
 	if rule := l.of(rate, "", dest, ""); rule != nil {
-		m.MaxRate = rule.Rate
+		m.MaxRate = rule.MaxRate
 	}
 	if rule := l.of(ratio, "", dest, ""); rule != nil {
-		m.MaxRetryRatio = rule.Ratio
+		m.MaxRetryRatio = rule.MaxRetryRatio
 	}
 	return m
 }
 
-// Intake is what the engine applies when a message comes: its time, and how many may be held at once for the
+// IntakeLimits is what the engine applies when a message comes: its time, and how many may be held at once for the
 // destination under which rule; 0 for no limit.
-func (l *Limits) Intake(class string, dest int, route string) (i engine.Limits) {
+func (l *Limits) IntakeLimits(class string, dest int, route string) (i engine.Limits) {
 	if rule := l.of(whole, class, dest, route); rule != nil {
-		i.Total = time.Duration(rule.Whole)
+		i.Total = time.Duration(rule.TotalTimeout)
 	}
 	if rule := l.of(held, class, dest, route); rule != nil {
-		i.Rule, i.Queued = rule.Name, rule.Held
+		i.Rule, i.Queued = rule.Name, rule.MaxQueued
 	}
 	if rule := l.of(connect, class, dest, route); rule != nil {
-		i.Connect = time.Duration(rule.Connect)
+		i.Connect = time.Duration(rule.ConnectTimeout)
 	}
 	return i
 }
@@ -225,34 +225,34 @@
 			add(key, fmt.Sprintf("there are two limits %q", l.Name), "give each a name of its own")
 		}
 		named[l.Name] = true
-		if l.Attempts < 0 || l.Attempts > mostAttempts {
-			add(key+".attempts", fmt.Sprintf("%d attempts", l.Attempts), fmt.Sprintf("set from 1 to %d", mostAttempts))
+		if l.MaxAttempts < 0 || l.MaxAttempts > mostAttempts {
+			add(key+".attempts", fmt.Sprintf("%d attempts", l.MaxAttempts), fmt.Sprintf("set from 1 to %d", mostAttempts))
 		}
-		if l.Answer != 0 && (l.Answer < Duration(time.Millisecond) || l.Answer > Duration(time.Hour)) {
-			add(key+".answer", fmt.Sprintf("no answer can be waited for %v", time.Duration(l.Answer)), "set from 1ms to 1h")
+		if l.AttemptTimeout != 0 && (l.AttemptTimeout < Duration(time.Millisecond) || l.AttemptTimeout > Duration(time.Hour)) {
+			add(key+".answer", fmt.Sprintf("no answer can be waited for %v", time.Duration(l.AttemptTimeout)), "set from 1ms to 1h")
 		}
-		if l.Whole != 0 && (l.Whole < Duration(leastWhole) || l.Whole > Duration(mostWhole)) {
-			add(key+".whole", fmt.Sprintf("no message can be delivered within %v", time.Duration(l.Whole)), fmt.Sprintf("set from %v to %v", leastWhole, mostWhole))
+		if l.TotalTimeout != 0 && (l.TotalTimeout < Duration(leastWhole) || l.TotalTimeout > Duration(mostWhole)) {
+			add(key+".whole", fmt.Sprintf("no message can be delivered within %v", time.Duration(l.TotalTimeout)), fmt.Sprintf("set from %v to %v", leastWhole, mostWhole))
 		}
-		if l.Held < 0 || l.Held > mostHeld {
-			add(key+".held", fmt.Sprintf("%d messages held", l.Held), fmt.Sprintf("set from 1 to %d", mostHeld))
+		if l.MaxQueued < 0 || l.MaxQueued > mostHeld {
+			add(key+".held", fmt.Sprintf("%d messages held", l.MaxQueued), fmt.Sprintf("set from 1 to %d", mostHeld))
 		}
 		span := func(name string, d Duration, least, most time.Duration) {
 			if d != 0 && (d < Duration(least) || d > Duration(most)) {
 				add(key+"."+name, fmt.Sprintf("%s is %v", name, time.Duration(d)), fmt.Sprintf("set from %v to %v", least, most))
 			}
 		}
-		span("connect", l.Connect, 10*time.Millisecond, time.Minute)
-		span("wait", l.Wait, leastWait, mostWait)
-		span("copy", l.Copy, leastCopy, time.Minute)
+		span("connect", l.ConnectTimeout, 10*time.Millisecond, time.Minute)
+		span("wait", l.RetryDelay, leastWait, mostWait)
+		span("copy", l.HedgeDelay, leastCopy, time.Minute)
 		number := func(name string, v, least, most float64, why string) {
 			if v != 0 && !(v >= least && v <= most) { // not a number counts as well
 				add(key+"."+name, fmt.Sprintf("%s is %v", name, v), fmt.Sprintf("set from %v to %v%s", least, most, why))
 			}
 		}
-		number("out", float64(l.Out), 1, mostOut, "")
-		number("rate", l.Rate, leastRate, mostRate, " a second")
-		number("ratio", l.Ratio, leastRatio, mostRatio, ": with more, repeats could exceed a third of first tries")
+		number("out", float64(l.MaxInFlight), 1, mostOut, "")
+		number("rate", l.MaxRate, leastRate, mostRate, " a second")
+		number("ratio", l.MaxRetryRatio, leastRatio, mostRatio, ": with more, repeats could exceed a third of first tries")
 		for _, n := range []int{out, rate, ratio} {
 			if l.figure(n) == 0 || len(l.Classes)+len(l.Routes) == 0 {
 				continue
@@ -273,7 +273,7 @@
 					continue
 				}
 				if other := by[n][s]; other != "" {
-					at := c.Where["limits."+other+"."+name]
+					at := c.Positions["limits."+other+"."+name]
 					add(key+"."+name, fmt.Sprintf("%s for %s is set by %q too", name, c.shown(s), other),
 						fmt.Sprintf("neither is more specific: leave it in one of them (the other: %s)", cmp.Or(at, other)))
 					continue
@@ -301,9 +301,9 @@
 	return class + " and " + dest
 }
 
-// Against lists what the limits ask for that the platform's settings don't allow: classes that there are not, more attempts
+// CheckPlatform lists what the limits ask for that the platform's settings don't allow: classes that there are not, more attempts
 // than it allows, and attempts that can't all end within a class's time. Both rules that a combination comes from are named.
-func (c *Config) Against(set decide.Settings) (list []Problem) {
+func (c *Config) CheckPlatform(set decide.Settings) (list []Problem) {
 	add := func(key, what, remedy string) { list = append(list, Problem{key, what, remedy}) }
 	classes := map[string]decide.Class{}
 	var names []string
@@ -318,8 +318,8 @@
 				add("limits."+l.Name+".classes", fmt.Sprintf("the platform has no class %q", name), fmt.Sprintf("it has %v", names))
 			}
 		}
-		if set.MaxAttempts > 0 && l.Attempts > set.MaxAttempts {
-			add("limits."+l.Name+".attempts", fmt.Sprintf("%d attempts, and the platform allows %d", l.Attempts, set.MaxAttempts), "set fewer: a limit can only tighten")
+		if set.MaxAttempts > 0 && l.MaxAttempts > set.MaxAttempts {
+			add("limits."+l.Name+".attempts", fmt.Sprintf("%d attempts, and the platform allows %d", l.MaxAttempts, set.MaxAttempts), "set fewer: a limit can only tighten")
 		}
 	}
 	c.pluginsAgainst(classes, names, add)
@@ -340,13 +340,13 @@
 			return
 		}
 		has, said := k.Deadline, fmt.Sprintf("class %s has %v", k.Name, k.Deadline)
-		if whole != nil && time.Duration(whole.Whole) < has {
+		if whole != nil && time.Duration(whole.TotalTimeout) < has {
 			by := "limits." + whole.Name + ".whole"
-			has, said = time.Duration(whole.Whole), fmt.Sprintf("whole is %v (%s)", time.Duration(whole.Whole), cmp.Or(c.Where[by], by))
+			has, said = time.Duration(whole.TotalTimeout), fmt.Sprintf("whole is %v (%s)", time.Duration(whole.TotalTimeout), cmp.Or(c.Positions[by], by))
 		}
 		n, by := 1, ""
 		if attempts != nil {
-			n, by = attempts.Attempts, "limits."+attempts.Name+".attempts"
+			n, by = attempts.MaxAttempts, "limits."+attempts.Name+".attempts"
 		}
 		if attempts == nil && wait != nil {
 			n = 2 // one further try, at least, is what the wait is before
@@ -354,17 +354,17 @@
 		var each, waits time.Duration
 		var what, key, remedy string
 		if answer != nil {
-			each, key = time.Duration(answer.Answer), "limits."+answer.Name+".answer"
+			each, key = time.Duration(answer.AttemptTimeout), "limits."+answer.Name+".answer"
 			what = fmt.Sprintf("%d attempts of %v", n, each)
 		}
 		if wait != nil && n > 1 {
 			// As long as they can get: each is drawn between nothing and twice the one before.
-			waits = time.Duration(min(float64(wait.Wait)*float64(uint64(1)<<min(n-1, 32)-1), float64(math.MaxInt64/4)))
+			waits = time.Duration(min(float64(wait.RetryDelay)*float64(uint64(1)<<min(n-1, 32)-1), float64(math.MaxInt64/4)))
 			at := "limits." + wait.Name + ".wait"
 			if key == "" {
 				key, what, remedy = at, fmt.Sprintf("waits of up to %v before %d attempts", waits, n), "set a shorter wait, or fewer attempts"
 			} else {
-				what += fmt.Sprintf(" and waits of up to %v (%s)", waits, cmp.Or(c.Where[at], at))
+				what += fmt.Sprintf(" and waits of up to %v (%s)", waits, cmp.Or(c.Positions[at], at))
 			}
 		}
 		need := time.Duration(n)*each + waits
@@ -374,7 +374,7 @@
 		told[key+by+k.Name] = true
 		what = fmt.Sprintf("for %s, %s need %v, and %s", c.shown(s), what, need, said)
 		if by != "" {
-			what += fmt.Sprintf(" (the attempts: %s)", cmp.Or(c.Where[by], by))
+			what += fmt.Sprintf(" (the attempts: %s)", cmp.Or(c.Positions[by], by))
 		}
 		if left := (has - waits) / time.Duration(n); answer != nil && left >= time.Millisecond {
 			remedy = fmt.Sprintf("set answer to %v at most, or fewer attempts", left.Truncate(time.Millisecond))
@@ -410,16 +410,16 @@
 		}
 	}
 	at := func(l *Limit, name string) string {
-		return cmp.Or(c.Where["limits."+l.Name+"."+name], l.Name)
+		return cmp.Or(c.Positions["limits."+l.Name+"."+name], l.Name)
 	}
 	switch {
 	case !set.Hedging:
 		say("the platform allows no second copies", "take copy out")
 	case k.Effect != decide.Idempotent:
 		say(fmt.Sprintf("a second copy of a message of class %s could take effect twice, and the block holds for %s", k.Name, c.shown(s)), "name in it only classes that are safe to repeat")
-	case attempts != nil && attempts.Attempts < 2:
+	case attempts != nil && attempts.MaxAttempts < 2:
 		say(fmt.Sprintf("a second copy is an attempt, and for %s one is allowed (%s)", c.shown(s), at(attempts, "attempts")), "allow two, or take copy out")
-	case answer != nil && answer.Answer <= copied.Copy:
-		say(fmt.Sprintf("for %s the first call is given up after %v (%s), and the copy would go out after %v", c.shown(s), time.Duration(answer.Answer), at(answer, "answer"), time.Duration(copied.Copy)), "set copy below answer")
+	case answer != nil && answer.AttemptTimeout <= copied.HedgeDelay:
+		say(fmt.Sprintf("for %s the first call is given up after %v (%s), and the copy would go out after %v", c.shown(s), time.Duration(answer.AttemptTimeout), at(answer, "answer"), time.Duration(copied.HedgeDelay)), "set copy below answer")
 	}
 }
--- a/internal/operator/limits_test.go
+++ b/internal/operator/limits_test.go
@@ -56,7 +56,7 @@
 	ways := []struct {
 		dest  int
 		route string
-	}{{1, ""}, {2, ""}, {3, ""}, {2, "r"}, {(&Pool{Name: "q"}).Number(), "s"}, {(&Pool{Name: "q"}).Number(), ""}}
+	}{{1, ""}, {2, ""}, {3, ""}, {2, "r"}, {(&Pool{Name: "q"}).DestinationNumber(), "s"}, {(&Pool{Name: "q"}).DestinationNumber(), ""}}
 	rng := rand.New(rand.NewPCG(11, 12))
 	pick := func(most int) int { return rng.IntN(most + 1) }
 	accepted, unsafe, doubtful := 0, 0, 0
@@ -66,18 +66,18 @@
 		c.Pools = []Pool{{Name: "p", Destination: &two, Endpoints: []PoolEndpoint{{Name: "a", Address: "127.0.0.1:80"}}}, {Name: "q", Endpoints: []PoolEndpoint{{Name: "b", Address: "127.0.0.1:81"}}}}
 		c.Routes = []Route{{Name: "r", Destinations: []int{9}, Pool: "p"}, {Name: "s", Classes: []string{"handover"}, Pool: "q"}}
 		for i := range 1 + pick(3) {
-			l := Limit{Name: fmt.Sprint("l", i), Attempts: pick(5), Answer: Duration(time.Duration(pick(4)) * 500 * time.Millisecond)}
+			l := Limit{Name: fmt.Sprint("l", i), MaxAttempts: pick(5), AttemptTimeout: Duration(time.Duration(pick(4)) * 500 * time.Millisecond)}
 			if pick(3) == 0 {
-				l.Whole = Duration(time.Duration(1+pick(5)) * 700 * time.Millisecond)
+				l.TotalTimeout = Duration(time.Duration(1+pick(5)) * 700 * time.Millisecond)
 			}
 			if pick(3) == 0 {
-				l.Wait = Duration(time.Duration(1+pick(4)) * 200 * time.Millisecond)
+				l.RetryDelay = Duration(time.Duration(1+pick(4)) * 200 * time.Millisecond)
 			}
 			if pick(7) == 0 {
-				l.Copy = Duration(time.Duration(1+pick(2)) * 400 * time.Millisecond)
+				l.HedgeDelay = Duration(time.Duration(1+pick(2)) * 400 * time.Millisecond)
 			}
-			if l.Attempts+int(l.Answer)+int(l.Whole)+int(l.Wait)+int(l.Copy) == 0 {
-				l.Attempts = 1
+			if l.MaxAttempts+int(l.AttemptTimeout)+int(l.TotalTimeout)+int(l.RetryDelay)+int(l.HedgeDelay) == 0 {
+				l.MaxAttempts = 1
 			}
 			switch pick(3) {
 			case 0:
@@ -99,21 +99,21 @@
 		}
 		bad, twice := false, false
 		for _, l := range c.Limits {
-			bad = bad || l.Attempts > set.MaxAttempts
+			bad = bad || l.MaxAttempts > set.MaxAttempts
 		}
 		for _, k := range set.Classes {
 			for _, way := range ways {
 				if way.route == "s" && k.Name != "handover" {
 					continue
 				}
-				n, t1 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Attempts) })
-				each, t2 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Answer) })
-				has, t3 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Whole) })
+				n, t1 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.MaxAttempts) })
+				each, t2 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.AttemptTimeout) })
+				has, t3 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.TotalTimeout) })
 				if has == 0 || time.Duration(has) > k.Deadline {
 					has = int64(k.Deadline)
 				}
-				wait, t4 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Wait) })
-				second, t5 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Copy) })
+				wait, t4 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.RetryDelay) })
+				second, t5 := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.HedgeDelay) })
 				twice = twice || t1 || t2 || t3 || t4 || t5
 				// A handover must not go out twice; a status update's copy must have an attempt, and time before the first is given up.
 				bad = bad || second > 0 && (k.Name == "handover" || n == 1 || each > 0 && each <= second)
@@ -137,7 +137,7 @@
 			doubtful++
 			continue // equal ranks are refused also where a more specific rule hides them
 		}
-		switch problems := c.Against(set); {
+		switch problems := c.CheckPlatform(set); {
 		case bad && len(problems) == 0:
 			t.Fatalf("%+v is unsafe and accepted", c.Limits)
 		case !bad && len(problems) > 0:
@@ -150,10 +150,10 @@
 		limits := c.NewLimits()
 		for _, k := range set.Classes {
 			for _, way := range ways {
-				n, _ := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Attempts) })
-				each, _ := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Answer) })
-				pause, _ := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.Wait) })
-				if got := limits.For(k.Name, way.dest, way.route); int64(got.MaxAttempts) != n || int64(got.AttemptTimeout) != each || int64(got.RetryDelay) != pause {
+				n, _ := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.MaxAttempts) })
+				each, _ := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.AttemptTimeout) })
+				pause, _ := oracle(c, k.Name, way.dest, way.route, func(l Limit) int64 { return int64(l.RetryDelay) })
+				if got := limits.DecisionLimits(k.Name, way.dest, way.route); int64(got.MaxAttempts) != n || int64(got.AttemptTimeout) != each || int64(got.RetryDelay) != pause {
 					t.Fatalf("%+v: for %s by %+v got %+v, want %d and %v", c.Limits, k.Name, way, got, n, time.Duration(each))
 				}
 			}
@@ -168,10 +168,10 @@
 // TestUnsafeOnlyTogether: attempts of one rule and the time of another are unsafe together; both places are named.
 func TestUnsafeOnlyTogether(t *testing.T) {
 	c := Default()
-	c.Limits = []Limit{{Name: "all", Attempts: 3}, {Name: "slow", Destinations: []int{7}, Answer: Duration(1500 * time.Millisecond)}}
-	c.Where = map[string]string{"limits.all.attempts": "main.hcl:2", "limits.slow.answer": "sites/slow.hcl:9"}
+	c.Limits = []Limit{{Name: "all", MaxAttempts: 3}, {Name: "slow", Destinations: []int{7}, AttemptTimeout: Duration(1500 * time.Millisecond)}}
+	c.Positions = map[string]string{"limits.all.attempts": "main.hcl:2", "limits.slow.answer": "sites/slow.hcl:9"}
 	set := decide.Settings{MaxAttempts: 6, Classes: []decide.Class{{Name: "handover", Deadline: 3 * time.Second}}}
-	err := c.Error(c.Against(set))
+	err := c.Error(c.CheckPlatform(set))
 	for _, want := range []string{"sites/slow.hcl:9", "main.hcl:2", "3 attempts of 1.5s need 4.5s", "has 3s", "set answer to 1s at most"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v; want %q", err, want)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -30,8 +30,8 @@
 	PluginStatus string   `json:"plugin_status,omitempty"`
 	Fleet        *Fleet   `json:"fleet,omitempty"`
 	Control      *Control `json:"control,omitempty"`
-	// Where says which place set what: a path of keys, such as journal.durability, and a file with its line.
-	Where map[string]string `json:"where,omitempty"`
+	// Positions says which place set what: a path of keys, such as journal.durability, and a file with its line.
+	Positions map[string]string `json:"where,omitempty"`
 
 	names names
 }
@@ -44,8 +44,8 @@
 
 // Limits of what may be set.
 const (
-	LeastSyncEvery   = time.Millisecond
-	MostSyncEvery    = time.Minute
+	MinSyncEvery     = time.Millisecond
+	MaxSyncEvery     = time.Minute
 	DefaultSyncEvery = 100 * time.Millisecond
 )
 
@@ -70,9 +70,9 @@
 	switch {
 	case !known:
 		add("journal.durability", fmt.Sprintf("there is no durability %q", c.Journal.Durability), `choose "process", "interval" or "group"`)
-	case d == journal.Interval && (every < LeastSyncEvery || every > MostSyncEvery):
+	case d == journal.Interval && (every < MinSyncEvery || every > MaxSyncEvery):
 		add("journal.sync_every", fmt.Sprintf("the journal can't be synced every %v", every),
-			fmt.Sprintf("set from %v to %v; more often than that is durability \"group\"", LeastSyncEvery, MostSyncEvery))
+			fmt.Sprintf("set from %v to %v; more often than that is durability \"group\"", MinSyncEvery, MaxSyncEvery))
 	case d != journal.Interval && every != 0:
 		add("journal.sync_every", fmt.Sprintf("with durability %q nothing is synced at intervals", c.Journal.Durability),
 			`remove sync_every, or set durability = "interval"`)
@@ -92,7 +92,7 @@
 		return nil
 	}
 	p := list[0]
-	return fmt.Errorf("%s: %s: %s", cmp.Or(c.Where[p.Key], p.Key), p.What, p.Remedy)
+	return fmt.Errorf("%s: %s: %s", cmp.Or(c.Positions[p.Key], p.Key), p.What, p.Remedy)
 }
 
 // Decode reads the resolved form, and checks it again: it may have been made by another version, or by hand. Errors begin
--- a/internal/operator/plugins.go
+++ b/internal/operator/plugins.go
@@ -132,7 +132,7 @@
 	for i := range specs {
 		for j := range i {
 			if specs[i].Order == specs[j].Order && specs[i].Overlaps(&specs[j]) {
-				at := cmp.Or(c.Where["plugin."+specs[j].Name], specs[j].Name)
+				at := cmp.Or(c.Positions["plugin."+specs[j].Name], specs[j].Name)
 				add("plugin."+specs[i].Name, fmt.Sprintf("plug-ins %q and %q are asked about the same messages and have the same order", specs[j].Name, specs[i].Name),
 					fmt.Sprintf("set order in one of them: the lower one is asked first (the other: %s)", at))
 			}
@@ -231,7 +231,7 @@
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		a, b := cmp.Or(before[name], noPlugin), cmp.Or(after[name], noPlugin)
 		if a != b {
-			list = append(list, Change{"plug-in " + name, "code and bounds", a, b, old.Where["plugin."+name], new.Where["plugin."+name]})
+			list = append(list, Change{"plug-in " + name, "code and bounds", a, b, old.Positions["plugin."+name], new.Positions["plugin."+name]})
 		}
 	}
 	return list
@@ -249,7 +249,7 @@
 		}
 		slices.SortFunc(bound, plugin.CompareOrder)
 		for _, s := range bound {
-			list = append(list, Change{For: scope{class: class, dest: dest, named: true}.String(), Key: "plugin at " + string(point), New: s.Name + " " + s.Digest(), To: c.Where["plugin."+s.Name]})
+			list = append(list, Change{Scope: scope{class: class, dest: dest, named: true}.String(), Key: "plugin at " + string(point), New: s.Name + " " + s.Digest(), NewPosition: c.Positions["plugin."+s.Name]})
 		}
 	}
 	return list
--- a/internal/operator/plugins_test.go
+++ b/internal/operator/plugins_test.go
@@ -48,7 +48,7 @@
 				}
 			}
 		}
-		problems := append(c.Check(), c.Against(set)...)
+		problems := append(c.Check(), c.CheckPlatform(set)...)
 		if unsafe != (len(problems) > 0) {
 			t.Fatalf("unsafe %v, and the checker says %+v of %+v", unsafe, problems, c.Plugins)
 		}
@@ -85,7 +85,7 @@
 		t.Errorf("the same in another order: %+v", d)
 	}
 	d := Diff(file("x", "a"), file("y", "a"))
-	if len(d) != 1 || d[0].For != "plug-in a" || d[0].Old == d[0].New {
+	if len(d) != 1 || d[0].Scope != "plug-in a" || d[0].Old == d[0].New {
 		t.Errorf("other code: %+v", d)
 	}
 	if d := Diff(file("x"), file("x", "a")); len(d) != 1 || d[0].Old != noPlugin {
--- a/internal/operator/pools.go
+++ b/internal/operator/pools.go
@@ -27,11 +27,11 @@
 
 // HasMail tells whether an endpoint takes mail.
 func (c *Config) HasMail() bool {
-	return slices.ContainsFunc(c.Pools, func(p Pool) bool { return p.Mail() })
+	return slices.ContainsFunc(c.Pools, func(p Pool) bool { return p.HasMail() })
 }
 
-// Mail tells whether an endpoint of the pool takes mail.
-func (p *Pool) Mail() bool {
+// HasMail tells whether an endpoint of the pool takes mail.
+func (p *Pool) HasMail() bool {
 	return slices.ContainsFunc(p.Endpoints, func(e PoolEndpoint) bool { return e.Protocol != "" && e.Protocol != "http" })
 }
 
@@ -43,9 +43,9 @@
 	for _, a := range []struct{ key, text string }{{"sender", p.Sender}, {"recipient", p.Recipient}} {
 		key := "pool." + p.Name + "." + a.key
 		switch parsed, err := mail.ParseAddress(a.text); {
-		case a.text == "" && p.Mail():
+		case a.text == "" && p.HasMail():
 			add(key, fmt.Sprintf("the pool %q has endpoints that take mail, and no %s", p.Name, a.key), fmt.Sprintf(`write %s = "petitions@example.org"`, a.key))
-		case a.text != "" && !p.Mail():
+		case a.text != "" && !p.HasMail():
 			add(key, fmt.Sprintf("the pool %q has a %s, and no endpoint that takes mail", p.Name, a.key), `write protocol = "smtp" or "lmtp" in its endpoints, or take it out`)
 		case a.text != "" && (err != nil || parsed.Address != a.text || strings.ContainsFunc(a.text, func(r rune) bool { return r <= ' ' || r > '~' || r == '<' || r == '>' || r == '"' }) || len(a.text) > 254):
 			add(key, fmt.Sprintf("%.80q is no mail address", a.text), "write a plain one of ASCII letters, such as petitions@example.org")
@@ -53,9 +53,9 @@
 	}
 }
 
-// Number is the destination that a pool is: its own, or one worked out from its name, which no client can name and which is the same after
+// DestinationNumber is the destination that a pool is: its own, or one worked out from its name, which no client can name and which is the same after
 // each restart, as the journal has it. Two names of one number are refused.
-func (p *Pool) Number() int {
+func (p *Pool) DestinationNumber() int {
 	if p.Destination != nil {
 		return *p.Destination
 	}
@@ -76,7 +76,7 @@
 func (c *Config) goal(number int) string {
 	if c != nil && number < 0 {
 		for i := range c.Pools {
-			if p := &c.Pools[i]; p.Number() == number {
+			if p := &c.Pools[i]; p.DestinationNumber() == number {
 				return p.show()
 			}
 		}
@@ -111,14 +111,14 @@
 			add(key, fmt.Sprintf("there are two pools %q", p.Name), "give each a name of its own")
 		}
 		pools[p.Name] = true
-		switch other, twice := dests[p.Number()]; {
+		switch other, twice := dests[p.DestinationNumber()]; {
 		case twice && p.Destination != nil:
 			add(key+".destination", fmt.Sprintf("destination %d has the pool %q too", *p.Destination, other),
-				fmt.Sprintf("put all its endpoints into one (the other: %s)", cmp.Or(c.Where["pool."+other], other)))
+				fmt.Sprintf("put all its endpoints into one (the other: %s)", cmp.Or(c.Positions["pool."+other], other)))
 		case twice && other != p.Name:
 			add(key, fmt.Sprintf("the pools %q and %q can't be told apart in the journal: their names come to one number", other, p.Name), "give one of them another name")
 		}
-		dests[p.Number()] = p.Name
+		dests[p.DestinationNumber()] = p.Name
 		if p.Destination != nil && *p.Destination < 0 {
 			add(key+".destination", fmt.Sprintf("there is no destination %d", *p.Destination), "set 0 or more")
 		}
@@ -140,11 +140,11 @@
 				add(at, fmt.Sprintf("%.40q is no name of an endpoint", e.Name), fmt.Sprintf("give it one of %d bytes at most", mostName))
 			}
 			if other, twice := names[e.Name]; twice {
-				add(at, fmt.Sprintf("there are two endpoints %q", e.Name), fmt.Sprintf("give each a name of its own: an endpoint is known by it (the other: %s)", cmp.Or(c.Where[other], other)))
+				add(at, fmt.Sprintf("there are two endpoints %q", e.Name), fmt.Sprintf("give each a name of its own: an endpoint is known by it (the other: %s)", cmp.Or(c.Positions[other], other)))
 			}
 			names[e.Name] = at
 			if e.Protocol != "" && !slices.Contains(Protocols, e.Protocol) {
-				add(at+".protocol", fmt.Sprintf("there is no protocol %q", e.Protocol), Nearest(e.Protocol, Protocols))
+				add(at+".protocol", fmt.Sprintf("there is no protocol %q", e.Protocol), SuggestName(e.Protocol, Protocols))
 			}
 			if e.Weight < 0 || e.Weight > mostWeight {
 				add(at+".weight", fmt.Sprintf("weight is %d", e.Weight), fmt.Sprintf("set from 1 to %d", mostWeight))
@@ -181,7 +181,7 @@
 				address = engine.MailAddress{LMTP: e.Protocol == engine.LMTP, HostPort: address, From: p.Sender, To: p.Recipient}.String()
 			}
 			l.Endpoints = append(l.Endpoints, engine.Endpoint{Address: address,
-				Target: decide.Target{ID: e.Name, Destination: p.Number(), Zone: e.Zone, State: state, Backup: e.Backup, Share: float64(e.Weight)}})
+				Target: decide.Target{ID: e.Name, Destination: p.DestinationNumber(), Zone: e.Zone, State: state, Backup: e.Backup, Share: float64(e.Weight)}})
 		}
 	}
 	return l
@@ -216,7 +216,7 @@
 		for i := range c.Pools {
 			p := &c.Pools[i]
 			for _, e := range p.Endpoints {
-				m[e.Name] = one{e.show(p), c.Where["pool."+p.Name+"."+e.Name]}
+				m[e.Name] = one{e.show(p), c.Positions["pool."+p.Name+"."+e.Name]}
 			}
 		}
 		return m
@@ -236,11 +236,11 @@
 func (c *Config) explainPool(dest int) (list []Change) {
 	for i := range c.Pools {
 		p := &c.Pools[i]
-		if p.Number() != dest {
+		if p.DestinationNumber() != dest {
 			continue
 		}
 		for _, e := range p.Endpoints {
-			list = append(list, Change{For: p.show(), Key: "endpoint " + e.Name, New: e.show(p), To: c.Where["pool."+p.Name+"."+e.Name]})
+			list = append(list, Change{Scope: p.show(), Key: "endpoint " + e.Name, New: e.show(p), NewPosition: c.Positions["pool."+p.Name+"."+e.Name]})
 		}
 	}
 	return list
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -28,8 +28,8 @@
 
 // What becomes of a message that fits no route.
 const (
-	Go     = "go"
-	Reject = "reject"
+	ForwardUnrouted = "go"
+	RejectUnrouted  = "reject"
 )
 
 // Fronts are those that there are.
@@ -61,7 +61,7 @@
 		l.numbers = nil
 		for _, name := range l.Pools {
 			if p := c.names.pools[name]; p != nil {
-				l.numbers = append(l.numbers, p.Number())
+				l.numbers = append(l.numbers, p.DestinationNumber())
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 // goalOf is the number of the destination that a route leads to.
 func (c *Config) goalOf(r *Route) int {
 	if p := c.names.pools[r.Pool]; p != nil {
-		return p.Number()
+		return p.DestinationNumber()
 	}
 	return 0
 }
@@ -80,12 +80,12 @@
 	key := "limits." + l.Name
 	for _, name := range l.Pools {
 		if c.names.pools[name] == nil {
-			add(key+".pools", fmt.Sprintf("there is no pool %q", name), Nearest(name, c.poolNames()))
+			add(key+".pools", fmt.Sprintf("there is no pool %q", name), SuggestName(name, c.poolNames()))
 		}
 	}
 	for _, name := range l.Routes {
 		if c.names.routes[name] == nil {
-			add(key+".routes", fmt.Sprintf("there is no route %q", name), Nearest(name, c.routeNames()))
+			add(key+".routes", fmt.Sprintf("there is no route %q", name), SuggestName(name, c.routeNames()))
 		}
 	}
 	if len(l.Routes) > 0 && len(l.Destinations)+len(l.Pools) > 0 {
@@ -121,8 +121,8 @@
 	return list
 }
 
-// Nearest is the remedy for a name that there is not.
-func Nearest(name string, known []string) string {
+// SuggestName is the remedy for a name that there is not.
+func SuggestName(name string, known []string) string {
 	if len(known) == 0 {
 		return "there is none"
 	}
@@ -146,10 +146,10 @@
 	reject bool
 }
 
-// Way is a route that a message takes, and the number of the destination that it leads to.
-type Way struct {
-	Name string
-	To   int
+// RouteMatch is a route that a message takes, and the number of the destination that it leads to.
+type RouteMatch struct {
+	Name        string
+	Destination int
 }
 
 func (c *Config) rules() (rules []route.Rule, err error) {
@@ -179,7 +179,7 @@
 		return nil, err
 	}
 	c.index()
-	all := &Routes{table: t, mine: map[*route.Rule]bool{}, to: map[string]int{}, reject: c.Unrouted == Reject}
+	all := &Routes{table: t, mine: map[*route.Rule]bool{}, to: map[string]int{}, reject: c.Unrouted == RejectUnrouted}
 	for _, r := range t.Rules() {
 		all.mine[r] = true
 	}
@@ -188,30 +188,30 @@
 		if p == nil {
 			return nil, fmt.Errorf("route %q: there is no pool %q", r.Name, r.Pool)
 		}
-		all.to[r.Name] = p.Number()
+		all.to[r.Name] = p.DestinationNumber()
 	}
 	return all, nil
 }
 
 // Find returns the way that a message takes; nil if it fits no route.
-func (t *Routes) Find(m *route.Message) *Way {
+func (t *Routes) Find(m *route.Message) *RouteMatch {
 	if r := t.table.Find(m); r != nil {
-		return &Way{r.Name, t.to[r.Name]}
+		return &RouteMatch{r.Name, t.to[r.Name]}
 	}
 	return nil
 }
 
-// Rejects tells whether a message that fits no route is rejected.
-func (t *Routes) Rejects() bool { return t.reject }
+// RejectsUnrouted tells whether a message that fits no route is rejected.
+func (t *Routes) RejectsUnrouted() bool { return t.reject }
 
 // Empty tells whether there is nothing to find.
 func (t *Routes) Empty() bool { return t.table.Len() == 0 && !t.reject }
 
 func (c *Config) checkRoutes(add func(key, what, remedy string)) {
-	if c.Unrouted != "" && c.Unrouted != Go && c.Unrouted != Reject {
+	if c.Unrouted != "" && c.Unrouted != ForwardUnrouted && c.Unrouted != RejectUnrouted {
 		add("unrouted", fmt.Sprintf("unrouted is %q", c.Unrouted), `choose "go" (to the destination that the message names) or "reject"`)
 	}
-	if c.Unrouted == Reject && len(c.Routes) == 0 {
+	if c.Unrouted == RejectUnrouted && len(c.Routes) == 0 {
 		add("unrouted", "all messages would be rejected: there is no route", "write routes, or take it out")
 	}
 	if len(c.Routes) > mostRoutes {
@@ -237,14 +237,14 @@
 		}
 		named[r.Name] = true
 		if !pools[r.Pool] {
-			bad(key+".pool", fmt.Sprintf("there is no pool %q", r.Pool), Nearest(r.Pool, c.poolNames()))
+			bad(key+".pool", fmt.Sprintf("there is no pool %q", r.Pool), SuggestName(r.Pool, c.poolNames()))
 		}
 		if r.Order < -route.MaxOrder || r.Order > route.MaxOrder {
 			bad(key+".order", fmt.Sprintf("order is %d", r.Order), fmt.Sprintf("set from -%d to %d", route.MaxOrder, route.MaxOrder))
 		}
 		for _, f := range r.Fronts {
 			if !slices.Contains(Fronts, f) {
-				bad(key+".fronts", fmt.Sprintf("there is no front %q", f), Nearest(f, Fronts))
+				bad(key+".fronts", fmt.Sprintf("there is no front %q", f), SuggestName(f, Fronts))
 			}
 		}
 		for _, d := range r.Destinations {
@@ -294,7 +294,7 @@
 		return
 	}
 	for _, p := range pairs {
-		at := cmp.Or(c.Where["route."+p.A.Name], p.A.Name)
+		at := cmp.Or(c.Positions["route."+p.A.Name], p.A.Name)
 		add("route."+p.B.Name, fmt.Sprintf("the routes %q and %q are of equal rank for %s", p.A.Name, p.B.Name, p.Messages),
 			fmt.Sprintf("set order in one of them: the lower one goes first (the other: %s)", at))
 	}
@@ -312,7 +312,7 @@
 		}
 		var others []string
 		for _, o := range by[:min(len(by), 10)] {
-			others = append(others, fmt.Sprintf("%q (%s)", o.Name, cmp.Or(c.Where["route."+o.Name], o.Name)))
+			others = append(others, fmt.Sprintf("%q (%s)", o.Name, cmp.Or(c.Positions["route."+o.Name], o.Name)))
 		}
 		add("route."+r.Name, fmt.Sprintf("the route %q can never match: %s go before it for all of its messages", r.Name, strings.Join(others, ", ")),
 			"take it out, or give it a lower order")
@@ -330,8 +330,8 @@
 	}
 }
 
-// WarningsAgainst lists routes that never match since the platform has no other classes than those that others go before them for.
-func (c *Config) WarningsAgainst(set decide.Settings) (list []Problem) {
+// PlatformWarnings lists routes that never match since the platform has no other classes than those that others go before them for.
+func (c *Config) PlatformWarnings(set decide.Settings) (list []Problem) {
 	rules, err := c.rules()
 	if err != nil {
 		return nil // said by Check
@@ -385,7 +385,7 @@
 			}
 			key, other := "limits."+few[0].Name+"."+figureNames[n], "limits."+many[0].Name+"."+figureNames[n]
 			list = append(list, Problem{key, fmt.Sprintf("%s is %s here, and %s in %q: a thousandfold", figureNames[n], few[0].show(n), many[0].show(n), many[0].Name),
-				fmt.Sprintf("is the unit meant? (the other: %s)", cmp.Or(c.Where[other], other))})
+				fmt.Sprintf("is the unit meant? (the other: %s)", cmp.Or(c.Positions[other], other))})
 		}
 	}
 	return list
@@ -396,7 +396,7 @@
 	a, err := old.NewRoutes()
 	b, err2 := new.NewRoutes()
 	if errors.Join(err, err2) != nil {
-		return []Change{{For: "routes", Key: "goes", Old: fmt.Sprint(cmp.Or(err, err2)), New: "can't be told"}}
+		return []Change{{Scope: "routes", Key: "goes", Old: fmt.Sprint(cmp.Or(err, err2)), New: "can't be told"}}
 	}
 	place := func(r *route.Rule) string {
 		switch {
@@ -420,7 +420,7 @@
 		if r == nil {
 			return ""
 		}
-		return c.Where["route."+r.Name]
+		return c.Positions["route."+r.Name]
 	}
 	for _, c := range route.Diff(a.table, b.table, most, way) {
 		if c.Truncated {
--- a/internal/opfile/control.go
+++ b/internal/opfile/control.go
@@ -32,10 +32,10 @@
 		case "replicas":
 			l.setNumber(a, &set.Replicas)
 		case "fetched":
-			l.setNumber(a, &set.Fetched)
+			l.setNumber(a, &set.MaxFetched)
 		case "lookup_bytes":
 			if n, ok := l.size(a); ok {
-				set.LookupBytes = int64(n)
+				set.LookupBytesPerSecond = int64(n)
 			}
 		}
 	}
--- a/internal/opfile/fleet.go
+++ b/internal/opfile/fleet.go
@@ -29,17 +29,17 @@
 		switch name {
 		case "ledger":
 			if n, ok := l.size(a); ok {
-				f.Ledger = int64(n)
+				f.LedgerBytes = int64(n)
 			}
 		case "fence":
-			f.Fence, _ = l.duration(a)
+			f.Lease, _ = l.duration(a)
 		case "unheard":
-			f.Unheard, _ = l.duration(a)
+			f.DiscoveryWait, _ = l.duration(a)
 		case "share":
 			if v, ok := l.value(a); ok && v.Type() != cty.Number {
 				l.fail(a.Expr.Range(), "share is a number", "Write share = 0.2 for a fifth.")
 			} else if ok {
-				f.Share, _ = new(big.Float).Copy(v.AsBigFloat()).Float64()
+				f.MaxFencedShare, _ = new(big.Float).Copy(v.AsBigFloat()).Float64()
 			}
 		}
 	}
@@ -64,15 +64,15 @@
 			case "join":
 				f.Gossip.Join = l.names(a, `["10.0.0.4:7946"]`)
 			case "key_file":
-				f.Gossip.Key, _ = l.text(a)
+				f.Gossip.KeyFile, _ = l.text(a)
 			}
 		}
 	}
-	if f.Fence != 0 && block.Body.Attributes["unheard"] == nil {
-		f.Unheard = operator.Duration(operator.DefaultUnheard)
+	if f.Lease != 0 && block.Body.Attributes["unheard"] == nil {
+		f.DiscoveryWait = operator.Duration(operator.DefaultDiscoveryWait)
 	}
 	if f.Gossip != nil && block.Body.Attributes["share"] == nil {
-		f.Share = operator.DefaultShare
+		f.MaxFencedShare = operator.DefaultMaxFencedShare
 	}
 	l.fleetSet = f
 }
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -276,7 +276,7 @@
 	}
 }
 
-func nearest(name string, known []string) string { return sentence(operator.Nearest(name, known)) }
+func nearest(name string, known []string) string { return sentence(operator.SuggestName(name, known)) }
 
 func place(at hcl.Range) string { return fmt.Sprintf("%s:%d", at.Filename, at.Start.Line) }
 
@@ -359,21 +359,21 @@
 			rule.Routes = l.names(a, `["handovers of tartu"]`)
 		case "attempts", "held", "out":
 			if n, ok := l.number(a, positiveNumber, 2); ok {
-				*map[string]*int{"attempts": &rule.Attempts, "held": &rule.Held, "out": &rule.Out}[name] = n
+				*map[string]*int{"attempts": &rule.MaxAttempts, "held": &rule.MaxQueued, "out": &rule.MaxInFlight}[name] = n
 			}
 		case "answer", "whole", "connect", "wait", "copy":
 			if d, ok := l.duration(a); ok && d == 0 {
 				l.fail(at, name+" needs time", fmt.Sprintf(`Write %s = "800ms".`, name))
 			} else if ok {
-				*map[string]*operator.Duration{"answer": &rule.Answer, "whole": &rule.Whole, "connect": &rule.Connect, "wait": &rule.Wait, "copy": &rule.Copy}[name] = d
+				*map[string]*operator.Duration{"answer": &rule.AttemptTimeout, "whole": &rule.TotalTimeout, "connect": &rule.ConnectTimeout, "wait": &rule.RetryDelay, "copy": &rule.HedgeDelay}[name] = d
 			}
 		case "rate":
-			rule.Rate = l.rate(a)
+			rule.MaxRate = l.rate(a)
 		case "ratio":
 			if v, ok := l.value(a); ok && v.Type() == cty.Number {
-				rule.Ratio, _ = v.AsBigFloat().Float64()
+				rule.MaxRetryRatio, _ = v.AsBigFloat().Float64()
 			}
-			if rule.Ratio <= 0 {
+			if rule.MaxRetryRatio <= 0 {
 				l.fail(at, "ratio is a share", "Write ratio = 0.1 for one further try in ten first ones.")
 			}
 		}
@@ -528,13 +528,13 @@
 	slices.SortFunc(c.Routes, func(a, b operator.Route) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(c.Plugins, func(a, b operator.Plugin) int { return strings.Compare(a.Name, b.Name) })
 	if len(l.set)+len(l.places) > 0 {
-		c.Where = map[string]string{}
+		c.Positions = map[string]string{}
 	}
 	for key, at := range l.places {
-		c.Where[key] = place(at)
+		c.Positions[key] = place(at)
 	}
 	for key, s := range l.set {
-		c.Where[key] = place(s.at)
+		c.Positions[key] = place(s.at)
 		switch key {
 		case "journal.durability":
 			c.Journal.Durability = s.value.(string)
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -98,7 +98,7 @@
 		return b.rig.Forwarder, nil
 	}
 	set := operator.Default()
-	set.Control = &operator.Control{Servers: addressesOf(edges), Partitions: b.cell.Partitions, Replicas: s.Replicas, Fetched: s.Cached, LookupBytes: int64(s.LookupBytes)}
+	set.Control = &operator.Control{Servers: addressesOf(edges), Partitions: b.cell.Partitions, Replicas: s.Replicas, MaxFetched: s.Cached, LookupBytesPerSecond: int64(s.LookupBytes)}
 	text, err := json.Marshal(set)
 	if err != nil {
 		return nil, err
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -217,7 +217,7 @@
 			edges = f.far
 		}
 		set := operator.Default()
-		set.Control = &operator.Control{Partitions: testLayout.Partitions, Replicas: testLayout.Replicas, Fetched: 256, LookupBytes: 20_000}
+		set.Control = &operator.Control{Partitions: testLayout.Partitions, Replicas: testLayout.Replicas, MaxFetched: 256, LookupBytesPerSecond: 20_000}
 		for _, e := range edges {
 			tap := newTap(f.t, e.Address(), n.Log)
 			f.taps = append(f.taps, tap)
