--- a/internal/operator/control.go
+++ b/internal/operator/control.go
@@ -8,21 +8,22 @@
 	"scaleroute/internal/ownership"
 )
 
-// Control has the forwarder know only its part of the endpoint list, by control servers. Without it the whole list is watched at the platform's discovery.
+// Control lets the forwarder hold only its part of the endpoint list, which it gets from control servers. Without this block the
+// forwarder watches the whole list at the platform's discovery service.
 type Control struct {
 	Servers              []string `json:"servers"`
-	Partitions           int      `json:"partitions"`   // the same in the whole fleet, and at its control servers
+	Partitions           int      `json:"partitions"`   // the same in the whole fleet and at its control servers
 	Replicas             int      `json:"replicas"`     // owners of each partition; the same in the whole fleet
-	MaxFetched           int      `json:"fetched"`      // destinations outside the part that are known at most
-	LookupBytesPerSecond int64    `json:"lookup_bytes"` // a second, for looking such destinations up
+	MaxFetched           int      `json:"fetched"`      // bounds the destinations outside its part that the forwarder caches
+	LookupBytesPerSecond int64    `json:"lookup_bytes"` // bytes per second for looking up such destinations
 }
 
-// DefaultControl is what holds where a block control sets nothing but its servers.
+// DefaultControl returns the defaults of a control block that sets only its servers.
 func DefaultControl() Control {
 	return Control{Partitions: 1 << 21, Replicas: 3, MaxFetched: 256, LookupBytesPerSecond: 1500}
 }
 
-// Bounds of a Control.
+// Bounds of the fields of a Control.
 const (
 	maxServers     = 16
 	maxFetched     = 256
@@ -41,7 +42,7 @@
 	seen := map[string]bool{}
 	for _, a := range s.Servers {
 		if host, port, err := net.SplitHostPort(a); err != nil || host == "" || port == "" || strings.ContainsAny(a, "/?#@ ") {
-			add("control.servers", fmt.Sprintf("%q is no address", a), "write a host and a port, as 10.0.0.4:7400")
+			add("control.servers", fmt.Sprintf("%q is not an address", a), "write a host and a port, as 10.0.0.4:7400")
 		}
 		if seen[a] {
 			add("control.servers", fmt.Sprintf("%s is named twice", a), "name each once")
@@ -65,22 +66,22 @@
 	}
 }
 
-// diffControl lists what differs of the control servers and the part.
-func diffControl(old, new *Config, whole func(key, a, b string)) {
-	words := func(c *Config) [6]string {
+// diffControl compares the control blocks of two configurations.
+func diffControl(old, new *Config, compare func(key, a, b string)) {
+	describe := func(c *Config) [6]string {
 		s := c.Control
 		if s == nil {
 			return [6]string{"the whole list", "none", "none", "none", "none", "none"}
 		}
 		return [6]string{"a part of the list", strings.Join(s.Servers, " "), fmt.Sprint(s.Partitions), fmt.Sprint(s.Replicas), fmt.Sprint(s.MaxFetched), fmt.Sprint(s.LookupBytesPerSecond)}
 	}
-	a, b := words(old), words(new)
+	a, b := describe(old), describe(new)
 	for i, key := range []string{"control", "control.servers", "control.partitions", "control.replicas", "control.fetched", "control.lookup_bytes"} {
-		whole(key, a[i], b[i])
+		compare(key, a[i], b[i])
 	}
 }
 
-// explainControl tells where the endpoints of a message's destination are known from.
+// explainControl describes how the forwarder gets the endpoints of a message's destination.
 func (c *Config) explainControl(destination int) []Change {
 	s := c.Control
 	if s == nil || destination < 0 {
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -11,99 +11,100 @@
 	"scaleroute/internal/route"
 )
 
-// Change is one thing that differs in effect between two versions.
+// Change is one effective difference between two configurations.
 type Change struct {
-	Scope       string `json:"for"` // what it holds for
+	Scope       string `json:"for"` // the messages or the component that the setting applies to
 	Key         string `json:"key"`
 	Old         string `json:"old"`
 	New         string `json:"new"`
-	OldPosition string `json:"from,omitempty"` // the places that set it
-	NewPosition string `json:"to,omitempty"`
+	OldPosition string `json:"from,omitempty"` // file and line that set the old value
+	NewPosition string `json:"to,omitempty"`   // file and line that set the new value
 }
 
 const unset = "as the platform says"
 
-// Diff lists what changes in effect from one version to another: names, order, files and text mean nothing. For messages it
-// names the widest kinds that a change holds for and, below them, only those for which it is another.
-func Diff(old, new *Config) (list []Change) { return diff(old, new, math.MaxInt) }
+// Diff lists the effective differences between two configurations; names, order, files and formatting have no effect. For
+// settings of messages it reports the broadest scopes that a change applies to, and narrower ones only where the change differs.
+func Diff(old, new *Config) (list []Change) { return diffConfigs(old, new, math.MaxInt) }
 
-// DiffAtMost is Diff that looks for so many kinds of messages that go elsewhere.
-func DiffAtMost(old, new *Config, most int) []Change { return diff(old, new, most) }
+// DiffAtMost is like Diff, but reports at most so many groups of messages whose route changes.
+func DiffAtMost(old, new *Config, maxGroups int) []Change { return diffConfigs(old, new, maxGroups) }
 
-func diff(old, new *Config, most int) (list []Change) {
-	whole := func(key, a, b string) {
+func diffConfigs(old, new *Config, maxGroups int) (list []Change) {
+	compare := func(key, a, b string) {
 		if a != b {
-			list = append(list, Change{of(key), key, a, b, old.Positions[key], new.Positions[key]})
+			list = append(list, Change{subjectOf(key), key, a, b, old.Positions[key], new.Positions[key]})
 		}
 	}
-	every := func(c *Config) string { return time.Duration(c.Journal.SyncEvery).String() }
-	whole("journal.durability", old.Journal.Durability, new.Journal.Durability)
-	whole("journal.sync_every", every(old), every(new))
+	syncEvery := func(c *Config) string { return time.Duration(c.Journal.SyncEvery).String() }
+	compare("journal.durability", old.Journal.Durability, new.Journal.Durability)
+	compare("journal.sync_every", syncEvery(old), syncEvery(new))
 
-	whole("unrouted", cmp.Or(old.Unrouted, ForwardUnrouted), cmp.Or(new.Unrouted, ForwardUnrouted))
-	whole("plugin_status", cmp.Or(old.PluginStatus, "none"), cmp.Or(new.PluginStatus, "none"))
-	diffFleet(old, new, whole)
-	diffControl(old, new, whole)
-	list = append(list, diffRoutes(old, new, most)...)
+	compare("unrouted", cmp.Or(old.Unrouted, ForwardUnrouted), cmp.Or(new.Unrouted, ForwardUnrouted))
+	compare("plugin_status", cmp.Or(old.PluginStatus, "none"), cmp.Or(new.PluginStatus, "none"))
+	diffFleet(old, new, compare)
+	diffControl(old, new, compare)
+	list = append(list, diffRoutes(old, new, maxGroups)...)
 	list = append(list, diffPools(old, new)...)
 	list = append(list, diffPlugins(old, new)...)
 
 	before, after := old.NewLimits(), new.NewLimits()
-	kinds := map[scope]bool{{}: true}
+	scopes := map[scope]bool{{}: true}
 	for _, c := range []*Config{old, new} {
 		for i := range c.Limits {
 			for _, s := range c.Limits[i].scopes() {
-				kinds[s] = true
+				scopes[s] = true
 			}
 		}
 	}
-	// Where one rule names a class and another a destination, messages of both are a kind too.
-	// So are messages of a class by a route, and each route's own, as far as they go somewhere by one.
+	// Where one rule names a class and another one names a destination or a route, messages that match both rules form a scope
+	// of their own.
 	var classes []string
-	var places []scope
-	for s := range kinds {
+	var targets []scope
+	for s := range scopes {
 		switch {
-		case s.class != "" && !s.named && s.route == "":
+		case s.class != "" && !s.hasDest && s.route == "":
 			classes = append(classes, s.class)
-		case s.class == "" && (s.named || s.route != ""):
-			places = append(places, s)
+		case s.class == "" && (s.hasDest || s.route != ""):
+			targets = append(targets, s)
 		}
 	}
 	for _, class := range classes {
-		for _, s := range places {
+		for _, s := range targets {
 			s.class = class
-			kinds[s] = true
+			scopes[s] = true
 		}
 	}
-	sorted := make([]scope, 0, len(kinds))
-	for s := range kinds {
+	sorted := make([]scope, 0, len(scopes))
+	for s := range scopes {
 		sorted = append(sorted, s)
 	}
 	slices.SortFunc(sorted, func(a, b scope) int {
 		return cmp.Or(rank(a)-rank(b), cmp.Compare(a.class, b.class), cmp.Compare(a.dest, b.dest), cmp.Compare(a.route, b.route))
 	})
 	type pair struct{ old, new string }
-	for n, key := range figureNames {
-		said := map[scope]pair{}
+	for n, key := range keyNames {
+		reported := map[scope]pair{}
 		for _, s := range sorted {
-			a, from := before.figure(n, s, old)
-			b, to := after.figure(n, s, new)
+			a, from := before.effective(n, s, old)
+			b, to := after.effective(n, s, new)
 			p := pair{a, b}
-			said[s] = p
-			if a == b || s != (scope{}) && slices.ContainsFunc(s.parents(new), func(o scope) bool { q, known := said[o]; return known && q == p }) {
+			reported[s] = p
+			if a == b || s != (scope{}) && slices.ContainsFunc(s.parents(new), func(o scope) bool { q, known := reported[o]; return known && q == p }) {
 				continue
 			}
-			list = append(list, Change{new.shownOr(old, s), key, a, b, old.Positions["limits."+from+"."+key], new.Positions["limits."+to+"."+key]})
+			list = append(list, Change{new.describeScopeOr(old, s), key, a, b, old.Positions["limits."+from+"."+key], new.Positions["limits."+to+"."+key]})
 		}
 	}
 	return list
 }
 
+// rank orders scopes by how specific they are: a route outranks a destination, which outranks a class.
 func rank(s scope) (n int) {
 	if s.class != "" {
 		n++
 	}
-	if s.named {
+	if s.hasDest {
 		n += 2
 	}
 	if s.route != "" {
@@ -112,58 +113,60 @@
 	return n
 }
 
-// parents are the scopes that hold all that this one holds, the most specific first. Where a route leads is told by a file.
+// parents returns the scopes that contain this one, the most specific first. The destination of a route comes from
+// the configuration.
 func (s scope) parents(c *Config) (list []scope) {
-	dest, named := s.dest, s.named
-	if r := c.names.routes[s.route]; r != nil {
-		dest, named = c.goalOf(r), true
+	dest, hasDest := s.dest, s.hasDest
+	if r := c.lookup.routes[s.route]; r != nil {
+		dest, hasDest = c.destinationOf(r), true
 	}
-	all, least := wider(s.class, dest, s.route)
-	for _, o := range all[least:] {
-		if rank(o) < rank(s) && (named || !o.named) {
+	all, first := enclosingScopes(s.class, dest, s.route)
+	for _, o := range all[first:] {
+		if rank(o) < rank(s) && (hasDest || !o.hasDest) {
 			list = append(list, o)
 		}
 	}
 	return slices.Compact(list)
 }
 
-// figure is what holds for a scope, and the rule that says so.
-func (l *Limits) figure(n int, s scope, c *Config) (value, rule string) {
+// effective returns the value of a key that applies to a scope, and the name of the rule that sets it.
+func (l *Limits) effective(n int, s scope, c *Config) (value, rule string) {
 	for _, o := range append([]scope{s}, s.parents(c)...) {
-		if r := l.by[n][o]; r != nil {
-			return r.show(n), r.Name
+		if r := l.byKey[n][o]; r != nil {
+			return r.format(n), r.Name
 		}
 	}
 	return unset, ""
 }
 
-// Explain tells which way a message takes and what holds for it, and which place says so. The error says that the routes can't be used.
+// Explain lists the route of a message and the settings that apply to it, each with its position. It returns an error if the
+// routes can't be compiled.
 func (c *Config) Explain(m *route.Message) (list []Change, err error) {
 	t, err := c.NewRoutes()
 	if err != nil {
 		return nil, err
 	}
 	l, dest := c.NewLimits(), m.Destination
-	s := scope{class: m.Class, dest: dest, named: true}
-	goes := Change{Scope: c.shown(s), Key: "goes", New: c.goal(dest)}
+	s := scope{class: m.Class, dest: dest, hasDest: true}
+	routed := Change{Scope: c.describeScope(s), Key: "goes", New: c.describeDestination(dest)}
 	if r := t.Find(m); r != nil {
 		dest, s.route = r.Destination, r.Name
-		goes.New, goes.NewPosition = fmt.Sprintf("by route %q to %s", r.Name, c.goal(dest)), c.Positions["route."+r.Name]
+		routed.New, routed.NewPosition = fmt.Sprintf("by route %q to %s", r.Name, c.describeDestination(dest)), c.Positions["route."+r.Name]
 	} else if c.Unrouted == RejectUnrouted {
-		goes.New, goes.NewPosition = "rejected: it fits no route", c.Positions["unrouted"]
+		routed.New, routed.NewPosition = "rejected: it fits no route", c.Positions["unrouted"]
 	}
-	list = append(list, goes)
+	list = append(list, routed)
 	s.dest = dest
-	for n, key := range figureNames {
-		v, rule := l.figure(n, s, c)
-		list = append(list, Change{Scope: c.shown(s), Key: key, New: v, NewPosition: c.Positions["limits."+rule+"."+key]})
+	for n, key := range keyNames {
+		v, rule := l.effective(n, s, c)
+		list = append(list, Change{Scope: c.describeScope(s), Key: key, New: v, NewPosition: c.Positions["limits."+rule+"."+key]})
 	}
 	list = append(list, c.explainPool(dest)...)
 	list = append(list, c.explainControl(dest)...)
 	return append(list, c.explainPlugins(m.Class, m.Destination)...), nil
 }
 
-func of(key string) string {
+func subjectOf(key string) string {
 	switch {
 	case key == "unrouted":
 		return "messages that fit no route"
--- a/internal/operator/diff_test.go
+++ b/internal/operator/diff_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// TestDiffIsEffect changes one figure of generated limits at a time: the diff is empty where no message is treated otherwise,
-// and else names each kind that is; reordered and renamed files differ in nothing.
-func TestDiffIsEffect(t *testing.T) {
+// TestDiffListsEffectiveChanges changes one value of generated limits at a time. The diff must be empty if no message is treated
+// differently, and otherwise name each scope that is. Reordered and renamed limits must not differ.
+func TestDiffListsEffectiveChanges(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 1))
-	classes, dests := []string{"a", "b", "c"}, []int{1, 2, 3, 4} // c and 4 are named nowhere
-	same, changed := 0, 0
+	classes, dests := []string{"a", "b", "c"}, []int{1, 2, 3, 4} // no rule names c or 4
+	ineffective, effective := 0, 0
 	for range 20_000 {
 		old := Default()
 		for i := range 1 + rng.IntN(5) {
@@ -49,24 +49,24 @@
 				x, y := a.DecisionLimits(c, dest, ""), b.DecisionLimits(c, dest, "")
 				differs = differs || x != y
 				named := slices.ContainsFunc(d, func(ch Change) bool {
-					return slices.ContainsFunc(append((scope{class: c, dest: dest, named: true}).parents(new), scope{class: c, dest: dest, named: true}), func(s scope) bool { return ch.Scope == s.String() })
+					return slices.ContainsFunc(append((scope{class: c, dest: dest, hasDest: true}).parents(new), scope{class: c, dest: dest, hasDest: true}), func(s scope) bool { return ch.Scope == s.String() })
 				})
 				if x != y && !named {
-					t.Fatalf("%s to %d changes from %+v to %+v and is not named: %+v", c, dest, x, y, d)
+					t.Fatalf("%s to %d changes from %+v to %+v and is not in the diff: %+v", c, dest, x, y, d)
 				}
 			}
 		}
 		if !differs && len(d) > 0 || slices.ContainsFunc(d, func(c Change) bool { return c.Key != "attempts" }) {
-			t.Fatalf("%+v to %+v: nothing but attempts may differ (%v): %+v", old.Limits, new.Limits, differs, d)
+			t.Fatalf("%+v to %+v: the diff must contain changes of attempts only, and only if they have an effect (%v): %+v", old.Limits, new.Limits, differs, d)
 		}
 		if differs {
-			changed++
+			effective++
 		} else {
-			same++
+			ineffective++
 		}
 	}
-	t.Logf("%d without effect, %d with", same, changed)
-	if min(same, changed) < 500 {
-		t.Error("one kind is too rare: the test says little")
+	t.Logf("%d changes without effect, %d with one", ineffective, effective)
+	if min(ineffective, effective) < 500 {
+		t.Error("one of the two kinds of changes is too rare for the test to be meaningful")
 	}
 }
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -12,92 +12,92 @@
 	"scaleroute/internal/engine"
 )
 
-// Limit bounds what is done for some messages. Each of its figures holds on its own: one that a rule does not set comes from
-// the next less specific one, and in the end from the platform. A limit can only tighten.
+// Limit is a rule that limits the delivery of some messages. Each key applies independently: if a rule does not set it, the value
+// comes from the next less specific rule, and finally from the platform. A limit can only tighten the platform's.
 type Limit struct {
 	Name           string   `json:"name"`
-	Classes        []string `json:"classes,omitempty"`      // none: all
-	Destinations   []int    `json:"destinations,omitempty"` // where messages go; none: all
-	Pools          []string `json:"pools,omitempty"`        // the same, by the names of pools
-	Routes         []string `json:"routes,omitempty"`       // by which they came; none: any, or none
-	MaxAttempts    int      `json:"attempts,omitempty"`     // for one message; 0: not set
-	AttemptTimeout Duration `json:"answer,omitempty"`       // how long one attempt may wait for its answer; 0: not set
-	TotalTimeout   Duration `json:"whole,omitempty"`        // how long a message may be delivered in all; 0: not set
-	MaxQueued      int      `json:"held,omitempty"`         // messages held at once, for each destination apart; 0: not set
-	ConnectTimeout Duration `json:"connect,omitempty"`      // how long a connection may take; 0: not set
-	RetryDelay     Duration `json:"wait,omitempty"`         // before the first further try, jittered; it doubles from there; 0: not set
+	Classes        []string `json:"classes,omitempty"`      // empty: all
+	Destinations   []int    `json:"destinations,omitempty"` // the destinations that messages go to; empty: all
+	Pools          []string `json:"pools,omitempty"`        // destinations by the names of their pools
+	Routes         []string `json:"routes,omitempty"`       // the routes that messages match; empty: any or none
+	MaxAttempts    int      `json:"attempts,omitempty"`     // per message; 0: not set
+	AttemptTimeout Duration `json:"answer,omitempty"`       // per attempt, until the answer; 0: not set
+	TotalTimeout   Duration `json:"whole,omitempty"`        // for the whole delivery of a message; 0: not set
+	MaxQueued      int      `json:"held,omitempty"`         // messages queued at once for each destination; 0: not set
+	ConnectTimeout Duration `json:"connect,omitempty"`      // for setting up a connection; 0: not set
+	RetryDelay     Duration `json:"wait,omitempty"`         // before the first retry, with jitter; it doubles for each further one; 0: not set
 
-	HedgeDelay Duration `json:"copy,omitempty"` // until a second copy goes out of what may be repeated; 0: none
+	HedgeDelay Duration `json:"copy,omitempty"` // until a hedged request is sent, for classes that are safe to repeat; 0: none
 
-	// Of all messages for a destination together, whatever their class.
-	MaxInFlight   int     `json:"out,omitempty"`   // calls out at once; 0: not set
-	MaxRate       float64 `json:"rate,omitempty"`  // calls a second; 0: not set
-	MaxRetryRatio float64 `json:"ratio,omitempty"` // further tries as a share of first tries; 0: not set
+	// For all messages to a destination together, whatever their class.
+	MaxInFlight   int     `json:"out,omitempty"`   // calls in flight at once; 0: not set
+	MaxRate       float64 `json:"rate,omitempty"`  // calls per second; 0: not set
+	MaxRetryRatio float64 `json:"ratio,omitempty"` // retries relative to first attempts; 0: not set
 
-	numbers []int // of the pools, once they are known
+	poolNumbers []int // the destination numbers of Pools, set by buildLookup
 }
 
-// The figures that a limit may set.
+// The keys that a limit may set; keyNames holds their names in the configuration.
 const (
-	attempts = iota
-	answer
-	whole
-	held
-	connect
-	wait
-	second
-	out
-	rate
-	ratio
-	figures
+	keyAttempts = iota
+	keyAnswer
+	keyWhole
+	keyHeld
+	keyConnect
+	keyWait
+	keyCopy
+	keyOut
+	keyRate
+	keyRatio
+	numKeys
 )
 
-var figureNames = [figures]string{"attempts", "answer", "whole", "held", "connect", "wait", "copy", "out", "rate", "ratio"}
+var keyNames = [numKeys]string{"attempts", "answer", "whole", "held", "connect", "wait", "copy", "out", "rate", "ratio"}
 
-var allFigures = []int{attempts, answer, whole, held, connect, wait, second, out, rate, ratio}
+var allKeys = []int{keyAttempts, keyAnswer, keyWhole, keyHeld, keyConnect, keyWait, keyCopy, keyOut, keyRate, keyRatio}
 
-// figure is one of them; 0 if it is not set.
-func (l *Limit) figure(n int) float64 {
-	return [figures]float64{float64(l.MaxAttempts), float64(l.AttemptTimeout), float64(l.TotalTimeout), float64(l.MaxQueued), float64(l.ConnectTimeout), float64(l.RetryDelay), float64(l.HedgeDelay),
+// value returns the value of a key, or 0 if the rule does not set it.
+func (l *Limit) value(n int) float64 {
+	return [numKeys]float64{float64(l.MaxAttempts), float64(l.AttemptTimeout), float64(l.TotalTimeout), float64(l.MaxQueued), float64(l.ConnectTimeout), float64(l.RetryDelay), float64(l.HedgeDelay),
 		float64(l.MaxInFlight), l.MaxRate, l.MaxRetryRatio}[n]
 }
 
-// show is one of them as it is written.
-func (l *Limit) show(n int) string {
+// format returns the value of a key as it is written in the configuration.
+func (l *Limit) format(n int) string {
 	switch n {
-	case answer, whole, connect, wait, second:
-		return time.Duration(l.figure(n)).String()
-	case rate:
+	case keyAnswer, keyWhole, keyConnect, keyWait, keyCopy:
+		return time.Duration(l.value(n)).String()
+	case keyRate:
 		return fmt.Sprint(l.MaxRate, "/s")
 	}
-	return fmt.Sprint(l.figure(n))
+	return fmt.Sprint(l.value(n))
 }
 
-// mostAttempts bounds what may be written; the platform's own limit is less.
+// Bounds of the values of a Limit. The platform allows fewer attempts than maxAttempts.
 const (
-	mostAttempts = 100
-	mostHeld     = 10_000_000
-	leastWhole   = 100 * time.Millisecond
-	mostWhole    = 24 * time.Hour
-	leastWait    = 100 * time.Millisecond // the module's own first wait
-	mostWait     = time.Minute
-	leastCopy    = 10 * time.Millisecond
-	mostOut      = 100_000
-	leastRate    = 0.01
-	mostRate     = 1e6
-	leastRatio   = 0.01 // the module's own floor and cap: with more, repeats could exceed a third of first tries
-	mostRatio    = 0.2
+	maxAttempts     = 100
+	maxQueued       = 10_000_000
+	minTotalTimeout = 100 * time.Millisecond
+	maxTotalTimeout = 24 * time.Hour
+	minRetryDelay   = 100 * time.Millisecond // the decision module's own first retry delay
+	maxRetryDelay   = time.Minute
+	minHedgeDelay   = 10 * time.Millisecond
+	maxInFlight     = 100_000
+	minRate         = 0.01
+	maxRate         = 1e6
+	minRetryRatio   = 0.01 // the decision module's own floor and cap: with a higher ratio, retries could exceed a third of first attempts
+	maxRetryRatio   = 0.2
 )
 
-// scope is one kind of message that rules name: a class or any, a destination or any, or a route.
+// scope is a set of messages that rules apply to: of one class or any, and to one destination, by one route or any.
 type scope struct {
-	class string
-	dest  int
-	named bool // the destination is
-	route string
+	class   string
+	dest    int
+	hasDest bool // whether dest is set
+	route   string
 }
 
-// scopes are those that a rule names.
+// scopes returns the scopes that a rule applies to.
 func (l *Limit) scopes() (list []scope) {
 	classes := l.Classes
 	if len(classes) == 0 {
@@ -107,8 +107,8 @@
 		if len(l.Destinations)+len(l.Pools)+len(l.Routes) == 0 {
 			list = append(list, scope{class: c})
 		}
-		for _, d := range l.goals() {
-			list = append(list, scope{class: c, dest: d, named: true})
+		for _, d := range l.destinationNumbers() {
+			list = append(list, scope{class: c, dest: d, hasDest: true})
 		}
 		for _, name := range l.Routes {
 			list = append(list, scope{class: c, route: name})
@@ -117,41 +117,41 @@
 	return list
 }
 
-// goals are the numbers of all destinations that a rule names.
-func (l *Limit) goals() []int {
+// destinationNumbers returns the numbers of all destinations that a rule names, directly or by their pools.
+func (l *Limit) destinationNumbers() []int {
 	if len(l.Pools) == 0 {
 		return l.Destinations
 	}
-	return append(slices.Clone(l.Destinations), l.numbers...)
+	return append(slices.Clone(l.Destinations), l.poolNumbers...)
 }
 
-// wider lists the scopes that hold a message, the most specific first: class and route, route, class and destination,
-// destination, class, all. Without a route the first two are no scopes of their own, and least says where it begins.
-func wider(class string, dest int, route string) (all [6]scope, least int) {
+// enclosingScopes lists the scopes that contain a message, the most specific first: class and route, route, class and
+// destination, destination, class, all. Without a route the first two don't apply, and the list begins at first.
+func enclosingScopes(class string, dest int, route string) (all [6]scope, first int) {
 	if route == "" {
-		least = 2
+		first = 2
 	}
-	return [6]scope{{class: class, route: route}, {route: route}, {class: class, dest: dest, named: true}, {dest: dest, named: true}, {class: class}, {}}, least
+	return [6]scope{{class: class, route: route}, {route: route}, {class: class, dest: dest, hasDest: true}, {dest: dest, hasDest: true}, {class: class}, {}}, first
 }
 
-// Limits finds the limits that hold for a message.
+// Limits is an index that finds the limits that apply to a message.
 type Limits struct {
-	by [figures]map[scope]*Limit
+	byKey [numKeys]map[scope]*Limit
 }
 
-// NewLimits makes the index of rules that Check has passed.
+// NewLimits builds the index of the rules, which must have passed Check.
 func (c *Config) NewLimits() *Limits {
 	l := &Limits{}
-	c.index()
-	for n := range l.by {
-		l.by[n] = map[scope]*Limit{}
+	c.buildLookup()
+	for n := range l.byKey {
+		l.byKey[n] = map[scope]*Limit{}
 	}
 	for i := range c.Limits {
 		rule := &c.Limits[i]
 		for _, s := range rule.scopes() {
-			for n := range l.by {
-				if rule.figure(n) != 0 {
-					l.by[n][s] = rule
+			for n := range l.byKey {
+				if rule.value(n) != 0 {
+					l.byKey[n][s] = rule
 				}
 			}
 		}
@@ -159,122 +159,122 @@
 	return l
 }
 
-// of returns the rule that sets a figure for a message; nil where none does.
-func (l *Limits) of(n int, class string, dest int, route string) *Limit {
-	all, least := wider(class, dest, route)
-	for _, s := range all[least:] {
-		if rule := l.by[n][s]; rule != nil {
+// rule returns the rule that sets a key for a message, or nil if none does.
+func (l *Limits) rule(n int, class string, dest int, route string) *Limit {
+	all, first := enclosingScopes(class, dest, route)
+	for _, s := range all[first:] {
+		if rule := l.byKey[n][s]; rule != nil {
 			return rule
 		}
 	}
 	return nil
 }
 
-// DecisionLimits is what the decision module applies.
+// DecisionLimits returns the limits that the decision module applies.
 func (l *Limits) DecisionLimits(class string, dest int, route string) (m decide.Limits) {
-	if rule := l.of(attempts, class, dest, route); rule != nil {
+	if rule := l.rule(keyAttempts, class, dest, route); rule != nil {
 		m.MaxAttempts = rule.MaxAttempts
 	}
-	if rule := l.of(answer, class, dest, route); rule != nil {
+	if rule := l.rule(keyAnswer, class, dest, route); rule != nil {
 		m.AttemptTimeout = time.Duration(rule.AttemptTimeout)
 	}
-	if rule := l.of(wait, class, dest, route); rule != nil {
+	if rule := l.rule(keyWait, class, dest, route); rule != nil {
 		m.RetryDelay = time.Duration(rule.RetryDelay)
 	}
-	if rule := l.of(second, class, dest, route); rule != nil {
+	if rule := l.rule(keyCopy, class, dest, route); rule != nil {
 		m.HedgeDelay = time.Duration(rule.HedgeDelay)
 	}
-	if rule := l.of(out, "", dest, ""); rule != nil {
+	if rule := l.rule(keyOut, "", dest, ""); rule != nil {
 		m.MaxInFlight = rule.MaxInFlight
 	}
-	if rule := l.of(rate, "", dest, ""); rule != nil {
+	if rule := l.rule(keyRate, "", dest, ""); rule != nil {
 		m.MaxRate = rule.MaxRate
 	}
-	if rule := l.of(ratio, "", dest, ""); rule != nil {
+	if rule := l.rule(keyRatio, "", dest, ""); rule != nil {
 		m.MaxRetryRatio = rule.MaxRetryRatio
 	}
 	return m
 }
 
-// IntakeLimits is what the engine applies when a message comes: its time, and how many may be held at once for the
-// destination under which rule; 0 for no limit.
+// IntakeLimits returns the limits that the engine applies when a message arrives: its total timeout, the connect timeout, and how
+// many messages may be queued for the destination and by which rule. 0 means no limit.
 func (l *Limits) IntakeLimits(class string, dest int, route string) (i engine.Limits) {
-	if rule := l.of(whole, class, dest, route); rule != nil {
+	if rule := l.rule(keyWhole, class, dest, route); rule != nil {
 		i.Total = time.Duration(rule.TotalTimeout)
 	}
-	if rule := l.of(held, class, dest, route); rule != nil {
+	if rule := l.rule(keyHeld, class, dest, route); rule != nil {
 		i.Rule, i.Queued = rule.Name, rule.MaxQueued
 	}
-	if rule := l.of(connect, class, dest, route); rule != nil {
+	if rule := l.rule(keyConnect, class, dest, route); rule != nil {
 		i.Connect = time.Duration(rule.ConnectTimeout)
 	}
 	return i
 }
 
 func (c *Config) checkLimits(add func(key, what, remedy string)) {
-	named := map[string]bool{}
-	c.index()
-	var by [figures]map[scope]string
+	seen := map[string]bool{}
+	c.buildLookup()
+	var by [numKeys]map[scope]string
 	for n := range by {
 		by[n] = map[scope]string{}
 	}
 	for i := range c.Limits {
 		l := &c.Limits[i]
 		key := "limits." + l.Name
-		if named[l.Name] {
+		if seen[l.Name] {
 			add(key, fmt.Sprintf("there are two limits %q", l.Name), "give each a name of its own")
 		}
-		named[l.Name] = true
-		if l.MaxAttempts < 0 || l.MaxAttempts > mostAttempts {
-			add(key+".attempts", fmt.Sprintf("%d attempts", l.MaxAttempts), fmt.Sprintf("set from 1 to %d", mostAttempts))
+		seen[l.Name] = true
+		if l.MaxAttempts < 0 || l.MaxAttempts > maxAttempts {
+			add(key+".attempts", fmt.Sprintf("%d attempts", l.MaxAttempts), fmt.Sprintf("set from 1 to %d", maxAttempts))
 		}
 		if l.AttemptTimeout != 0 && (l.AttemptTimeout < Duration(time.Millisecond) || l.AttemptTimeout > Duration(time.Hour)) {
-			add(key+".answer", fmt.Sprintf("no answer can be waited for %v", time.Duration(l.AttemptTimeout)), "set from 1ms to 1h")
+			add(key+".answer", fmt.Sprintf("an attempt can't wait %v for its answer", time.Duration(l.AttemptTimeout)), "set from 1ms to 1h")
 		}
-		if l.TotalTimeout != 0 && (l.TotalTimeout < Duration(leastWhole) || l.TotalTimeout > Duration(mostWhole)) {
-			add(key+".whole", fmt.Sprintf("no message can be delivered within %v", time.Duration(l.TotalTimeout)), fmt.Sprintf("set from %v to %v", leastWhole, mostWhole))
+		if l.TotalTimeout != 0 && (l.TotalTimeout < Duration(minTotalTimeout) || l.TotalTimeout > Duration(maxTotalTimeout)) {
+			add(key+".whole", fmt.Sprintf("a delivery can't be limited to %v", time.Duration(l.TotalTimeout)), fmt.Sprintf("set from %v to %v", minTotalTimeout, maxTotalTimeout))
 		}
-		if l.MaxQueued < 0 || l.MaxQueued > mostHeld {
-			add(key+".held", fmt.Sprintf("%d messages held", l.MaxQueued), fmt.Sprintf("set from 1 to %d", mostHeld))
+		if l.MaxQueued < 0 || l.MaxQueued > maxQueued {
+			add(key+".held", fmt.Sprintf("%d messages queued at once", l.MaxQueued), fmt.Sprintf("set from 1 to %d", maxQueued))
 		}
-		span := func(name string, d Duration, least, most time.Duration) {
-			if d != 0 && (d < Duration(least) || d > Duration(most)) {
-				add(key+"."+name, fmt.Sprintf("%s is %v", name, time.Duration(d)), fmt.Sprintf("set from %v to %v", least, most))
+		checkDuration := func(name string, d Duration, lo, hi time.Duration) {
+			if d != 0 && (d < Duration(lo) || d > Duration(hi)) {
+				add(key+"."+name, fmt.Sprintf("%s is %v", name, time.Duration(d)), fmt.Sprintf("set from %v to %v", lo, hi))
 			}
 		}
-		span("connect", l.ConnectTimeout, 10*time.Millisecond, time.Minute)
-		span("wait", l.RetryDelay, leastWait, mostWait)
-		span("copy", l.HedgeDelay, leastCopy, time.Minute)
-		number := func(name string, v, least, most float64, why string) {
-			if v != 0 && !(v >= least && v <= most) { // not a number counts as well
-				add(key+"."+name, fmt.Sprintf("%s is %v", name, v), fmt.Sprintf("set from %v to %v%s", least, most, why))
+		checkDuration("connect", l.ConnectTimeout, 10*time.Millisecond, time.Minute)
+		checkDuration("wait", l.RetryDelay, minRetryDelay, maxRetryDelay)
+		checkDuration("copy", l.HedgeDelay, minHedgeDelay, time.Minute)
+		checkNumber := func(name string, v, lo, hi float64, why string) {
+			if v != 0 && !(v >= lo && v <= hi) { // rejects NaN as well
+				add(key+"."+name, fmt.Sprintf("%s is %v", name, v), fmt.Sprintf("set from %v to %v%s", lo, hi, why))
 			}
 		}
-		number("out", float64(l.MaxInFlight), 1, mostOut, "")
-		number("rate", l.MaxRate, leastRate, mostRate, " a second")
-		number("ratio", l.MaxRetryRatio, leastRatio, mostRatio, ": with more, repeats could exceed a third of first tries")
-		for _, n := range []int{out, rate, ratio} {
-			if l.figure(n) == 0 || len(l.Classes)+len(l.Routes) == 0 {
+		checkNumber("out", float64(l.MaxInFlight), 1, maxInFlight, "")
+		checkNumber("rate", l.MaxRate, minRate, maxRate, " a second")
+		checkNumber("ratio", l.MaxRetryRatio, minRetryRatio, maxRetryRatio, ": with more, retries could exceed a third of first attempts")
+		for _, n := range []int{keyOut, keyRate, keyRatio} {
+			if l.value(n) == 0 || len(l.Classes)+len(l.Routes) == 0 {
 				continue
 			}
 			what, remedy := "classes", "set it in a block without classes"
 			if len(l.Routes) > 0 {
 				what, remedy = "routes", "set it in a block that names the route's pool"
 			}
-			add(key+"."+figureNames[n], fmt.Sprintf("%s counts all calls to a destination, and this block names %s", figureNames[n], what), remedy)
+			add(key+"."+keyNames[n], fmt.Sprintf("%s counts all calls to a destination, and this block names %s", keyNames[n], what), remedy)
 		}
-		c.checkNames(l, add)
-		if !slices.ContainsFunc(allFigures, func(n int) bool { return l.figure(n) != 0 }) {
-			add(key, fmt.Sprintf("the limits %q limit nothing", l.Name), "set "+strings.Join(figureNames[:figures-1], ", ")+" or "+figureNames[figures-1]+", or take them out")
+		c.checkLimitReferences(l, add)
+		if !slices.ContainsFunc(allKeys, func(n int) bool { return l.value(n) != 0 }) {
+			add(key, fmt.Sprintf("the limits %q set no limit", l.Name), "set "+strings.Join(keyNames[:numKeys-1], ", ")+" or "+keyNames[numKeys-1]+", or remove the block")
 		}
 		for _, s := range l.scopes() {
-			for n, name := range figureNames {
-				if l.figure(n) == 0 {
+			for n, name := range keyNames {
+				if l.value(n) == 0 {
 					continue
 				}
 				if other := by[n][s]; other != "" {
 					at := c.Positions["limits."+other+"."+name]
-					add(key+"."+name, fmt.Sprintf("%s for %s is set by %q too", name, c.shown(s), other),
+					add(key+"."+name, fmt.Sprintf("%s for %s is set by %q too", name, c.describeScope(s), other),
 						fmt.Sprintf("neither is more specific: leave it in one of them (the other: %s)", cmp.Or(at, other)))
 					continue
 				}
@@ -284,16 +284,16 @@
 	}
 }
 
-func (s scope) String() string { return (*Config)(nil).shown(s) }
+func (s scope) String() string { return (*Config)(nil).describeScope(s) }
 
-// shown is a scope in words.
-func (c *Config) shown(s scope) string {
+// describeScope describes a scope.
+func (c *Config) describeScope(s scope) string {
 	class, dest := "every class", "every destination"
 	if s.class != "" {
 		class = "class " + s.class
 	}
-	if s.named {
-		dest = c.goal(s.dest)
+	if s.hasDest {
+		dest = c.describeDestination(s.dest)
 	}
 	if s.route != "" {
 		dest = fmt.Sprintf("route %q", s.route)
@@ -301,8 +301,8 @@
 	return class + " and " + dest
 }
 
-// CheckPlatform lists what the limits ask for that the platform's settings don't allow: classes that there are not, more attempts
-// than it allows, and attempts that can't all end within a class's time. Both rules that a combination comes from are named.
+// CheckPlatform lists the settings that conflict with the platform's: unknown classes, more attempts than it allows, and attempts
+// that can't all finish within the deadline of a class. Where two rules conflict only in combination, it names both.
 func (c *Config) CheckPlatform(set decide.Settings) (list []Problem) {
 	add := func(key, what, remedy string) { list = append(list, Problem{key, what, remedy}) }
 	classes := map[string]decide.Class{}
@@ -322,34 +322,34 @@
 			add("limits."+l.Name+".attempts", fmt.Sprintf("%d attempts, and the platform allows %d", l.MaxAttempts, set.MaxAttempts), "set fewer: a limit can only tighten")
 		}
 	}
-	c.pluginsAgainst(classes, names, add)
-	c.routesAgainst(names, add)
+	c.checkPluginClasses(classes, names, add)
+	c.checkRouteClasses(names, add)
 	limits := c.NewLimits()
 	for i := range c.Limits {
-		for _, d := range c.Limits[i].goals() {
+		for _, d := range c.Limits[i].destinationNumbers() {
 			dests[d] = true
 		}
 	}
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	check := func(k decide.Class, s scope, of func(n int) *Limit) {
-		attempts, answer, whole, wait := of(attempts), of(answer), of(whole), of(wait)
-		if copied := of(second); copied != nil {
-			c.checkCopy(set, k, s, copied, attempts, answer, told, add)
+		attempts, answer, whole, wait := of(keyAttempts), of(keyAnswer), of(keyWhole), of(keyWait)
+		if hedge := of(keyCopy); hedge != nil {
+			c.checkHedging(set, k, s, hedge, attempts, answer, reported, add)
 		}
 		if answer == nil && wait == nil {
 			return
 		}
-		has, said := k.Deadline, fmt.Sprintf("class %s has %v", k.Name, k.Deadline)
-		if whole != nil && time.Duration(whole.TotalTimeout) < has {
+		available, limitText := k.Deadline, fmt.Sprintf("class %s has %v", k.Name, k.Deadline)
+		if whole != nil && time.Duration(whole.TotalTimeout) < available {
 			by := "limits." + whole.Name + ".whole"
-			has, said = time.Duration(whole.TotalTimeout), fmt.Sprintf("whole is %v (%s)", time.Duration(whole.TotalTimeout), cmp.Or(c.Positions[by], by))
+			available, limitText = time.Duration(whole.TotalTimeout), fmt.Sprintf("whole is %v (%s)", time.Duration(whole.TotalTimeout), cmp.Or(c.Positions[by], by))
 		}
 		n, by := 1, ""
 		if attempts != nil {
 			n, by = attempts.MaxAttempts, "limits."+attempts.Name+".attempts"
 		}
 		if attempts == nil && wait != nil {
-			n = 2 // one further try, at least, is what the wait is before
+			n = 2 // a retry delay implies at least one retry
 		}
 		var each, waits time.Duration
 		var what, key, remedy string
@@ -358,7 +358,7 @@
 			what = fmt.Sprintf("%d attempts of %v", n, each)
 		}
 		if wait != nil && n > 1 {
-			// As long as they can get: each is drawn between nothing and twice the one before.
+			// The longest possible delays: each is drawn at random between zero and twice the one before.
 			waits = time.Duration(min(float64(wait.RetryDelay)*float64(uint64(1)<<min(n-1, 32)-1), float64(math.MaxInt64/4)))
 			at := "limits." + wait.Name + ".wait"
 			if key == "" {
@@ -367,16 +367,16 @@
 				what += fmt.Sprintf(" and waits of up to %v (%s)", waits, cmp.Or(c.Positions[at], at))
 			}
 		}
-		need := time.Duration(n)*each + waits
-		if need <= has || told[key+by+k.Name] {
+		needed := time.Duration(n)*each + waits
+		if needed <= available || reported[key+by+k.Name] {
 			return
 		}
-		told[key+by+k.Name] = true
-		what = fmt.Sprintf("for %s, %s need %v, and %s", c.shown(s), what, need, said)
+		reported[key+by+k.Name] = true
+		what = fmt.Sprintf("for %s, %s need %v, and %s", c.describeScope(s), what, needed, limitText)
 		if by != "" {
 			what += fmt.Sprintf(" (the attempts: %s)", cmp.Or(c.Positions[by], by))
 		}
-		if left := (has - waits) / time.Duration(n); answer != nil && left >= time.Millisecond {
+		if left := (available - waits) / time.Duration(n); answer != nil && left >= time.Millisecond {
 			remedy = fmt.Sprintf("set answer to %v at most, or fewer attempts", left.Truncate(time.Millisecond))
 		}
 		add(key, what, cmp.Or(remedy, "set a shorter wait, or fewer attempts"))
@@ -387,25 +387,26 @@
 	}
 	slices.Sort(sorted)
 	for _, k := range set.Classes {
-		check(k, scope{class: k.Name}, func(n int) *Limit { return cmp.Or(limits.by[n][scope{class: k.Name}], limits.by[n][scope{}]) })
+		check(k, scope{class: k.Name}, func(n int) *Limit { return cmp.Or(limits.byKey[n][scope{class: k.Name}], limits.byKey[n][scope{}]) })
 		for _, d := range sorted {
-			check(k, scope{class: k.Name, dest: d, named: true}, func(n int) *Limit { return limits.of(n, k.Name, d, "") })
+			check(k, scope{class: k.Name, dest: d, hasDest: true}, func(n int) *Limit { return limits.rule(n, k.Name, d, "") })
 		}
 		for _, r := range c.limitedRoutes() {
-			if d := c.goalOf(r); len(r.Classes) == 0 || slices.Contains(r.Classes, k.Name) {
-				check(k, scope{class: k.Name, route: r.Name}, func(n int) *Limit { return limits.of(n, k.Name, d, r.Name) })
+			if d := c.destinationOf(r); len(r.Classes) == 0 || slices.Contains(r.Classes, k.Name) {
+				check(k, scope{class: k.Name, route: r.Name}, func(n int) *Limit { return limits.rule(n, k.Name, d, r.Name) })
 			}
 		}
 	}
 	return list
 }
 
-// checkCopy looks at a second copy of one class: it must be safe to repeat, and the copy must come to something.
-func (c *Config) checkCopy(set decide.Settings, k decide.Class, s scope, copied, attempts, answer *Limit, told map[string]bool, add func(key, what, remedy string)) {
-	key := "limits." + copied.Name + ".copy"
-	say := func(what, remedy string) {
-		if !told[key+what] {
-			told[key+what] = true
+// checkHedging checks hedged requests for one class: its messages must be safe to repeat, and the hedged request must have an
+// attempt left and be sent before the first attempt times out.
+func (c *Config) checkHedging(set decide.Settings, k decide.Class, s scope, hedge, attempts, answer *Limit, reported map[string]bool, add func(key, what, remedy string)) {
+	key := "limits." + hedge.Name + ".copy"
+	report := func(what, remedy string) {
+		if !reported[key+what] {
+			reported[key+what] = true
 			add(key, what, remedy)
 		}
 	}
@@ -414,12 +415,12 @@
 	}
 	switch {
 	case !set.Hedging:
-		say("the platform allows no second copies", "take copy out")
+		report("the platform allows no hedged requests", "remove copy")
 	case k.Effect != decide.Idempotent:
-		say(fmt.Sprintf("a second copy of a message of class %s could take effect twice, and the block holds for %s", k.Name, c.shown(s)), "name in it only classes that are safe to repeat")
+		report(fmt.Sprintf("a hedged request for a message of class %s could take effect twice, and the block applies to %s", k.Name, c.describeScope(s)), "name in it only classes that are safe to repeat")
 	case attempts != nil && attempts.MaxAttempts < 2:
-		say(fmt.Sprintf("a second copy is an attempt, and for %s one is allowed (%s)", c.shown(s), at(attempts, "attempts")), "allow two, or take copy out")
-	case answer != nil && answer.AttemptTimeout <= copied.HedgeDelay:
-		say(fmt.Sprintf("for %s the first call is given up after %v (%s), and the copy would go out after %v", c.shown(s), time.Duration(answer.AttemptTimeout), at(answer, "answer"), time.Duration(copied.HedgeDelay)), "set copy below answer")
+		report(fmt.Sprintf("a hedged request counts as an attempt, but only one is allowed for %s (%s)", c.describeScope(s), at(attempts, "attempts")), "allow two, or remove copy")
+	case answer != nil && answer.AttemptTimeout <= hedge.HedgeDelay:
+		report(fmt.Sprintf("for %s the first attempt times out after %v (%s), but the hedged request would be sent after %v", c.describeScope(s), time.Duration(answer.AttemptTimeout), at(answer, "answer"), time.Duration(hedge.HedgeDelay)), "set copy below answer")
 	}
 }
--- a/internal/operator/plugins.go
+++ b/internal/operator/plugins.go
@@ -12,29 +12,29 @@
 	"scaleroute/internal/plugin"
 )
 
-// Plugin is one plug-in: its code, which messages it is asked about, and what it may use.
+// Plugin configures one plug-in: its code, the messages that it is called for and the resources that it may use.
 type Plugin struct {
 	Name         string         `json:"name"`
-	Classes      []string       `json:"classes,omitempty"`      // none: all
-	Destinations []int          `json:"destinations,omitempty"` // none: all
+	Classes      []string       `json:"classes,omitempty"`      // empty: all
+	Destinations []int          `json:"destinations,omitempty"` // empty: all
 	Order        int            `json:"order,omitempty"`
 	File         string         `json:"file"`
 	Source       string         `json:"source"`
-	Points       []plugin.Point `json:"points"` // found in the source when it was compiled
+	Points       []plugin.Point `json:"points"` // the hooks that the compiler found in the source
 
 	Steps     int      `json:"steps"`
-	Time      Duration `json:"time"`   // for one answer, and as long again to wait for a process
+	Time      Duration `json:"time"`   // for one call; waiting for a free process may take as long again
 	Memory    int      `json:"memory"` // bytes
-	Output    int      `json:"output"` // bytes of a body
+	Output    int      `json:"output"` // largest body that it may return, in bytes
 	Processes int      `json:"processes"`
-	CPU       Duration `json:"cpu"`      // of each second
-	Failures  int      `json:"failures"` // costly ones in a row that open its circuit
-	Rest      Duration `json:"rest"`     // the circuit's first
+	CPU       Duration `json:"cpu"`      // CPU time per second
+	Failures  int      `json:"failures"` // costly failures in a row that open its circuit
+	Rest      Duration `json:"rest"`     // how long the circuit first stays open
 	OnFailure string   `json:"on_failure"`
-	Wait      Duration `json:"wait"` // what a client is told when its message is refused for a failure
+	Wait      Duration `json:"wait"` // the retry-after sent to a client whose message is refused because the plug-in failed
 }
 
-// DefaultPlugin has what holds where a plug-in does not set it.
+// DefaultPlugin returns the defaults of a plug-in.
 func DefaultPlugin() Plugin {
 	return Plugin{Steps: 1_000_000, Time: Duration(50 * time.Millisecond), Memory: 64 << 20, Output: plugin.MaxBody, Processes: 1,
 		CPU: Duration(200 * time.Millisecond), Failures: 5, Rest: Duration(time.Second), OnFailure: "refuse", Wait: Duration(time.Second)}
@@ -42,14 +42,14 @@
 
 // Bounds of plug-ins.
 const (
-	mostPlugins   = 32
-	mostProcesses = 32 // of all plug-ins together
-	// mostChain is the longest that all plug-ins may run for one message at one point. They may wait as long again for their
-	// processes, and a client waits 400 ms for its answer.
-	mostChain = 150 * time.Millisecond
+	maxPlugins         = 32
+	maxPluginProcesses = 32 // in all plug-ins together
+	// maxChainTime is the longest time that all plug-ins together may run for one message at one point. They may wait as long again
+	// for free processes, and a client waits 400 ms for its answer.
+	maxChainTime = 150 * time.Millisecond
 )
 
-// Spec is what the daemon runs.
+// Spec returns the plug-in in the form that the daemon runs.
 func (p *Plugin) Spec() plugin.Spec {
 	return plugin.Spec{Name: p.Name, Classes: p.Classes, Destinations: p.Destinations, Order: p.Order, Points: p.Points, File: p.File, Source: p.Source,
 		Steps: uint64(p.Steps), Time: time.Duration(p.Time), Memory: p.Memory, Output: p.Output, Processes: p.Processes,
@@ -57,7 +57,7 @@
 		Pass:      p.OnFailure == "pass", Wait: time.Duration(p.Wait)}
 }
 
-// Specs are those of all plug-ins.
+// Specs returns the specs of all plug-ins.
 func (c *Config) Specs() []plugin.Spec {
 	list := make([]plugin.Spec, len(c.Plugins))
 	for i := range c.Plugins {
@@ -66,7 +66,7 @@
 	return list
 }
 
-// PluginProcesses is how many processes all plug-ins have together.
+// PluginProcesses returns the number of processes of all plug-ins together.
 func (c *Config) PluginProcesses() (n int) {
 	for _, p := range c.Plugins {
 		n += p.Processes
@@ -75,71 +75,71 @@
 }
 
 func (c *Config) checkPlugins(add func(key, what, remedy string)) {
-	if len(c.Plugins) > mostPlugins {
-		add("plugin."+c.Plugins[mostPlugins].Name, fmt.Sprintf("%d plug-ins", len(c.Plugins)), fmt.Sprintf("set %d at most: one file can have code for several cases", mostPlugins))
+	if len(c.Plugins) > maxPlugins {
+		add("plugin."+c.Plugins[maxPlugins].Name, fmt.Sprintf("%d plug-ins", len(c.Plugins)), fmt.Sprintf("set %d at most: one file can handle several cases", maxPlugins))
 		return
 	}
-	named := map[string]bool{}
+	seen := map[string]bool{}
 	for i := range c.Plugins {
 		p := &c.Plugins[i]
 		key := "plugin." + p.Name
-		if named[p.Name] {
+		if seen[p.Name] {
 			add(key, fmt.Sprintf("there are two plug-ins %q", p.Name), "give each a name of its own")
 		}
-		named[p.Name] = true
+		seen[p.Name] = true
 		if p.Source == "" || len(p.Points) == 0 {
-			add(key+".file", fmt.Sprintf("the plug-in %q has no code", p.Name), "make the resolved file by scaleroutectl compile")
+			add(key+".file", fmt.Sprintf("the plug-in %q has no code", p.Name), "compile the configuration with scaleroutectl compile")
 		}
 		for _, point := range p.Points {
 			if !slices.Contains(plugin.Points, point) {
-				add(key+".file", fmt.Sprintf("there is no point %q", point), "make the resolved file by the scaleroutectl of the same version")
+				add(key+".file", fmt.Sprintf("there is no point %q", point), "compile the configuration with the scaleroutectl of the same version")
 			}
 		}
-		span := func(name string, d Duration, least, most time.Duration) {
-			if d < Duration(least) || d > Duration(most) {
-				add(key+"."+name, fmt.Sprintf("%s is %v", name, time.Duration(d)), fmt.Sprintf("set from %v to %v", least, most))
+		checkDuration := func(name string, d Duration, lo, hi time.Duration) {
+			if d < Duration(lo) || d > Duration(hi) {
+				add(key+"."+name, fmt.Sprintf("%s is %v", name, time.Duration(d)), fmt.Sprintf("set from %v to %v", lo, hi))
 			}
 		}
-		number := func(name string, n, least, most int) {
-			if n < least || n > most {
-				add(key+"."+name, fmt.Sprintf("%s is %d", name, n), fmt.Sprintf("set from %d to %d", least, most))
+		checkInt := func(name string, n, lo, hi int) {
+			if n < lo || n > hi {
+				add(key+"."+name, fmt.Sprintf("%s is %d", name, n), fmt.Sprintf("set from %d to %d", lo, hi))
 			}
 		}
-		number("order", p.Order, -1000, 1000)
-		number("steps", p.Steps, 1000, 100_000_000)
-		number("memory", p.Memory, 16<<20, 1<<30)
-		number("output", p.Output, 0, plugin.MaxBody)
-		number("processes", p.Processes, 1, 8)
-		number("failures", p.Failures, 1, 1000)
-		span("time", p.Time, time.Millisecond, mostChain)
-		span("cpu", p.CPU, time.Millisecond, 4*time.Second)
-		span("rest", p.Rest, 10*time.Millisecond, plugin.MaxRest)
-		span("wait", p.Wait, time.Millisecond, plugin.MaxWait)
+		checkInt("order", p.Order, -1000, 1000)
+		checkInt("steps", p.Steps, 1000, 100_000_000)
+		checkInt("memory", p.Memory, 16<<20, 1<<30)
+		checkInt("output", p.Output, 0, plugin.MaxBody)
+		checkInt("processes", p.Processes, 1, 8)
+		checkInt("failures", p.Failures, 1, 1000)
+		checkDuration("time", p.Time, time.Millisecond, maxChainTime)
+		checkDuration("cpu", p.CPU, time.Millisecond, 4*time.Second)
+		checkDuration("rest", p.Rest, 10*time.Millisecond, plugin.MaxRest)
+		checkDuration("wait", p.Wait, time.Millisecond, plugin.MaxWait)
 		if p.OnFailure != "refuse" && p.OnFailure != "pass" {
-			add(key+".on_failure", fmt.Sprintf("on_failure is %q", p.OnFailure), `choose "refuse" (the client comes again) or "pass" (the message goes on unaltered)`)
+			add(key+".on_failure", fmt.Sprintf("on_failure is %q", p.OnFailure), `choose "refuse" (the client retries) or "pass" (the message is processed unaltered)`)
 		}
 	}
-	if n := c.PluginProcesses(); n > mostProcesses {
-		add("plugin."+c.Plugins[len(c.Plugins)-1].Name+".processes", fmt.Sprintf("the plug-ins have %d processes together", n), fmt.Sprintf("set %d at most", mostProcesses))
+	if n := c.PluginProcesses(); n > maxPluginProcesses {
+		add("plugin."+c.Plugins[len(c.Plugins)-1].Name+".processes", fmt.Sprintf("the plug-ins have %d processes together", n), fmt.Sprintf("set %d at most", maxPluginProcesses))
 	}
-	c.checkMeetings(add)
+	c.checkPluginOverlaps(add)
 }
 
-// checkMeetings looks at plug-ins that are asked about the same messages: it must be said which is first, and all of them
-// together must be done in time.
-func (c *Config) checkMeetings(add func(key, what, remedy string)) {
+// checkPluginOverlaps checks plug-ins that are called for the same messages: their order must be unambiguous, and all of them
+// together must finish in time.
+func (c *Config) checkPluginOverlaps(add func(key, what, remedy string)) {
 	specs := c.Specs()
 	for i := range specs {
 		for j := range i {
 			if specs[i].Order == specs[j].Order && specs[i].Overlaps(&specs[j]) {
 				at := cmp.Or(c.Positions["plugin."+specs[j].Name], specs[j].Name)
-				add("plugin."+specs[i].Name, fmt.Sprintf("plug-ins %q and %q are asked about the same messages and have the same order", specs[j].Name, specs[i].Name),
-					fmt.Sprintf("set order in one of them: the lower one is asked first (the other: %s)", at))
+				add("plugin."+specs[i].Name, fmt.Sprintf("plug-ins %q and %q are called for the same messages and have the same order", specs[j].Name, specs[i].Name),
+					fmt.Sprintf("set order in one of them: the lower one is called first (the other: %s)", at))
 			}
 		}
 	}
-	told := map[string]bool{}
-	for _, k := range c.kinds() {
+	reported := map[string]bool{}
+	for _, k := range c.messageKinds() {
 		for _, point := range plugin.Points {
 			var all time.Duration
 			var names []string
@@ -150,18 +150,19 @@
 				}
 			}
 			list := strings.Join(names, ", ")
-			if all <= mostChain || len(names) < 2 || told[list] { // one alone has its own bound
+			if all <= maxChainTime || len(names) < 2 || reported[list] { // the time of a single plug-in is checked above
 				continue
 			}
-			told[list] = true
-			add("plugin."+names[len(names)-1]+".time", fmt.Sprintf("at %s the plug-ins %s may take %v together for one message, and as long again to wait for their processes; a client waits 400ms", point, list, all),
-				fmt.Sprintf("set their times to %v in all", mostChain))
+			reported[list] = true
+			add("plugin."+names[len(names)-1]+".time", fmt.Sprintf("at %s the plug-ins %s may take %v together for one message, and as long again to wait for processes; a client waits 400ms", point, list, all),
+				fmt.Sprintf("set their times to %v in all", maxChainTime))
 		}
 	}
 }
 
-// kinds are kinds of messages that plug-ins tell apart: each class and destination that one names, and one that none does.
-func (c *Config) kinds() (list []scope) {
+// messageKinds returns the scopes that plug-ins distinguish: each combination of the classes and destinations that a plug-in
+// names, and of one class and one destination that none names.
+func (c *Config) messageKinds() (list []scope) {
 	classes, dests := map[string]bool{"": true}, map[int]bool{-1 << 31: true}
 	for _, p := range c.Plugins {
 		for _, class := range p.Classes {
@@ -173,15 +174,15 @@
 	}
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
 		for _, d := range slices.Sorted(maps.Keys(dests)) {
-			list = append(list, scope{class: class, dest: d, named: true})
+			list = append(list, scope{class: class, dest: d, hasDest: true})
 		}
 	}
 	return list
 }
 
-// pluginsAgainst lists what the platform's classes don't allow: what goes out at each attempt anew could go out in two
-// versions, and only what is safe to repeat may.
-func (c *Config) pluginsAgainst(classes map[string]decide.Class, names []string, add func(key, what, remedy string)) {
+// checkPluginClasses checks plug-ins against the platform's classes. A plug-in that is called for each attempt could send two
+// versions of a message, which is allowed only for classes that are safe to repeat.
+func (c *Config) checkPluginClasses(classes map[string]decide.Class, names []string, add func(key, what, remedy string)) {
 	for _, p := range c.Plugins {
 		for _, name := range p.Classes {
 			if _, known := classes[name]; !known {
@@ -194,15 +195,15 @@
 		spec := p.Spec()
 		for _, name := range names {
 			if classes[name].Effect != decide.Idempotent && (len(p.Classes) == 0 || slices.Contains(p.Classes, name)) {
-				add("plugin."+p.Name, fmt.Sprintf("%s: its hook call alters what each attempt sends, and a message of class %s must not go out in two versions", spec.File, name),
+				add("plugin."+p.Name, fmt.Sprintf("%s: its hook call alters what each attempt sends, and a message of class %s must not be sent in two versions", spec.File, name),
 					"bind it to classes that are safe to repeat, or alter the message in the hook intake, whose result is kept")
 			}
 		}
 	}
 }
 
-// show is what a plug-in is, in one text: two are the same if it is.
-func (p *Plugin) show() string {
+// describe returns a one-line description; two plug-ins with the same description behave alike.
+func (p *Plugin) describe() string {
 	spec := p.Spec()
 	classes, dests := "every class", "every destination"
 	if len(p.Classes) > 0 {
@@ -216,16 +217,16 @@
 
 const noPlugin = "there is none"
 
-// diffPlugins lists the plug-ins that differ, by their names.
+// diffPlugins compares plug-ins by their names.
 func diffPlugins(old, new *Config) (list []Change) {
-	shown := func(c *Config) map[string]string {
+	describeAll := func(c *Config) map[string]string {
 		m := map[string]string{}
 		for i := range c.Plugins {
-			m[c.Plugins[i].Name] = c.Plugins[i].show()
+			m[c.Plugins[i].Name] = c.Plugins[i].describe()
 		}
 		return m
 	}
-	before, after := shown(old), shown(new)
+	before, after := describeAll(old), describeAll(new)
 	all := maps.Clone(before)
 	maps.Copy(all, after)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -237,7 +238,7 @@
 	return list
 }
 
-// explainPlugins lists the plug-ins that a message meets, in order.
+// explainPlugins lists the plug-ins that are called for a message, in order.
 func (c *Config) explainPlugins(class string, dest int) (list []Change) {
 	specs := c.Specs()
 	for _, point := range plugin.Points {
@@ -249,7 +250,7 @@
 		}
 		slices.SortFunc(bound, plugin.CompareOrder)
 		for _, s := range bound {
-			list = append(list, Change{Scope: scope{class: class, dest: dest, named: true}.String(), Key: "plugin at " + string(point), New: s.Name + " " + s.Digest(), NewPosition: c.Positions["plugin."+s.Name]})
+			list = append(list, Change{Scope: scope{class: class, dest: dest, hasDest: true}.String(), Key: "plugin at " + string(point), New: s.Name + " " + s.Digest(), NewPosition: c.Positions["plugin."+s.Name]})
 		}
 	}
 	return list
--- a/internal/operator/plugins_test.go
+++ b/internal/operator/plugins_test.go
@@ -13,12 +13,12 @@
 	"scaleroute/internal/route"
 )
 
-// TestNoUnsafePlugins generates sets of plug-ins, and walks over all messages that there can be: none is accepted in which two
-// would be asked in no stated order, a chain could outlast its client, or a message that must not take effect twice could go
-// out in two versions; and no other is refused.
-func TestNoUnsafePlugins(t *testing.T) {
+// TestCheckRejectsUnsafePlugins generates sets of plug-ins and goes through all possible messages. The checks must reject exactly the
+// sets in which two plug-ins are called in no defined order, a chain could run longer than its client waits, or a message that
+// must not take effect twice could be sent in two versions.
+func TestCheckRejectsUnsafePlugins(t *testing.T) {
 	set := decide.Settings{Classes: []decide.Class{{Name: "update"}, {Name: "handover", Effect: decide.AtMostOnce}}}
-	accepted, refused := 0, 0
+	accepted, rejected := 0, 0
 	check := func(t *rapid.T) {
 		c := Default()
 		for i := range rapid.IntRange(1, 4).Draw(t, "plug-ins") {
@@ -50,10 +50,10 @@
 		}
 		problems := append(c.Check(), c.CheckPlatform(set)...)
 		if unsafe != (len(problems) > 0) {
-			t.Fatalf("unsafe %v, and the checker says %+v of %+v", unsafe, problems, c.Plugins)
+			t.Fatalf("unsafe is %v, but the checks report %+v for %+v", unsafe, problems, c.Plugins)
 		}
 		if unsafe {
-			refused++
+			rejected++
 		} else {
 			accepted++
 		}
@@ -63,16 +63,16 @@
 			check(t)
 		}
 	})
-	if accepted == 0 || refused == 0 {
-		t.Errorf("%d accepted, %d refused: the test shows nothing", accepted, refused)
+	if accepted == 0 || rejected == 0 {
+		t.Errorf("%d accepted, %d rejected: the test needs both to be meaningful", accepted, rejected)
 	}
-	t.Logf("%d accepted, %d refused", accepted, refused)
+	t.Logf("%d accepted, %d rejected", accepted, rejected)
 }
 
-// TestPluginsInDiffAndExplain: a change of code or binding is named, one of file order is none; a message's plug-ins are listed in
-// the order in which it meets them.
+// TestPluginsInDiffAndExplain checks that Diff reports a change of code or of the messages that a plug-in is called for, but not
+// another order in the file, and that Explain lists the plug-ins of a message in the order in which they are called.
 func TestPluginsInDiffAndExplain(t *testing.T) {
-	file := func(source string, names ...string) *Config {
+	config := func(source string, names ...string) *Config {
 		c := Default()
 		for _, name := range names {
 			p := DefaultPlugin()
@@ -81,21 +81,21 @@
 		}
 		return c
 	}
-	if d := Diff(file("x", "a", "b"), file("x", "b", "a")); len(d) > 0 {
-		t.Errorf("the same in another order: %+v", d)
+	if d := Diff(config("x", "a", "b"), config("x", "b", "a")); len(d) > 0 {
+		t.Errorf("the same plug-ins in another order: %+v", d)
 	}
-	d := Diff(file("x", "a"), file("y", "a"))
+	d := Diff(config("x", "a"), config("y", "a"))
 	if len(d) != 1 || d[0].Scope != "plug-in a" || d[0].Old == d[0].New {
-		t.Errorf("other code: %+v", d)
+		t.Errorf("changed code: %+v", d)
 	}
-	if d := Diff(file("x"), file("x", "a")); len(d) != 1 || d[0].Old != noPlugin {
-		t.Errorf("one more: %+v", d)
+	if d := Diff(config("x"), config("x", "a")); len(d) != 1 || d[0].Old != noPlugin {
+		t.Errorf("added plug-in: %+v", d)
 	}
-	e, err := file("x", "a", "b").Explain(&route.Message{Class: "update", Destination: 1})
+	e, err := config("x", "a", "b").Explain(&route.Message{Class: "update", Destination: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n := len(e); n < 2 || !strings.HasPrefix(e[n-2].New, "b ") || !strings.HasPrefix(e[n-1].New, "a ") {
-		t.Errorf("%+v", e)
+		t.Errorf("the plug-ins are missing or in the wrong order: %+v", e)
 	}
 }
--- a/internal/operator/pools.go
+++ b/internal/operator/pools.go
@@ -14,31 +14,31 @@
 	"scaleroute/internal/engine"
 )
 
-// Pool is the endpoints of one destination that operators know, beside those that other sources tell of; or, without a
-// destination, a place of its own where only routes lead.
+// Pool holds the endpoints that operators configure for one destination, in addition to those from other sources. A pool
+// without a destination is a destination of its own that only routes lead to.
 type Pool struct {
 	Name        string         `json:"name"`
 	Destination *int           `json:"destination,omitempty"`
-	Discovered  bool           `json:"discovered,omitempty"` // discovery alone tells of the endpoints
-	Sender      string         `json:"sender,omitempty"`     // of the envelope, where endpoints take mail
-	Recipient   string         `json:"recipient,omitempty"`  // the same
-	Endpoints   []PoolEndpoint `json:"endpoints,omitempty"`  // by name: their order means nothing
+	Discovered  bool           `json:"discovered,omitempty"` // all endpoints come from discovery
+	Sender      string         `json:"sender,omitempty"`     // of the envelope, for endpoints that accept mail
+	Recipient   string         `json:"recipient,omitempty"`  // of the envelope, for endpoints that accept mail
+	Endpoints   []PoolEndpoint `json:"endpoints,omitempty"`  // sorted by name; their order has no effect
 }
 
-// HasMail tells whether an endpoint takes mail.
+// HasMail reports whether an endpoint of any pool accepts mail.
 func (c *Config) HasMail() bool {
 	return slices.ContainsFunc(c.Pools, func(p Pool) bool { return p.HasMail() })
 }
 
-// HasMail tells whether an endpoint of the pool takes mail.
+// HasMail reports whether an endpoint of the pool accepts mail.
 func (p *Pool) HasMail() bool {
 	return slices.ContainsFunc(p.Endpoints, func(e PoolEndpoint) bool { return e.Protocol != "" && e.Protocol != "http" })
 }
 
-// Protocols by which endpoints are called.
+// Protocols are the protocols by which endpoints can be called.
 var Protocols = []string{"http", engine.SMTP, engine.LMTP}
 
-// checkMail checks the addresses of an envelope.
+// checkMail checks the sender and the recipient of the envelope.
 func (p *Pool) checkMail(add func(key, what, remedy string)) {
 	for _, a := range []struct{ key, text string }{{"sender", p.Sender}, {"recipient", p.Recipient}} {
 		key := "pool." + p.Name + "." + a.key
@@ -46,15 +46,16 @@
 		case a.text == "" && p.HasMail():
 			add(key, fmt.Sprintf("the pool %q has endpoints that take mail, and no %s", p.Name, a.key), fmt.Sprintf(`write %s = "petitions@example.org"`, a.key))
 		case a.text != "" && !p.HasMail():
-			add(key, fmt.Sprintf("the pool %q has a %s, and no endpoint that takes mail", p.Name, a.key), `write protocol = "smtp" or "lmtp" in its endpoints, or take it out`)
+			add(key, fmt.Sprintf("the pool %q has a %s, and no endpoint that takes mail", p.Name, a.key), `write protocol = "smtp" or "lmtp" in its endpoints, or remove it`)
 		case a.text != "" && (err != nil || parsed.Address != a.text || strings.ContainsFunc(a.text, func(r rune) bool { return r <= ' ' || r > '~' || r == '<' || r == '>' || r == '"' }) || len(a.text) > 254):
-			add(key, fmt.Sprintf("%.80q is no mail address", a.text), "write a plain one of ASCII letters, such as petitions@example.org")
+			add(key, fmt.Sprintf("%.80q is not a mail address", a.text), "write a plain one of ASCII letters, such as petitions@example.org")
 		}
 	}
 }
 
-// DestinationNumber is the destination that a pool is: its own, or one worked out from its name, which no client can name and which is the same after
-// each restart, as the journal has it. Two names of one number are refused.
+// DestinationNumber returns the pool's destination or, if it has none, a negative number that is derived from its name. No client
+// can name such a number, and it is the same after each restart, since the journal stores it. Check rejects two pools whose names
+// result in the same number.
 func (p *Pool) DestinationNumber() int {
 	if p.Destination != nil {
 		return *p.Destination
@@ -64,41 +65,42 @@
 	return -1 - int(h.Sum32()>>1)
 }
 
-// show is a pool in words.
-func (p *Pool) show() string {
+// describe names the pool's destination or, if it has none, the pool.
+func (p *Pool) describe() string {
 	if p.Destination != nil {
 		return fmt.Sprintf("destination %d", *p.Destination)
 	}
 	return fmt.Sprintf("pool %q", p.Name)
 }
 
-// goal is a destination's number in words; the pools of nil are not known.
-func (c *Config) goal(number int) string {
+// describeDestination describes a destination, by the name of its pool if its number is derived from one. A nil Config knows no
+// pools.
+func (c *Config) describeDestination(number int) string {
 	if c != nil && number < 0 {
 		for i := range c.Pools {
 			if p := &c.Pools[i]; p.DestinationNumber() == number {
-				return p.show()
+				return p.describe()
 			}
 		}
 	}
 	return fmt.Sprintf("destination %d", number)
 }
 
-// PoolEndpoint is one of them. Its name is the same in all sources.
+// PoolEndpoint is an endpoint of a pool. Its name is the same in all sources.
 type PoolEndpoint struct {
 	Name     string `json:"name"`
-	Address  string `json:"address"` // an IP address and a port: no name is looked up
+	Address  string `json:"address"` // an IP address and a port; host names are not resolved
 	Zone     string `json:"zone,omitempty"`
-	Backup   bool   `json:"backup,omitempty"`   // only while the others of the destination fail or are away
-	Drain    bool   `json:"drain,omitempty"`    // finishes what it has, and gets nothing new
-	Protocol string `json:"protocol,omitempty"` // http (empty is the same), smtp or lmtp
-	Weight   int    `json:"weight,omitempty"`   // its part of the calls, against the others of the pool; 0 is 1
+	Backup   bool   `json:"backup,omitempty"`   // used only while the other endpoints of the destination fail or are absent
+	Drain    bool   `json:"drain,omitempty"`    // finishes its calls and gets no new ones
+	Protocol string `json:"protocol,omitempty"` // http (also if empty), smtp or lmtp
+	Weight   int    `json:"weight,omitempty"`   // its share of the calls relative to the other endpoints of the pool; 0 means 1
 }
 
 const (
-	mostEndpoints = 100_000 // of all pools
-	mostName      = 255     // bytes
-	mostWeight    = 1000
+	maxEndpoints = 100_000 // in all pools
+	maxNameLen   = 255     // bytes
+	maxWeight    = 1000
 )
 
 func (c *Config) checkPools(add func(key, what, remedy string)) {
@@ -116,7 +118,7 @@
 			add(key+".destination", fmt.Sprintf("destination %d has the pool %q too", *p.Destination, other),
 				fmt.Sprintf("put all its endpoints into one (the other: %s)", cmp.Or(c.Positions["pool."+other], other)))
 		case twice && other != p.Name:
-			add(key, fmt.Sprintf("the pools %q and %q can't be told apart in the journal: their names come to one number", other, p.Name), "give one of them another name")
+			add(key, fmt.Sprintf("the pools %q and %q can't be told apart in the journal: both names result in the same destination number", other, p.Name), "give one of them another name")
 		}
 		dests[p.DestinationNumber()] = p.Name
 		if p.Destination != nil && *p.Destination < 0 {
@@ -124,11 +126,11 @@
 		}
 		switch {
 		case p.Discovered && p.Destination == nil:
-			add(key, fmt.Sprintf("the pool %q is discovery's, and of no destination", p.Name), "write destination = 7 for the group that discovery lists")
+			add(key, fmt.Sprintf("the pool %q takes its endpoints from discovery and has no destination", p.Name), "write destination = 7 for the group that discovery lists")
 		case p.Discovered && len(p.Endpoints) > 0:
-			add(key, fmt.Sprintf("the pool %q is discovery's, and has endpoints of its own", p.Name), `take source = "discovery" out: endpoints and those of discovery are put together`)
+			add(key, fmt.Sprintf("the pool %q takes its endpoints from discovery and has endpoints of its own", p.Name), `remove source = "discovery": the endpoints of a pool and those of discovery are merged`)
 		case !p.Discovered && len(p.Endpoints) == 0:
-			add(key, fmt.Sprintf("the pool %q has no endpoint", p.Name), `write endpoint "NAME" { address = "10.0.0.7:8080" }, or take the pool out`)
+			add(key, fmt.Sprintf("the pool %q has no endpoint", p.Name), `write endpoint "NAME" { address = "10.0.0.7:8080" }, or remove the pool`)
 		}
 		p.checkMail(add)
 		addresses, primary := map[string]string{}, false
@@ -136,38 +138,38 @@
 			at := key + "." + e.Name
 			total++
 			primary = primary || !e.Backup
-			if e.Name == "" || len(e.Name) > mostName {
-				add(at, fmt.Sprintf("%.40q is no name of an endpoint", e.Name), fmt.Sprintf("give it one of %d bytes at most", mostName))
+			if e.Name == "" || len(e.Name) > maxNameLen {
+				add(at, fmt.Sprintf("%.40q is not a valid name of an endpoint", e.Name), fmt.Sprintf("choose one of 1 to %d bytes", maxNameLen))
 			}
 			if other, twice := names[e.Name]; twice {
-				add(at, fmt.Sprintf("there are two endpoints %q", e.Name), fmt.Sprintf("give each a name of its own: an endpoint is known by it (the other: %s)", cmp.Or(c.Positions[other], other)))
+				add(at, fmt.Sprintf("there are two endpoints %q", e.Name), fmt.Sprintf("give each a name of its own: an endpoint is identified by it (the other: %s)", cmp.Or(c.Positions[other], other)))
 			}
 			names[e.Name] = at
 			if e.Protocol != "" && !slices.Contains(Protocols, e.Protocol) {
 				add(at+".protocol", fmt.Sprintf("there is no protocol %q", e.Protocol), SuggestName(e.Protocol, Protocols))
 			}
-			if e.Weight < 0 || e.Weight > mostWeight {
-				add(at+".weight", fmt.Sprintf("weight is %d", e.Weight), fmt.Sprintf("set from 1 to %d", mostWeight))
+			if e.Weight < 0 || e.Weight > maxWeight {
+				add(at+".weight", fmt.Sprintf("weight is %d", e.Weight), fmt.Sprintf("set from 1 to %d", maxWeight))
 			}
 			a, err := netip.ParseAddrPort(e.Address)
 			if err != nil || a.Port() == 0 {
-				add(at+".address", fmt.Sprintf("%.80q is no address", e.Address), `write an IP address and a port, such as "10.0.0.7:8080" or "[fd00::7]:8080": no name is looked up`)
+				add(at+".address", fmt.Sprintf("%.80q is not an address", e.Address), `write an IP address and a port, such as "10.0.0.7:8080" or "[fd00::7]:8080": no name is looked up`)
 			}
 			if other, twice := addresses[a.String()]; twice && err == nil {
-				add(at+".address", fmt.Sprintf("%s is %q already", e.Address, other), "take one of the two out: both would get calls as if they were two")
+				add(at+".address", fmt.Sprintf("%s is %q already", e.Address, other), "remove one of them: each would get calls as a separate endpoint")
 			}
 			addresses[a.String()] = e.Name
 		}
 		if len(p.Endpoints) > 0 && !primary {
-			add(key, fmt.Sprintf("the pool %q has backups only", p.Name), "take backup = true from one of them: a backup stands in for others")
+			add(key, fmt.Sprintf("the pool %q has backups only", p.Name), "remove backup = true from one of them: a backup is used only in place of others")
 		}
 	}
-	if total > mostEndpoints {
-		add("pool."+c.Pools[len(c.Pools)-1].Name, fmt.Sprintf("the pools have %d endpoints", total), fmt.Sprintf("set %d at most", mostEndpoints))
+	if total > maxEndpoints {
+		add("pool."+c.Pools[len(c.Pools)-1].Name, fmt.Sprintf("the pools have %d endpoints", total), fmt.Sprintf("set %d at most", maxEndpoints))
 	}
 }
 
-// Endpoints is what all pools tell, as a source of endpoints.
+// Endpoints returns the endpoints of all pools as the snapshot of one source.
 func (c *Config) Endpoints() engine.List {
 	l := engine.List{Scope: decide.Snapshot}
 	for _, p := range c.Pools {
@@ -187,41 +189,41 @@
 	return l
 }
 
-// show is an endpoint in one text.
-func (e PoolEndpoint) show(p *Pool) string {
-	words := []string{e.Address + " for " + strings.TrimPrefix(p.show(), "destination ")}
+// describe returns a one-line description of the endpoint; Diff compares these.
+func (e PoolEndpoint) describe(p *Pool) string {
+	parts := []string{e.Address + " for " + strings.TrimPrefix(p.describe(), "destination ")}
 	if e.Protocol != "" && e.Protocol != "http" {
-		words = append(words, fmt.Sprintf("by %s from %s to %s", e.Protocol, p.Sender, p.Recipient))
+		parts = append(parts, fmt.Sprintf("by %s from %s to %s", e.Protocol, p.Sender, p.Recipient))
 	}
 	if e.Zone != "" {
-		words = append(words, "in zone "+e.Zone)
+		parts = append(parts, "in zone "+e.Zone)
 	}
 	if e.Backup {
-		words = append(words, "as a backup")
+		parts = append(parts, "as a backup")
 	}
 	if e.Weight > 1 {
-		words = append(words, fmt.Sprint("of weight ", e.Weight))
+		parts = append(parts, fmt.Sprint("of weight ", e.Weight))
 	}
 	if e.Drain {
-		words = append(words, "draining")
+		parts = append(parts, "draining")
 	}
-	return strings.Join(words, " ")
+	return strings.Join(parts, " ")
 }
 
-// diffPools lists the endpoints that differ, by their names: which pool has them means nothing.
+// diffPools compares endpoints by their names; which pool contains them has no effect.
 func diffPools(old, new *Config) (list []Change) {
-	type one struct{ shown, at string }
-	by := func(c *Config) map[string]one {
-		m := map[string]one{}
+	type described struct{ shown, at string }
+	byName := func(c *Config) map[string]described {
+		m := map[string]described{}
 		for i := range c.Pools {
 			p := &c.Pools[i]
 			for _, e := range p.Endpoints {
-				m[e.Name] = one{e.show(p), c.Positions["pool."+p.Name+"."+e.Name]}
+				m[e.Name] = described{e.describe(p), c.Positions["pool."+p.Name+"."+e.Name]}
 			}
 		}
 		return m
 	}
-	before, after := by(old), by(new)
+	before, after := byName(old), byName(new)
 	all := maps.Clone(before)
 	maps.Copy(all, after)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -233,6 +235,7 @@
 	return list
 }
 
+// explainPool lists the endpoints that operators have configured for a destination.
 func (c *Config) explainPool(dest int) (list []Change) {
 	for i := range c.Pools {
 		p := &c.Pools[i]
@@ -240,7 +243,7 @@
 			continue
 		}
 		for _, e := range p.Endpoints {
-			list = append(list, Change{Scope: p.show(), Key: "endpoint " + e.Name, New: e.show(p), NewPosition: c.Positions["pool."+p.Name+"."+e.Name]})
+			list = append(list, Change{Scope: p.describe(), Key: "endpoint " + e.Name, New: e.describe(p), NewPosition: c.Positions["pool."+p.Name+"."+e.Name]})
 		}
 	}
 	return list
