--- a/internal/opfile/fleet.go
+++ b/internal/opfile/fleet.go
@@ -11,21 +11,21 @@
 	"scaleroute/internal/operator"
 )
 
-// fleet takes the one block of that kind.
+// fleet evaluates the fleet block; only one is allowed.
 func (l *loader) fleet(block *hclsyntax.Block) {
 	if len(block.Labels) > 0 {
 		l.fail(block.DefRange(), "fleet takes no name", "Write fleet { ... }.")
 	}
-	if at, twice := l.places["fleet"]; twice {
-		l.fail(block.DefRange(), "there are two blocks fleet", "The other is at "+place(at)+". Make them one.")
+	if at, exists := l.positions["fleet"]; exists {
+		l.fail(block.DefRange(), "there are two fleet blocks", "The other is at "+position(at)+". Merge them.")
 		return
 	}
-	l.places["fleet"] = block.DefRange()
-	l.known(block.Body, "fleet", "ledger", "fence", "unheard", "share", "gossip*")
+	l.positions["fleet"] = block.DefRange()
+	l.checkNames(block.Body, "fleet", "ledger", "fence", "unheard", "share", "gossip*")
 	f := &operator.Fleet{}
 	for _, name := range slices.Sorted(maps.Keys(block.Body.Attributes)) {
 		a := block.Body.Attributes[name]
-		l.places["fleet."+name] = a.Expr.Range()
+		l.positions["fleet."+name] = a.Expr.Range()
 		switch name {
 		case "ledger":
 			if n, ok := l.size(a); ok {
@@ -36,7 +36,7 @@
 		case "unheard":
 			f.DiscoveryWait, _ = l.duration(a)
 		case "share":
-			if v, ok := l.value(a); ok && v.Type() != cty.Number {
+			if v, ok := l.evaluate(a); ok && v.Type() != cty.Number {
 				l.fail(a.Expr.Range(), "share is a number", "Write share = 0.2 for a fifth.")
 			} else if ok {
 				f.MaxFencedShare, _ = new(big.Float).Copy(v.AsBigFloat()).Float64()
@@ -48,21 +48,21 @@
 			continue
 		}
 		if f.Gossip != nil {
-			l.fail(b.DefRange(), "fleet has two blocks gossip", "Make them one.")
+			l.fail(b.DefRange(), "fleet has two gossip blocks", "Merge them.")
 		}
-		l.places["fleet.gossip"] = b.DefRange()
-		l.known(b.Body, "gossip", "listen", "advertise", "join", "key_file")
+		l.positions["fleet.gossip"] = b.DefRange()
+		l.checkNames(b.Body, "gossip", "listen", "advertise", "join", "key_file")
 		f.Gossip = &operator.Gossip{}
 		for _, name := range slices.Sorted(maps.Keys(b.Body.Attributes)) {
 			a := b.Body.Attributes[name]
-			l.places["fleet.gossip."+name] = a.Expr.Range()
+			l.positions["fleet.gossip."+name] = a.Expr.Range()
 			switch name {
 			case "listen":
 				f.Gossip.Listen, _ = l.text(a)
 			case "advertise":
 				f.Gossip.Advertise, _ = l.text(a)
 			case "join":
-				f.Gossip.Join = l.names(a, `["10.0.0.4:7946"]`)
+				f.Gossip.Join = l.stringSet(a, `["10.0.0.4:7946"]`)
 			case "key_file":
 				f.Gossip.KeyFile, _ = l.text(a)
 			}
@@ -74,5 +74,5 @@
 	if f.Gossip != nil && block.Body.Attributes["share"] == nil {
 		f.MaxFencedShare = operator.DefaultMaxFencedShare
 	}
-	l.fleetSet = f
+	l.fleetConfig = f
 }
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -1,6 +1,6 @@
-// Package opfile reads the operators' file: HCL, with includes, declared environment variables and units. It makes the
-// resolved form of package operator, and says all that is wrong at once, each with file, line, excerpt and remedy. The reference
-// is docs/configuration.md.
+// Package opfile reads the operators' configuration files: HCL with includes, declared environment variables and units. It
+// compiles them to the resolved form of package operator and reports all findings at once, each with file, line, excerpt and
+// remedy. The reference is docs/configuration.md.
 package opfile
 
 import (
@@ -26,29 +26,30 @@
 )
 
 const (
-	mostFiles = 10_000
-	mostBytes = 16 << 20 // of one file
+	maxFiles     = 10_000
+	maxFileBytes = 16 << 20 // per file
 )
 
-// Result is what reading a file came to.
+// Result is the outcome of reading a file and its includes.
 type Result struct {
 	Config *operator.Config // nil if there are errors
 	Diags  hcl.Diagnostics
-	Files  map[string]*hcl.File // that were read, for excerpts
+	Files  map[string]*hcl.File // all files that were read, for excerpts in findings
 }
 
-// Load reads a file and what it includes. The error is about the first file alone, if it can't be read at all.
+// Load reads a file and its includes. It returns an error only if the first file can't be accessed; all other findings are in
+// Result.Diags.
 func Load(path string, getenv func(string) (string, bool)) (*Result, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
-	l := &loader{getenv: getenv, files: map[string]*hcl.File{}, bodies: map[string]bool{},
-		env: map[string]cty.Value{}, envAt: map[string]hcl.Range{}, set: map[string]setting{}, places: map[string]hcl.Range{}}
+	l := &loader{getenv: getenv, files: map[string]*hcl.File{}, visited: map[string]bool{},
+		env: map[string]cty.Value{}, envPositions: map[string]hcl.Range{}, settings: map[string]setting{}, positions: map[string]hcl.Range{}}
 	l.read(path, nil, nil)
-	for _, b := range l.order { // declared anywhere, used anywhere
+	for _, b := range l.bodies { // first all declarations, since any file may use them
 		l.declare(b)
 	}
-	for _, b := range l.order {
+	for _, b := range l.bodies {
 		l.body(b)
 	}
 	c := l.resolve()
@@ -66,26 +67,26 @@
 }
 
 type setting struct {
-	value any
-	at    hcl.Range
+	value    any
+	position hcl.Range
 }
 
 type loader struct {
-	getenv     func(string) (string, bool)
-	files      map[string]*hcl.File
-	bodies     map[string]bool // by the file's own path, links followed
-	order      []*hclsyntax.Body
-	env        map[string]cty.Value
-	envAt      map[string]hcl.Range
-	set        map[string]setting
-	limits     []operator.Limit
-	pools      []operator.Pool
-	routes     []operator.Route
-	plugins    []operator.Plugin
-	fleetSet   *operator.Fleet
-	controlSet *operator.Control
-	places     map[string]hcl.Range // of blocks and their keys
-	diags      hcl.Diagnostics
+	getenv        func(string) (string, bool)
+	files         map[string]*hcl.File
+	visited       map[string]bool // by the absolute path of the file with symbolic links resolved
+	bodies        []*hclsyntax.Body
+	env           map[string]cty.Value
+	envPositions  map[string]hcl.Range
+	settings      map[string]setting
+	limits        []operator.Limit
+	pools         []operator.Pool
+	routes        []operator.Route
+	plugins       []operator.Plugin
+	fleetConfig   *operator.Fleet
+	controlConfig *operator.Control
+	positions     map[string]hcl.Range // of blocks and their keys, by key path
+	diags         hcl.Diagnostics
 }
 
 func (l *loader) fail(at hcl.Range, what, remedy string) {
@@ -96,32 +97,33 @@
 	l.diags = append(l.diags, &hcl.Diagnostic{Severity: hcl.DiagWarning, Summary: what, Detail: remedy, Subject: at.Ptr()})
 }
 
-// read reads a file and those that it includes, each once. chain has those that led to it.
+// read reads a file and the files that it includes, each of them once. chain contains the files whose includes led to it, and
+// from is the position of the last include.
 func (l *loader) read(path string, chain []string, from *hcl.Range) {
 	at := hcl.Range{Filename: path, Start: hcl.InitialPos, End: hcl.InitialPos}
 	if from != nil {
 		at = *from
 	}
-	own, err := filepath.EvalSymlinks(path)
+	realPath, err := filepath.EvalSymlinks(path)
 	if err == nil {
-		own, err = filepath.Abs(own)
+		realPath, err = filepath.Abs(realPath)
 	}
 	if err != nil {
 		l.fail(at, "a file can't be read", err.Error())
 		return
 	}
-	if i := slices.Index(chain, own); i >= 0 {
-		l.fail(at, "files include each other in a circle", strings.Join(append(slices.Clone(chain[i:]), own), "\n  includes ")+"\nTake one of these includes out.")
+	if i := slices.Index(chain, realPath); i >= 0 {
+		l.fail(at, "files include each other in a cycle", strings.Join(append(slices.Clone(chain[i:]), realPath), "\n  includes ")+"\nRemove one of these includes.")
 		return
 	}
-	if l.bodies[own] {
+	if l.visited[realPath] {
 		return
 	}
-	if len(l.bodies) >= mostFiles {
-		l.fail(at, fmt.Sprintf("more than %d files", mostFiles), "Is an include's pattern wider than meant?")
+	if len(l.visited) >= maxFiles {
+		l.fail(at, fmt.Sprintf("more than %d files", maxFiles), "Does the pattern of an include match more than intended?")
 		return
 	}
-	l.bodies[own] = true
+	l.visited[realPath] = true
 	text, err := readFile(path)
 	if err != nil {
 		l.fail(at, "a file can't be read", err.Error())
@@ -134,11 +136,11 @@
 	if !ok {
 		return
 	}
-	chain = append(slices.Clone(chain), own)
+	chain = append(slices.Clone(chain), realPath)
 	if a := body.Attributes["include"]; a != nil {
 		l.include(path, a, chain)
 	}
-	l.order = append(l.order, body)
+	l.bodies = append(l.bodies, body)
 }
 
 func readFile(path string) ([]byte, error) {
@@ -146,8 +148,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if !info.Mode().IsRegular() || info.Size() > mostBytes {
-		return nil, fmt.Errorf("%s is no plain file of %d MiB at most", path, mostBytes>>20)
+	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s is not a regular file of at most %d MiB", path, maxFileBytes>>20)
 	}
 	text, err := os.ReadFile(path)
 	if err == nil && !utf8.Valid(text) {
@@ -174,7 +176,7 @@
 	if diags.HasErrors() {
 		return
 	}
-	patterns, ok := texts(v)
+	patterns, ok := stringList(v)
 	if !ok {
 		l.fail(a.Expr.Range(), "include takes files", `Write include = ["pools.hcl", "routes/*.hcl"].`)
 		return
@@ -188,11 +190,11 @@
 		found, err := filepath.Glob(full)
 		switch {
 		case err != nil:
-			l.fail(at, fmt.Sprintf("%q is no pattern", p), err.Error())
+			l.fail(at, fmt.Sprintf("%q is not a valid pattern", p), err.Error())
 		case len(found) == 0 && strings.ContainsAny(p, "*?["):
-			l.warn(at, fmt.Sprintf("no file fits %q", p), "Nothing is included by it. It is read from the folder of the including file.")
+			l.warn(at, fmt.Sprintf("no file matches %q", p), "Nothing is included. Patterns are relative to the folder of the including file.")
 		case len(found) == 0:
-			l.fail(at, fmt.Sprintf("there is no file %q", p), "It is looked for in the folder of the including file: "+filepath.Dir(path))
+			l.fail(at, fmt.Sprintf("there is no file %q", p), "Paths are relative to the folder of the including file: "+filepath.Dir(path))
 		}
 		slices.Sort(found)
 		for _, f := range found {
@@ -201,7 +203,8 @@
 	}
 }
 
-func texts(v cty.Value) (list []string, ok bool) {
+// stringList returns the strings of a list, or one string as a list of one.
+func stringList(v cty.Value) (list []string, ok bool) {
 	if v.IsNull() || !v.IsWhollyKnown() {
 		return nil, false
 	}
@@ -220,7 +223,7 @@
 	return list, true
 }
 
-// declare takes the variables of the environment that a file names.
+// declare evaluates the env blocks of a file.
 func (l *loader) declare(b *hclsyntax.Body) {
 	for _, block := range b.Blocks {
 		if block.Type != "env" {
@@ -231,31 +234,31 @@
 			continue
 		}
 		name := block.Labels[0]
-		if at, twice := l.envAt[name]; twice {
-			l.fail(block.DefRange(), fmt.Sprintf("env %q is declared twice", name), fmt.Sprintf("It is declared at %s too.", place(at)))
+		if at, exists := l.envPositions[name]; exists {
+			l.fail(block.DefRange(), fmt.Sprintf("env %q is declared twice", name), fmt.Sprintf("The other declaration is at %s.", position(at)))
 			continue
 		}
-		l.envAt[name] = block.DefRange()
-		l.known(block.Body, "env", "default")
-		value, there := l.getenv(name)
-		if a := block.Body.Attributes["default"]; !there && a != nil {
+		l.envPositions[name] = block.DefRange()
+		l.checkNames(block.Body, "env", "default")
+		value, found := l.getenv(name)
+		if a := block.Body.Attributes["default"]; !found && a != nil {
 			v, diags := a.Expr.Value(nil)
 			l.diags = append(l.diags, diags...)
 			if diags.HasErrors() || v.IsNull() || v.Type() != cty.String {
 				l.fail(a.Expr.Range(), "a default is a text", `Write default = "...".`)
 				continue
 			}
-			value, there = v.AsString(), true
+			value, found = v.AsString(), true
 		}
-		if !there {
+		if !found {
 			l.fail(block.DefRange(), fmt.Sprintf("%s is not set in the environment", name), "Set it, or give it a default.")
 		}
 		l.env[name] = cty.StringVal(value)
 	}
 }
 
-// known says what is not: each key and block that a body has beside those named; blocks have an asterisk.
-func (l *loader) known(b *hclsyntax.Body, where string, names ...string) {
+// checkNames reports each key and block of a body that is not among the names. Names of blocks end in an asterisk.
+func (l *loader) checkNames(b *hclsyntax.Body, where string, names ...string) {
 	var keys, blocks []string
 	for _, n := range names {
 		if block, yes := strings.CutSuffix(n, "*"); yes {
@@ -266,26 +269,28 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.Attributes)) {
 		if !slices.Contains(keys, name) {
-			l.fail(b.Attributes[name].NameRange, fmt.Sprintf("%s has no key %q", where, name), nearest(name, keys))
+			l.fail(b.Attributes[name].NameRange, fmt.Sprintf("%s has no key %q", where, name), suggest(name, keys))
 		}
 	}
 	for _, block := range b.Blocks {
 		if !slices.Contains(blocks, block.Type) {
-			l.fail(block.TypeRange, fmt.Sprintf("%s has no block %q", where, block.Type), nearest(block.Type, blocks))
+			l.fail(block.TypeRange, fmt.Sprintf("%s has no block %q", where, block.Type), suggest(block.Type, blocks))
 		}
 	}
 }
 
-func nearest(name string, known []string) string { return sentence(operator.SuggestName(name, known)) }
+func suggest(name string, known []string) string {
+	return asSentence(operator.SuggestName(name, known))
+}
 
-func place(at hcl.Range) string { return fmt.Sprintf("%s:%d", at.Filename, at.Start.Line) }
+func position(at hcl.Range) string { return fmt.Sprintf("%s:%d", at.Filename, at.Start.Line) }
 
-// body takes what one file sets.
+// body evaluates the settings of one file.
 func (l *loader) body(b *hclsyntax.Body) {
-	l.known(b, "a file", "include", "env*", "journal*", "limits*", "pool*", "route*", "plugin*", "plugins*", "fleet*", "control*", "unrouted")
+	l.checkNames(b, "a file", "include", "env*", "journal*", "limits*", "pool*", "route*", "plugin*", "plugins*", "fleet*", "control*", "unrouted")
 	if a := b.Attributes["unrouted"]; a != nil {
 		if v, ok := l.text(a); ok {
-			l.put("unrouted", v, a.Expr.Range())
+			l.setOnce("unrouted", v, a.Expr.Range())
 		}
 	}
 	for _, block := range b.Blocks {
@@ -303,10 +308,10 @@
 		case "control":
 			l.control(block)
 		case "plugins":
-			l.known(block.Body, "plugins", "status")
+			l.checkNames(block.Body, "plugins", "status")
 			if a := block.Body.Attributes["status"]; a != nil {
 				if v, ok := l.text(a); ok {
-					l.put("plugin_status", v, a.Expr.Range())
+					l.setOnce("plugin_status", v, a.Expr.Range())
 				}
 			}
 		}
@@ -316,74 +321,74 @@
 		if len(block.Labels) > 0 {
 			l.fail(block.DefRange(), "journal takes no name", "Write journal { ... }.")
 		}
-		l.known(block.Body, "journal", "durability", "sync_every")
+		l.checkNames(block.Body, "journal", "durability", "sync_every")
 		for _, name := range slices.Sorted(maps.Keys(block.Body.Attributes)) {
 			switch a := block.Body.Attributes[name]; name {
 			case "durability":
 				if v, ok := l.text(a); ok {
-					l.put("journal.durability", v, a.Expr.Range())
+					l.setOnce("journal.durability", v, a.Expr.Range())
 				}
 			case "sync_every":
 				if v, ok := l.duration(a); ok {
-					l.put("journal.sync_every", v, a.Expr.Range())
+					l.setOnce("journal.sync_every", v, a.Expr.Range())
 				}
 			}
 		}
 	}
 }
 
-// limit takes one block of limits.
+// limit evaluates one limits block.
 func (l *loader) limit(block *hclsyntax.Block) {
 	if len(block.Labels) != 1 {
 		l.fail(block.DefRange(), "limits take one name", `Write limits "NAME" { ... }.`)
 		return
 	}
-	l.known(block.Body, "limits", "classes", "destinations", "pools", "routes", "attempts", "answer", "whole", "held", "connect", "wait", "copy", "out", "rate", "ratio")
-	rule, wrong := operator.Limit{Name: block.Labels[0]}, len(l.diags)
+	l.checkNames(block.Body, "limits", "classes", "destinations", "pools", "routes", "attempts", "answer", "whole", "held", "connect", "wait", "copy", "out", "rate", "ratio")
+	rule, findingsBefore := operator.Limit{Name: block.Labels[0]}, len(l.diags)
 	key := "limits." + rule.Name
-	if at, twice := l.places[key]; twice {
-		l.fail(block.DefRange(), fmt.Sprintf("there are two limits %q", rule.Name), fmt.Sprintf("The other is at %s. Give each a name of its own.", place(at)))
+	if at, exists := l.positions[key]; exists {
+		l.fail(block.DefRange(), fmt.Sprintf("there are two limits %q", rule.Name), fmt.Sprintf("The other is at %s. Give each a name of its own.", position(at)))
 		return
 	}
-	l.places[key] = block.DefRange()
+	l.positions[key] = block.DefRange()
 	for _, name := range slices.Sorted(maps.Keys(block.Body.Attributes)) {
 		a := block.Body.Attributes[name]
 		at := a.Expr.Range()
-		l.places[key+"."+name] = at
+		l.positions[key+"."+name] = at
 		switch name {
 		case "classes", "destinations":
-			l.bound(a, &rule.Classes, &rule.Destinations)
+			l.classesOrDestinations(a, &rule.Classes, &rule.Destinations)
 		case "pools":
-			rule.Pools = l.names(a, `["tartu"]`)
+			rule.Pools = l.stringSet(a, `["tartu"]`)
 		case "routes":
-			rule.Routes = l.names(a, `["handovers of tartu"]`)
+			rule.Routes = l.stringSet(a, `["handovers of tartu"]`)
 		case "attempts", "held", "out":
 			if n, ok := l.number(a, positiveNumber, 2); ok {
 				*map[string]*int{"attempts": &rule.MaxAttempts, "held": &rule.MaxQueued, "out": &rule.MaxInFlight}[name] = n
 			}
 		case "answer", "whole", "connect", "wait", "copy":
 			if d, ok := l.duration(a); ok && d == 0 {
-				l.fail(at, name+" needs time", fmt.Sprintf(`Write %s = "800ms".`, name))
+				l.fail(at, name+" can't be zero", fmt.Sprintf(`Write %s = "800ms".`, name))
 			} else if ok {
 				*map[string]*operator.Duration{"answer": &rule.AttemptTimeout, "whole": &rule.TotalTimeout, "connect": &rule.ConnectTimeout, "wait": &rule.RetryDelay, "copy": &rule.HedgeDelay}[name] = d
 			}
 		case "rate":
 			rule.MaxRate = l.rate(a)
 		case "ratio":
-			if v, ok := l.value(a); ok && v.Type() == cty.Number {
+			if v, ok := l.evaluate(a); ok && v.Type() == cty.Number {
 				rule.MaxRetryRatio, _ = v.AsBigFloat().Float64()
 			}
 			if rule.MaxRetryRatio <= 0 {
-				l.fail(at, "ratio is a share", "Write ratio = 0.1 for one further try in ten first ones.")
+				l.fail(at, "ratio is a positive number", "Write ratio = 0.1 for one retry per ten first attempts.")
 			}
 		}
 	}
-	if len(l.diags) == wrong {
+	if len(l.diags) == findingsBefore {
 		l.limits = append(l.limits, rule)
 	}
 }
 
-// numberKind is what a whole number may be.
+// numberKind is a range of whole numbers that a key accepts.
 type numberKind struct {
 	min  int
 	name string
@@ -394,13 +399,13 @@
 	positiveNumber = numberKind{1, "a whole number, 1 or more"}
 )
 
-// number reads a whole number; a remedy names the example.
+// number evaluates a whole number. The remedy of a finding contains the example.
 func (l *loader) number(a *hclsyntax.Attribute, kind numberKind, example int) (int, bool) {
-	v, ok := l.value(a)
+	v, ok := l.evaluate(a)
 	if !ok {
 		return 0, false
 	}
-	list, ok := numbers(cty.TupleVal([]cty.Value{v}))
+	list, ok := intList(cty.TupleVal([]cty.Value{v}))
 	if !ok || list[0] < kind.min {
 		l.fail(a.Expr.Range(), a.Name+" is "+kind.name, fmt.Sprintf("Write %s = %d.", a.Name, example))
 		return 0, false
@@ -408,8 +413,8 @@
 	return list[0], true
 }
 
-// numbers reads a list of whole numbers of 32 bits.
-func numbers(v cty.Value) (list []int, ok bool) {
+// intList returns the elements of a list of 32-bit whole numbers.
+func intList(v cty.Value) (list []int, ok bool) {
 	if v.IsNull() || !v.IsWhollyKnown() || !v.Type().IsTupleType() && !v.Type().IsListType() {
 		return nil, false
 	}
@@ -426,9 +431,9 @@
 	return list, true
 }
 
-// rate reads a number of calls with its unit of time.
+// rate evaluates a number of calls per unit of time, and returns calls per second.
 func (l *loader) rate(a *hclsyntax.Attribute) float64 {
-	v, ok := l.value(a)
+	v, ok := l.evaluate(a)
 	if !ok {
 		return 0
 	}
@@ -445,33 +450,36 @@
 			return n / per[strings.TrimSpace(unit)]
 		}
 	}
-	l.fail(at, a.Name+" is a number of calls in a time", `Write "120/s" or "30/m".`)
+	l.fail(at, a.Name+" is a number of calls per unit of time", `Write "120/s" or "30/m".`)
 	return 0
 }
 
-// put notes one setting. Two files that set it alike agree; otherwise neither is taken for meant.
-func (l *loader) put(key string, value any, at hcl.Range) {
-	if old, twice := l.set[key]; twice && old.value != value {
-		l.fail(at, fmt.Sprintf("%s is set twice, to %v and to %v", key, old.value, value), fmt.Sprintf("The other place is %s. Leave one of them.", place(old.at)))
+// setOnce records a setting. Several files may set it to the same value; different values are an error, since neither file takes
+// precedence.
+func (l *loader) setOnce(key string, value any, at hcl.Range) {
+	if old, exists := l.settings[key]; exists && old.value != value {
+		l.fail(at, fmt.Sprintf("%s is set twice, to %v and to %v", key, old.value, value), fmt.Sprintf("The other setting is at %s. Remove one of them.", position(old.position)))
 		return
 	}
-	l.set[key] = setting{value, at}
+	l.settings[key] = setting{value, at}
 }
 
-func (l *loader) value(a *hclsyntax.Attribute) (cty.Value, bool) {
+// evaluate returns the value of an attribute, and whether it is valid and neither null nor unknown.
+func (l *loader) evaluate(a *hclsyntax.Attribute) (cty.Value, bool) {
 	vars := map[string]cty.Value{"env": cty.ObjectVal(l.env)}
 	v, diags := a.Expr.Value(&hcl.EvalContext{Variables: vars})
 	for _, d := range diags {
 		if strings.Contains(d.Summary, "Unsupported attribute") {
-			d.Detail += ` A variable of the environment is declared by env "NAME" { } before it can be used.`
+			d.Detail += ` An environment variable is declared by env "NAME" { } before it can be used.`
 		}
 	}
 	l.diags = append(l.diags, diags...)
 	return v, !diags.HasErrors() && !v.IsNull() && v.IsWhollyKnown()
 }
 
+// text evaluates a string.
 func (l *loader) text(a *hclsyntax.Attribute) (string, bool) {
-	v, ok := l.value(a)
+	v, ok := l.evaluate(a)
 	if ok && v.Type() != cty.String {
 		l.fail(a.Expr.Range(), fmt.Sprintf("%s is a text", a.Name), fmt.Sprintf(`Write %s = "...".`, a.Name))
 		return "", false
@@ -482,9 +490,9 @@
 	return v.AsString(), true
 }
 
-// duration reads a time with its unit.
+// duration evaluates a duration with its unit.
 func (l *loader) duration(a *hclsyntax.Attribute) (operator.Duration, bool) {
-	v, ok := l.value(a)
+	v, ok := l.evaluate(a)
 	if !ok {
 		return 0, false
 	}
@@ -495,7 +503,7 @@
 		return 0, false
 	}
 	if v.Type() != cty.String {
-		l.fail(at, fmt.Sprintf("%s is a time", a.Name), `Write it with its unit, such as "100ms" or "3s".`)
+		l.fail(at, fmt.Sprintf("%s is a duration", a.Name), `Write it with its unit, such as "100ms" or "3s".`)
 		return 0, false
 	}
 	d, err := parseDuration(v.AsString())
@@ -507,34 +515,34 @@
 
 func parseDuration(text string) (d operator.Duration, err error) {
 	if text != "" && strings.Trim(text, "0123456789.") == "" {
-		return 0, fmt.Errorf(`%q has no unit: "%ss" and "%sms" differ a thousandfold`, text, text, text)
+		return 0, fmt.Errorf(`%q has no unit: "%ss" and "%sms" differ by a factor of 1000`, text, text, text)
 	}
 	if err := d.UnmarshalText([]byte(text)); err != nil {
-		return 0, fmt.Errorf("%q is no time", text)
+		return 0, fmt.Errorf("%q is not a duration", text)
 	}
 	if d < 0 {
-		return 0, errors.New("a time can't be negative")
+		return 0, errors.New("a duration can't be negative")
 	}
 	return d, nil
 }
 
-// resolve makes the resolved form, and has it checked.
+// resolve builds the resolved form and adds the findings of its checks.
 func (l *loader) resolve() *operator.Config {
 	c := operator.Default()
 	c.Limits = l.limits
 	slices.SortFunc(c.Limits, func(a, b operator.Limit) int { return strings.Compare(a.Name, b.Name) })
-	c.Pools, c.Routes, c.Plugins, c.Fleet, c.Control = l.pools, l.routes, l.plugins, l.fleetSet, l.controlSet
+	c.Pools, c.Routes, c.Plugins, c.Fleet, c.Control = l.pools, l.routes, l.plugins, l.fleetConfig, l.controlConfig
 	slices.SortFunc(c.Pools, func(a, b operator.Pool) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(c.Routes, func(a, b operator.Route) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(c.Plugins, func(a, b operator.Plugin) int { return strings.Compare(a.Name, b.Name) })
-	if len(l.set)+len(l.places) > 0 {
+	if len(l.settings)+len(l.positions) > 0 {
 		c.Positions = map[string]string{}
 	}
-	for key, at := range l.places {
-		c.Positions[key] = place(at)
+	for key, at := range l.positions {
+		c.Positions[key] = position(at)
 	}
-	for key, s := range l.set {
-		c.Positions[key] = place(s.at)
+	for key, s := range l.settings {
+		c.Positions[key] = position(s.position)
 		switch key {
 		case "journal.durability":
 			c.Journal.Durability = s.value.(string)
@@ -546,32 +554,34 @@
 			c.PluginStatus = s.value.(string)
 		}
 	}
-	if _, set := l.set["journal.sync_every"]; !set && c.Journal.Durability == "interval" {
+	if _, set := l.settings["journal.sync_every"]; !set && c.Journal.Durability == "interval" {
 		c.Journal.SyncEvery = operator.Duration(operator.DefaultSyncEvery)
 	}
 	for _, p := range c.Check() {
-		l.fail(l.placeOf(p.Key), p.What, sentence(p.Remedy))
+		l.fail(l.positionOf(p.Key), p.What, asSentence(p.Remedy))
 	}
 	if !l.diags.HasErrors() {
 		for _, p := range c.Warnings() {
-			l.warn(l.placeOf(p.Key), p.What, sentence(p.Remedy))
+			l.warn(l.positionOf(p.Key), p.What, asSentence(p.Remedy))
 		}
 	}
 	return c
 }
 
-func (l *loader) placeOf(key string) hcl.Range {
-	at := l.set[key].at
-	if place, ok := l.places[key]; ok {
-		return place
+// positionOf returns the position of a key, or that of its block if the key has its default value.
+func (l *loader) positionOf(key string) hcl.Range {
+	at := l.settings[key].position
+	if pos, ok := l.positions[key]; ok {
+		return pos
 	}
-	if place, ok := l.places[parent(key)]; ok && at.Filename == "" { // a default
-		return place
+	if pos, ok := l.positions[parent(key)]; ok && at.Filename == "" { // the key has its default value
+		return pos
 	}
 	return at
 }
 
-func sentence(remedy string) string {
+// asSentence turns a remedy into a sentence with a capital letter and a full stop.
+func asSentence(remedy string) string {
 	remedy = strings.ToUpper(remedy[:1]) + remedy[1:]
 	if strings.HasSuffix(remedy, "?") {
 		return remedy
@@ -579,15 +589,15 @@
 	return remedy + "."
 }
 
-// Format returns a file's text as the formatter writes it; comments stay. A text that can't be parsed is an error.
+// Format returns a file's text in canonical format, with its comments. It returns an error if the text can't be parsed.
 func Format(text []byte, path string) ([]byte, error) {
 	if _, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos); diags.HasErrors() {
 		return nil, diags
 	}
-	if len(text) > 0 && text[len(text)-1] != '\n' { // first: it is laid out otherwise with it
+	if len(text) > 0 && text[len(text)-1] != '\n' { // added before formatting, since the formatter's result depends on it
 		text = append(slices.Clone(text), '\n')
 	}
-	for range 3 { // one pass may leave something for the next
+	for range 3 { // the result of one pass may change in the next
 		next := hclwrite.Format(text)
 		if string(next) == string(text) {
 			break
--- a/internal/opfile/pools.go
+++ b/internal/opfile/pools.go
@@ -12,22 +12,22 @@
 	"scaleroute/internal/operator"
 )
 
-// pool takes one pool with its endpoints.
+// pool evaluates one pool block with its endpoints.
 func (l *loader) pool(block *hclsyntax.Block) {
 	if len(block.Labels) != 1 {
 		l.fail(block.DefRange(), "a pool takes one name", `Write pool "NAME" { ... }.`)
 		return
 	}
-	l.known(block.Body, "pool", "destination", "source", "sender", "recipient", "endpoint*")
-	p, wrong := operator.Pool{Name: block.Labels[0]}, len(l.diags)
+	l.checkNames(block.Body, "pool", "destination", "source", "sender", "recipient", "endpoint*")
+	p, findingsBefore := operator.Pool{Name: block.Labels[0]}, len(l.diags)
 	key := "pool." + p.Name
-	if at, twice := l.places[key]; twice {
-		l.fail(block.DefRange(), fmt.Sprintf("there are two pools %q", p.Name), fmt.Sprintf("The other is at %s. Give each a name of its own.", place(at)))
+	if at, exists := l.positions[key]; exists {
+		l.fail(block.DefRange(), fmt.Sprintf("there are two pools %q", p.Name), fmt.Sprintf("The other is at %s. Give each a name of its own.", position(at)))
 		return
 	}
-	l.places[key] = block.DefRange()
+	l.positions[key] = block.DefRange()
 	if a := block.Body.Attributes["destination"]; a != nil {
-		l.places[key+".destination"] = a.Expr.Range()
+		l.positions[key+".destination"] = a.Expr.Range()
 		if n, ok := l.number(a, anyNumber, 7); ok {
 			p.Destination = &n
 		}
@@ -35,12 +35,12 @@
 	if a := block.Body.Attributes["source"]; a != nil {
 		v, ok := l.text(a)
 		if p.Discovered = v == "discovery"; ok && !p.Discovered {
-			l.fail(a.Expr.Range(), fmt.Sprintf("there is no source %q", v), `Write source = "discovery", or endpoints.`)
+			l.fail(a.Expr.Range(), fmt.Sprintf("there is no source %q", v), `Write source = "discovery", or list endpoints.`)
 		}
 	}
 	for _, name := range []string{"sender", "recipient"} {
 		if a := block.Body.Attributes[name]; a != nil {
-			l.places[key+"."+name] = a.Expr.Range()
+			l.positions[key+"."+name] = a.Expr.Range()
 			*map[string]*string{"sender": &p.Sender, "recipient": &p.Recipient}[name], _ = l.text(a)
 		}
 	}
@@ -50,25 +50,26 @@
 		}
 	}
 	slices.SortFunc(p.Endpoints, func(a, b operator.PoolEndpoint) int { return strings.Compare(a.Name, b.Name) })
-	if len(l.diags) == wrong {
+	if len(l.diags) == findingsBefore {
 		l.pools = append(l.pools, p)
 	}
 }
 
+// endpoint evaluates one endpoint block of a pool.
 func (l *loader) endpoint(p *operator.Pool, b *hclsyntax.Block) {
 	if len(b.Labels) != 1 {
 		l.fail(b.DefRange(), "an endpoint takes one name", `Write endpoint "NAME" { address = "10.0.0.7:8080" }.`)
 		return
 	}
-	l.known(b.Body, "endpoint", "address", "zone", "backup", "drain", "weight", "protocol")
+	l.checkNames(b.Body, "endpoint", "address", "zone", "backup", "drain", "weight", "protocol")
 	e := operator.PoolEndpoint{Name: b.Labels[0]}
 	key := "pool." + p.Name + "." + e.Name
-	if _, twice := l.places[key]; !twice {
-		l.places[key] = b.DefRange()
+	if _, exists := l.positions[key]; !exists {
+		l.positions[key] = b.DefRange()
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.Body.Attributes)) {
 		a := b.Body.Attributes[name]
-		l.places[key+"."+name] = a.Expr.Range()
+		l.positions[key+"."+name] = a.Expr.Range()
 		switch name {
 		case "address":
 			e.Address, _ = l.text(a)
@@ -78,14 +79,14 @@
 			e.Zone, _ = l.text(a)
 		case "weight":
 			if n, ok := l.number(a, anyNumber, 7); ok && n < 1 {
-				l.fail(a.Expr.Range(), fmt.Sprintf("weight is %d", n), "Write 1 or more; drain = true keeps calls away.")
+				l.fail(a.Expr.Range(), fmt.Sprintf("weight is %d", n), "Write 1 or more; use drain = true to stop new calls.")
 			} else if ok {
 				e.Weight = n
 			}
 		case "backup", "drain":
-			v, ok := l.value(a)
+			v, ok := l.evaluate(a)
 			if ok && v.Type() != cty.Bool {
-				l.fail(a.Expr.Range(), name+" is true or false", fmt.Sprintf("Write %s = true, or leave it out.", name))
+				l.fail(a.Expr.Range(), name+" is true or false", fmt.Sprintf("Write %s = true, or remove it.", name))
 			} else if ok && name == "backup" {
 				e.Backup = v.True()
 			} else if ok {
