--- a/cmd/scaleroute-control/main.go
+++ b/cmd/scaleroute-control/main.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	server, err := control.New(control.Options{Name: f.Name, Upstream: f.Upstream, Folder: f.State, Peers: f.Peers,
+	server, err := control.New(control.Options{Name: f.Name, Upstream: f.Upstream, StateDir: f.State, Peers: f.Peers,
 		Layout: ownership.Layout{Partitions: f.Partitions, Replicas: f.Replicas}, Lease: f.Lease, Settle: f.Settle,
 		PublishEvery: f.Publish, SaveEvery: f.Save, MaxRequests: f.MaxRequests})
 	if err != nil {
--- a/cmd/scaleroute-control/main_test.go
+++ b/cmd/scaleroute-control/main_test.go
@@ -161,14 +161,14 @@
 	return response.StatusCode, string(body), err
 }
 
-func (p *process) figures() (f control.Figures) {
+func (p *process) figures() (f control.Stats) {
 	if _, text, err := p.get("/v1/figures"); err == nil {
 		json.Unmarshal([]byte(text), &f)
 	}
 	return f
 }
 
-func (p *process) await(what string, isSo func(control.Figures) bool) {
+func (p *process) await(what string, isSo func(control.Stats) bool) {
 	p.t.Helper()
 	for limit := time.Now().Add(60 * time.Second); !isSo(p.figures()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
@@ -179,7 +179,7 @@
 
 func (p *process) awaitKept(index int64) {
 	p.t.Helper()
-	p.await(fmt.Sprint("index ", index, " is kept"), func(f control.Figures) bool { return f.Name != "" && f.Index == index && f.KeptIndex == index })
+	p.await(fmt.Sprint("index ", index, " is kept"), func(f control.Stats) bool { return f.Name != "" && f.Index == index && f.PersistedIndex == index })
 }
 
 // register registers a scope of one partition.
@@ -341,8 +341,8 @@
 	if status, text, err := last.get("/v1/servers?destinations=" + ownership.NewSet(1).String()); err != nil || status != http.StatusOK || !strings.Contains(text, agent.Draining) {
 		t.Errorf("with one server left: status %d, %s, %v", status, text, err)
 	}
-	last.await("the leases are kept", func(f control.Figures) bool {
-		return f.KeptLeases == 3
+	last.await("the leases are kept", func(f control.Stats) bool {
+		return f.PersistedLeases == 3
 	})
 	last.kill()
 	if _, _, err := last.get("/v1/figures"); err == nil {
@@ -376,7 +376,7 @@
 			answers <- fmt.Sprint(status, " ", strings.TrimSpace(text), err)
 		}()
 	}
-	p.await("both wait", func(f control.Figures) bool { return f.Watchers == 2 })
+	p.await("both wait", func(f control.Stats) bool { return f.Watchers == 2 })
 	p.command.Process.Signal(syscall.SIGTERM)
 	for range 2 {
 		if got := <-answers; got != `200 {"index":3,"snapshot":false,"endpoints":[]}<nil>` {
--- a/cmd/scaleroute-control/scale_test.go
+++ b/cmd/scaleroute-control/scale_test.go
@@ -169,10 +169,10 @@
 
 func (m *measurement) load() {
 	m.row("load from upstream", planEntries, func() {
-		m.process.await("the list", func(f control.Figures) bool { return f.Index == 1 })
+		m.process.await("the list", func(f control.Stats) bool { return f.Index == 1 })
 	})
 	m.row("write the snapshot", planEntries, func() {
-		m.process.await("the list is kept", func(f control.Figures) bool { return f.KeptIndex == 1 })
+		m.process.await("the list is kept", func(f control.Stats) bool { return f.PersistedIndex == 1 })
 	})
 	if info, err := os.Stat(filepath.Join(strings.TrimPrefix(m.process.args[3], "--state="), "list")); err == nil {
 		m.t.Logf("the file of the list has %.1f MB", float64(info.Size())/1e6)
@@ -251,13 +251,13 @@
 func (m *measurement) changes() {
 	var watching sync.WaitGroup
 	watching.Go(func() { m.watchAll(1, 20_000) })
-	m.process.await("all watch", func(f control.Figures) bool { return f.Watchers == scaleWatches })
+	m.process.await("all watch", func(f control.Stats) bool { return f.Watchers == scaleWatches })
 	m.row("change of an entry", scaleChanges, func() {
 		for range scaleChanges {
 			m.discovery.index.Add(1)
 			time.Sleep(10 * time.Millisecond)
 		}
-		m.process.await("the last change", func(f control.Figures) bool { return f.Index == m.discovery.index.Load() })
+		m.process.await("the last change", func(f control.Stats) bool { return f.Index == m.discovery.index.Load() })
 	})
 	m.t.Logf("%d watches were woken by %d changes", m.process.figures().WakeUps, scaleChanges)
 	watching.Wait()
@@ -267,7 +267,7 @@
 func (m *measurement) everyEntry() {
 	var watching sync.WaitGroup
 	watching.Go(func() { m.watchAll(1, 60_000) })
-	m.process.await("all watch", func(f control.Figures) bool { return f.Watchers == scaleWatches })
+	m.process.await("all watch", func(f control.Stats) bool { return f.Watchers == scaleWatches })
 	m.row("change of every entry", scaleWatches, func() {
 		next := m.discovery.index.Load() + 1
 		m.discovery.all.Store(next)
@@ -275,7 +275,7 @@
 		watching.Wait()
 	})
 	m.row("its snapshot", planEntries, func() {
-		m.process.await("it is kept", func(f control.Figures) bool { return f.KeptIndex == m.discovery.index.Load() })
+		m.process.await("it is kept", func(f control.Stats) bool { return f.PersistedIndex == m.discovery.index.Load() })
 	})
 }
 
@@ -287,7 +287,7 @@
 			m.get("/v1/members?" + name(i))
 		}
 	})
-	m.process.await("all are members", func(f control.Figures) bool { return f.Members == scaleWatches })
+	m.process.await("all are members", func(f control.Stats) bool { return f.Members == scaleWatches })
 	var last api.Members
 	m.row("snapshot of 2,000 members", scaleParts, func() {
 		for range scaleParts {
@@ -303,7 +303,7 @@
 			m.get(fmt.Sprintf("/v1/members?%s&epoch=%s&from=%d&hold_ms=9000", name(i), last.Epoch, last.Index))
 		})
 	}
-	m.process.await("all watch", func(f control.Figures) bool { return f.Requests >= before+scaleWatches-1 })
+	m.process.await("all watch", func(f control.Stats) bool { return f.Requests >= before+scaleWatches-1 })
 	m.row("one member leaves, for each", scaleWatches-1, func() {
 		request, _ := http.NewRequest(http.MethodGet, "http://"+m.process.address+"/v1/members?leave=1&"+name(scaleWatches-1), nil)
 		m.send(request, http.StatusNoContent)
--- a/cmd/scaleroute/partial_env_test.go
+++ b/cmd/scaleroute/partial_env_test.go
@@ -147,7 +147,7 @@
 	t.Helper()
 	o := s.w.options
 	o.Name, o.Upstream = fmt.Sprint("c", s.number), s.w.discovery.Listener.Addr().String()
-	o.Folder = filepath.Join(s.w.state, "..", fmt.Sprint("control", s.number))
+	o.StateDir = filepath.Join(s.w.state, "..", fmt.Sprint("control", s.number))
 	text, err := json.Marshal(o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -140,7 +140,7 @@
 var testLayout = ownership.Layout{Partitions: 64, Replicas: 2}
 
 func testOptions(t *testing.T, upstream string) Options {
-	return Options{Name: "control-1", Upstream: upstream, Folder: t.TempDir(), Layout: testLayout, Settle: settleAtOnce, PublishEvery: 5 * time.Millisecond, SaveEvery: time.Hour}
+	return Options{Name: "control-1", Upstream: upstream, StateDir: t.TempDir(), Layout: testLayout, Settle: settleAtOnce, PublishEvery: 5 * time.Millisecond, SaveEvery: time.Hour}
 }
 
 func startServer(t *testing.T, options Options) *testServer {
@@ -176,7 +176,7 @@
 		}
 	})
 	if options.Settle == settleAtOnce { // members are published from the first look on, which is a moment away
-		s.await("settled", func(f Figures) bool { return f.Settled })
+		s.await("settled", func(f Stats) bool { return f.Settled })
 	}
 	return s
 }
@@ -251,7 +251,7 @@
 }
 
 // await waits until the server's figures are as wanted.
-func (s *testServer) await(what string, isSo func(Figures) bool) {
+func (s *testServer) await(what string, isSo func(Stats) bool) {
 	s.t.Helper()
 	for limit := time.Now().Add(20 * time.Second); !isSo(s.snapshotFigures()); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
@@ -262,12 +262,12 @@
 
 func (s *testServer) awaitIndex(index int64) {
 	s.t.Helper()
-	s.await(fmt.Sprint("index ", index), func(f Figures) bool { return f.Index == index })
+	s.await(fmt.Sprint("index ", index), func(f Stats) bool { return f.Index == index })
 }
 
 func (s *testServer) awaitWatchers(n int) {
 	s.t.Helper()
-	s.await(fmt.Sprint(n, " watchers"), func(f Figures) bool { return f.Watchers == n })
+	s.await(fmt.Sprint(n, " watchers"), func(f Stats) bool { return f.Watchers == n })
 }
 
 // partitionOf is the partition of a destination in the tests' layout.
--- a/internal/control/figures.go
+++ b/internal/control/figures.go
@@ -15,43 +15,43 @@
 	connections, bytesSent, bytesReceived atomic.Int64
 }
 
-// Figures are what GET /v1/figures says.
-type Figures struct {
-	Name           string  `json:"name"`
-	UpSeconds      float64 `json:"up_seconds"`
-	Index          int64   `json:"index"`      // -1: no list yet
-	KeptIndex      int64   `json:"kept_index"` // that a restart would begin with
-	Entries        int     `json:"entries"`
-	Scopes         int     `json:"scopes"`
-	Watchers       int     `json:"watchers"` // calls for lists that have looked and wait for a change
-	Members        int     `json:"members"`
-	LeasesHere     int     `json:"leases_here"`
-	KeptLeases     int64   `json:"kept_leases"` // that a restart would begin with
-	Settled        bool    `json:"settled"`
-	Requests       int64   `json:"requests"`
-	UnderWay       int64   `json:"requests_under_way"`
-	Refused        int64   `json:"requests_refused"`
-	RefusedEntries int64   `json:"entries_refused"`
-	Snapshots      int64   `json:"snapshots"`
-	Deltas         int64   `json:"deltas"`
-	WholeLists     int64   `json:"whole_lists"`
-	WakeUps        int64   `json:"wake_ups"`
-	Connections    int64   `json:"connections"`
-	BytesSent      int64   `json:"bytes_sent"` // headers included
-	BytesReceived  int64   `json:"bytes_received"`
+// Stats are what GET /v1/figures says.
+type Stats struct {
+	Name            string  `json:"name"`
+	UpSeconds       float64 `json:"up_seconds"`
+	Index           int64   `json:"index"`      // -1: no list yet
+	PersistedIndex  int64   `json:"kept_index"` // that a restart would begin with
+	Entries         int     `json:"entries"`
+	Scopes          int     `json:"scopes"`
+	Watchers        int     `json:"watchers"` // calls for lists that have looked and wait for a change
+	Members         int     `json:"members"`
+	OwnLeases       int     `json:"leases_here"`
+	PersistedLeases int64   `json:"kept_leases"` // that a restart would begin with
+	Settled         bool    `json:"settled"`
+	Requests        int64   `json:"requests"`
+	InFlight        int64   `json:"requests_under_way"`
+	Refused         int64   `json:"requests_refused"`
+	RefusedEntries  int64   `json:"entries_refused"`
+	Snapshots       int64   `json:"snapshots"`
+	Deltas          int64   `json:"deltas"`
+	StreamedLists   int64   `json:"whole_lists"`
+	WakeUps         int64   `json:"wake_ups"`
+	Connections     int64   `json:"connections"`
+	BytesSent       int64   `json:"bytes_sent"` // headers included
+	BytesReceived   int64   `json:"bytes_received"`
 }
 
-func (s *Server) snapshotFigures() Figures {
-	f := Figures{Name: s.options.Name, KeptIndex: s.keptIndex.Load(), KeptLeases: s.keptLeases.Load(), UpSeconds: time.Since(s.started).Seconds(), Requests: s.figures.requests.Load(), UnderWay: s.figures.underWay.Load(),
+func (s *Server) snapshotFigures() Stats {
+	f := Stats{Name: s.options.Name, PersistedIndex: s.keptIndex.Load(), PersistedLeases: s.keptLeases.Load(), UpSeconds: time.Since(s.started).Seconds(), Requests: s.figures.requests.Load(), InFlight: s.figures.underWay.Load(),
 		Refused: s.figures.refused.Load(), RefusedEntries: s.figures.refusedEntries.Load(), Snapshots: s.figures.snapshots.Load(), Deltas: s.figures.deltas.Load(),
-		WholeLists: s.figures.wholeLists.Load(), WakeUps: s.figures.wakeUps.Load(), Connections: s.figures.connections.Load(),
+		StreamedLists: s.figures.wholeLists.Load(), WakeUps: s.figures.wakeUps.Load(), Connections: s.figures.connections.Load(),
 		BytesSent: s.figures.bytesSent.Load(), BytesReceived: s.figures.bytesReceived.Load()}
 	f.Scopes, f.Watchers = s.watches.countScopes(), int(s.figures.watchers.Load())
 	s.listMu.RLock()
 	f.Index, f.Entries = s.list.Index(), s.list.Len()
 	s.listMu.RUnlock()
 	s.memberMu.Lock()
-	f.Members, f.LeasesHere, f.Settled = len(s.members.all.zones), len(s.members.held.zones), s.settled
+	f.Members, f.OwnLeases, f.Settled = len(s.members.all.zones), len(s.members.held.zones), s.settled
 	s.memberMu.Unlock()
 	return f
 }
--- a/internal/control/folder_test.go
+++ b/internal/control/folder_test.go
@@ -24,7 +24,7 @@
 // awaitKept waits until a restart would begin with an index.
 func (s *testServer) awaitKept(index int64) {
 	s.t.Helper()
-	s.await(fmt.Sprint("index ", index, " is kept"), func(f Figures) bool { return f.KeptIndex == index })
+	s.await(fmt.Sprint("index ", index, " is kept"), func(f Stats) bool { return f.PersistedIndex == index })
 }
 
 // copyFolder is what a process that is killed now leaves behind.
@@ -50,7 +50,7 @@
 	}
 	s.awaitKept(27)
 	killed := options
-	killed.Folder, killed.Upstream = copyFolder(t, options.Folder), silentAddress(t)
+	killed.StateDir, killed.Upstream = copyFolder(t, options.StateDir), silentAddress(t)
 	again := startServer(t, killed)
 	if f := again.snapshotFigures(); f.Index != 27 || f.Entries != 300 {
 		t.Fatalf("%+v", f)
@@ -78,7 +78,7 @@
 	if err := s.stop(); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(options.Folder, listName)
+	path := filepath.Join(options.StateDir, listName)
 	kept, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -100,15 +100,15 @@
 		t.Run(name, func(t *testing.T) {
 			logs := captureLogs(t)
 			damaged := options
-			damaged.Folder, damaged.Upstream = copyFolder(t, options.Folder), silentAddress(t)
-			if err := os.WriteFile(filepath.Join(damaged.Folder, listName), c.text, 0o600); err != nil {
+			damaged.StateDir, damaged.Upstream = copyFolder(t, options.StateDir), silentAddress(t)
+			if err := os.WriteFile(filepath.Join(damaged.StateDir, listName), c.text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			again := startServer(t, damaged)
 			if got := again.get("/v1/servers"); got.status != 503 {
 				t.Errorf("status %d: %s", got.status, got.text)
 			}
-			if text := logs.String(); !strings.Contains(text, "the kept list can't be used") || !strings.Contains(text, c.want) || !strings.Contains(text, damaged.Folder) {
+			if text := logs.String(); !strings.Contains(text, "the kept list can't be used") || !strings.Contains(text, c.want) || !strings.Contains(text, damaged.StateDir) {
 				t.Errorf("log:\n%s", text)
 			}
 			again.stop()
@@ -129,7 +129,7 @@
 		s.awaitIndex(d.change(draining(endpoint(fmt.Sprintf("s-%05d", i), i))))
 	}
 	s.awaitKept(10)
-	folder := copyFolder(t, options.Folder)
+	folder := copyFolder(t, options.StateDir)
 	path := filepath.Join(folder, changesPrefix+"7")
 	kept, err := os.ReadFile(path)
 	if err != nil {
@@ -150,7 +150,7 @@
 			t.Fatal(err)
 		}
 		again := options
-		again.Folder, again.Upstream = copyFolder(t, folder), silentAddress(t)
+		again.StateDir, again.Upstream = copyFolder(t, folder), silentAddress(t)
 		if got := startServer(t, again).snapshotFigures().Index; got != c.index {
 			t.Errorf("%s: index %d, want %d", name, got, c.index)
 		}
@@ -161,7 +161,7 @@
 func TestDamagedLeases(t *testing.T) {
 	logs := captureLogs(t)
 	options := testOptions(t, silentAddress(t))
-	if err := os.WriteFile(filepath.Join(options.Folder, membersName), []byte("nothing that could be read"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(options.StateDir, membersName), []byte("nothing that could be read"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s := startServer(t, options)
@@ -175,20 +175,20 @@
 	logs := captureLogs(t)
 	d := newFakeDiscovery(t, 7, endpoints(5)...)
 	options := testOptions(t, d.address())
-	if err := os.Mkdir(filepath.Join(options.Folder, listName+nextSuffix), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(options.StateDir, listName+nextSuffix), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	s := startServer(t, options)
 	s.awaitIndex(7)
 	s.awaitIndex(d.change(draining(endpoint("s-00001", 1))))
-	s.await("the log says so", func(Figures) bool { return strings.Contains(logs.String(), "make room in the state folder") })
+	s.await("the log says so", func(Stats) bool { return strings.Contains(logs.String(), "make room in the state folder") })
 	if got := s.get("/v1/servers?destinations=%s", ownership.NewSet(1)); got.names() != "s-00001~" {
 		t.Errorf("%s", got.text)
 	}
 	if err := s.stop(); err == nil {
 		t.Error("the end does not say that the list is not kept")
 	}
-	if err := os.Remove(filepath.Join(options.Folder, listName+nextSuffix)); err != nil {
+	if err := os.Remove(filepath.Join(options.StateDir, listName+nextSuffix)); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/control/lists.go
+++ b/internal/control/lists.go
@@ -197,7 +197,7 @@
 			return answer, s.explain(err, from)
 		}
 	}
-	if s.list.Index() >= 0 && s.expectedEntries(wanted) > s.options.MaxBuilt {
+	if s.list.Index() >= 0 && s.expectedEntries(wanted) > s.options.MaxBufferedEntries {
 		return body, errTooManyEntries
 	}
 	body = appendListHeader(body, s.list.Index(), true)
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -191,7 +191,7 @@
 	}
 	options.Settle = time.Hour // which is for a first start
 	s = startServer(t, options)
-	s.await("settled", func(f Figures) bool { return f.Settled })
+	s.await("settled", func(f Stats) bool { return f.Settled })
 	epoch := f.epoch
 	s.memberCall("f1", f, 0)
 	if f.names() != "f1 f2 f3" || f.epoch == epoch {
@@ -210,7 +210,7 @@
 			t.Fatalf("status %d: %s", got.status, got.text)
 		}
 	}
-	s.await("settled", func(f Figures) bool { return f.Settled })
+	s.await("settled", func(f Stats) bool { return f.Settled })
 	f := &fleetMembers{index: -1}
 	if s.memberCall("f0", f, 0); f.names() != "f0 f1 f2 f3 f4" {
 		t.Errorf("the first answer has %q", f.names())
@@ -224,7 +224,7 @@
 	options := testOptions(t, d.address())
 	options.PublishEvery = time.Hour // publications are the test's
 	s := startServer(t, options)
-	s.await("settled", func(f Figures) bool { return f.Settled })
+	s.await("settled", func(f Stats) bool { return f.Settled })
 	call := func(from, to int, query string) {
 		for i := from; i < to; i++ {
 			s.get("/v1/members?name=f-%03d&zone=z%d%s", i, i%13, query)
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -18,21 +18,21 @@
 type Options struct {
 	Name     string // of this server, for its peers
 	Upstream string // host:port of discovery
-	Folder   string // where the list is kept
+	StateDir string // where the list is kept
 	Layout   ownership.Layout
 	Peers    []string // host:port of the other control servers
 
-	Lease         time.Duration // of a member
-	Settle        time.Duration // how long members are gathered before they are published, where none are known from before
-	PublishEvery  time.Duration // between two publications of the members
-	SaveEvery     time.Duration // the list is written, if it has changed
-	MaxHold       time.Duration // a watch is held
-	MaxRequests   int           // at the same time, held ones included
-	MaxScopes     int
-	MaxSetNumbers int // in all scopes together
-	MaxBuilt      int // entries of a snapshot that is built in memory; a larger one is sent piece by piece
-	Limits        catalog.Limits
-	Stream        agent.StreamLimits
+	Lease              time.Duration // of a member
+	Settle             time.Duration // how long members are gathered before they are published, where none are known from before
+	PublishEvery       time.Duration // between two publications of the members
+	SaveEvery          time.Duration // the list is written, if it has changed
+	MaxHold            time.Duration // a watch is held
+	MaxRequests        int           // at the same time, held ones included
+	MaxScopes          int
+	MaxScopePartitions int // in all scopes together
+	MaxBufferedEntries int // entries of a snapshot that is built in memory; a larger one is sent piece by piece
+	Limits             catalog.Limits
+	Stream             agent.StreamLimits
 }
 
 // Bounds that are not set by operators.
@@ -62,8 +62,8 @@
 	setDefault(&o.MaxHold, time.Minute)
 	setDefault(&o.MaxRequests, 16<<10)
 	setDefault(&o.MaxScopes, 32<<10)
-	setDefault(&o.MaxSetNumbers, 64<<20)
-	setDefault(&o.MaxBuilt, 20_000)
+	setDefault(&o.MaxScopePartitions, 64<<20)
+	setDefault(&o.MaxBufferedEntries, 20_000)
 	if o.Limits == (catalog.Limits{}) {
 		o.Limits = catalog.DefaultLimits
 	}
@@ -79,12 +79,12 @@
 	}
 }
 
-// Check says what is wrong with the options, with the remedy.
-func (o *Options) Check() error {
+// Validate says what is wrong with the options, with the remedy.
+func (o *Options) Validate() error {
 	if o.Name == "" || len(o.Name) > maxNameLen {
 		return fmt.Errorf("name: %d bytes; give each control server a name of its own, of 1 to %d bytes", len(o.Name), maxNameLen)
 	}
-	if o.Folder == "" {
+	if o.StateDir == "" {
 		return errors.New("state: name a folder in which the list is kept over a restart")
 	}
 	if err := checkAddress("upstream", o.Upstream); err != nil {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -53,19 +53,19 @@
 
 // New makes a server, with what its folder has kept.
 func New(options Options) (*Server, error) {
-	if err := options.Check(); err != nil {
+	if err := options.Validate(); err != nil {
 		return nil, err
 	}
 	options.setDefaults()
 	if err := options.Layout.Validate(); err != nil {
 		return nil, err
 	}
-	folder, err := openFolder(options.Folder)
+	folder, err := openFolder(options.StateDir)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{options: options, folder: folder, started: time.Now(), epoch: fmt.Sprintf("%016x", rand.Uint64()),
-		watches: newWatches(options.Layout, options.MaxScopes, options.MaxSetNumbers), members: newMembers(options.Lease),
+		watches: newWatches(options.Layout, options.MaxScopes, options.MaxScopePartitions), members: newMembers(options.Lease),
 		published: make(chan struct{}), peersAnswered: map[string]bool{}, memberAnswers: map[memberAnswerKey]*memberAnswer{}, building: make(chan struct{}, 2*runtime.GOMAXPROCS(0)),
 		wholeLists: make(chan struct{}, maxWholeLists), stopping: make(chan struct{}), savedIndex: -1, saveDue: make(chan struct{}, 1)}
 	s.list = folder.loadList(options.Layout, options.Limits)
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -314,7 +314,7 @@
 func TestScopesAreBounded(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	options := testOptions(t, d.address())
-	options.MaxScopes, options.MaxSetNumbers = 3, 10
+	options.MaxScopes, options.MaxScopePartitions = 3, 10
 	s := startServer(t, options)
 	s.awaitIndex(7)
 	first := s.register(1)
@@ -360,7 +360,7 @@
 	d := newFakeDiscovery(t, 7, endpoints(3000)...)
 	options := testOptions(t, d.address())
 	small := startServer(t, options)
-	options.Folder, options.MaxBuilt = t.TempDir(), 10
+	options.StateDir, options.MaxBufferedEntries = t.TempDir(), 10
 	large := startServer(t, options)
 	var half []uint32
 	for p := range uint32(32) {
@@ -375,7 +375,7 @@
 	if answers[0].names() != answers[1].names() || len(answers[1].list.Endpoints) < 1000 || !answers[1].list.Snapshot || answers[1].list.Index != 7 {
 		t.Errorf("%d entries in memory, %d in pieces", len(answers[0].list.Endpoints), len(answers[1].list.Endpoints))
 	}
-	if a, b := small.snapshotFigures().WholeLists, large.snapshotFigures().WholeLists; a != 0 || b != 1 {
+	if a, b := small.snapshotFigures().StreamedLists, large.snapshotFigures().StreamedLists; a != 0 || b != 1 {
 		t.Errorf("%d and %d are sent piece by piece", a, b)
 	}
 }
@@ -447,7 +447,7 @@
 	for want, change := range map[string]func(*Options){
 		"name":       func(o *Options) { o.Name = "" },
 		"upstream":   func(o *Options) { o.Upstream = "nowhere" },
-		"state":      func(o *Options) { o.Folder = "" },
+		"state":      func(o *Options) { o.StateDir = "" },
 		"peers":      func(o *Options) { o.Peers = []string{"x"} },
 		"partitions": func(o *Options) { o.Layout.Partitions = 3 },
 		"lease":      func(o *Options) { o.Lease = time.Millisecond },
