--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -30,11 +30,12 @@
 	return list
 }
 
-func BenchmarkLoadFolder(b *testing.B) {
+// BenchmarkLoadStateDir loads a list snapshot from a state folder.
+func BenchmarkLoadStateDir(b *testing.B) {
 	const entries = 500_000
-	folder := &folder{path: b.TempDir()}
+	folder := &stateDir{path: b.TempDir()}
 	s := &Server{list: fullCatalog(b, entries)}
-	if err := writeAtomically(folder.file(listName), func(to *bufio.Writer) error { return s.writeList(to, 1, -1) }); err != nil {
+	if err := writeAtomically(folder.file(listFileName), func(to *bufio.Writer) error { return s.writeList(to, 1, -1) }); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
@@ -45,22 +46,22 @@
 	b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)/entries*1e6, "us/entry")
 }
 
-// BenchmarkPart serves the snapshot of a part of some 970 entries.
-func BenchmarkPart(b *testing.B) {
+// BenchmarkPartSnapshot builds and compresses the snapshot of one forwarder's part, some 970 entries.
+func BenchmarkPartSnapshot(b *testing.B) {
 	options := Options{Layout: benchLayout, Limits: catalog.DefaultLimits}
 	options.setDefaults()
-	s := &Server{options: options, list: fullCatalog(b, 500_000), building: make(chan struct{}, 1)}
+	s := &Server{options: options, list: fullCatalog(b, 500_000), buildSlots: make(chan struct{}, 1)}
 	random := rand.New(rand.NewPCG(1, 2))
 	numbers := make([]uint32, 970*4)
 	for i := range numbers {
 		numbers[i] = random.Uint32N(uint32(benchLayout.Partitions))
 	}
-	wanted := catalog.Scope{Partitions: ownership.NewSet(numbers...)}
+	scope := catalog.Scope{Partitions: ownership.NewSet(numbers...)}
 	request := httptest.NewRequest("GET", "/", nil)
 	request.Header.Set("Accept-Encoding", "gzip")
 	size := 0
 	for b.Loop() {
-		body, err := s.buildList(b.Context(), -1, &wanted, nil)
+		body, err := s.buildList(b.Context(), -1, &scope, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -71,8 +72,8 @@
 	b.ReportMetric(float64(size), "bytes")
 }
 
-// BenchmarkTakeOver reads a list from discovery into the catalog.
-func BenchmarkTakeOver(b *testing.B) {
+// BenchmarkLoadFromDiscovery reads a full list from discovery into the catalog.
+func BenchmarkLoadFromDiscovery(b *testing.B) {
 	const entries = 500_000
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		to := bufio.NewWriterSize(w, 1<<20)
@@ -92,7 +93,7 @@
 		options := Options{Layout: benchLayout, Limits: catalog.DefaultLimits}
 		options.setDefaults()
 		ctx, cancel := context.WithCancel(b.Context())
-		s := &Server{list: catalog.New(benchLayout, catalog.DefaultLimits), watches: newWatches(benchLayout, 1, 1), folder: &folder{}}
+		s := &Server{list: catalog.New(benchLayout, catalog.DefaultLimits), watches: newWatches(benchLayout, 1, 1), stateDir: &stateDir{}}
 		go func() {
 			for s.index() < 0 {
 				time.Sleep(time.Millisecond)
--- a/internal/control/encode.go
+++ b/internal/control/encode.go
@@ -7,9 +7,9 @@
 	"scaleroute/internal/agent"
 )
 
-// Answers are written by hand: a part has a thousand entries, and encoding/json takes five times as long.
+// The encoder of responses is hand-written: the part of one forwarder has a thousand entries, and encoding/json takes five times as long.
 
-// appendListHeader begins a list in discovery's form; its entries and closeList follow.
+// appendListHeader appends the start of a list in discovery's JSON format. The entries and listEnd follow it.
 func appendListHeader(to []byte, index int64, snapshot bool) []byte {
 	to = append(to, `{"index":`...)
 	to = strconv.AppendInt(to, index, 10)
@@ -18,9 +18,9 @@
 	return append(to, `,"endpoints":[`...)
 }
 
-const closeList = "]}\n"
+const listEnd = "]}\n"
 
-// appendEntry adds an entry of a list; first is that it is the list's first. Fields that are empty are left out.
+// appendEntry appends one entry of a list, with a comma in front unless it is the first. Empty fields are omitted.
 func appendEntry(to []byte, e *agent.Endpoint, first bool) []byte {
 	if !first {
 		to = append(to, ',')
@@ -49,7 +49,7 @@
 func appendString(to []byte, text string) []byte {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c >= 0x7f || c == '"' || c == '\\' {
-			quoted, _ := json.Marshal(text) // of a string does not fail
+			quoted, _ := json.Marshal(text) // marshalling a string can't fail
 			return append(to, quoted...)
 		}
 	}
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -24,13 +24,13 @@
 	"scaleroute/internal/ownership"
 )
 
-// fakeDiscovery is discovery with a list that a test changes.
+// fakeDiscovery is a fake of the discovery service with a list that a test changes.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu        sync.Mutex
 	index     int64
 	endpoints map[string]agent.Endpoint
-	changedAt map[string]int64 // by name, those that are gone included
+	changedAt map[string]int64 // index of the last change by name, deleted endpoints included
 	changed   chan struct{}
 	calls     int
 }
@@ -48,7 +48,7 @@
 
 func (d *fakeDiscovery) address() string { return d.Listener.Addr().String() }
 
-// change gives the list its next index, with some entries as they are now.
+// change sets the state of some entries under the next index, and returns that index.
 func (d *fakeDiscovery) change(endpoints ...agent.Endpoint) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,7 +61,7 @@
 	return d.index
 }
 
-// restart has discovery count anew.
+// restart replaces the list and sets its index, as a restart of discovery does.
 func (d *fakeDiscovery) restart(index int64, endpoints ...agent.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -128,7 +128,7 @@
 	return list
 }
 
-// testServer is a control server of the test's own process.
+// testServer is a control server that runs in the test process.
 type testServer struct {
 	*Server
 	t          *testing.T
@@ -159,32 +159,32 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- server.Run(ctx, listener) }()
+	result := make(chan error, 1)
+	go func() { result <- server.Run(ctx, listener) }()
 	s := &testServer{Server: server, t: t, address: listener.Addr().String()}
 	s.stop = sync.OnceValue(func() error {
 		s.hasStopped = true
 		cancel()
-		return <-ended
+		return <-result
 	})
 	t.Cleanup(func() {
-		if s.hasStopped { // the test has seen how it ended
+		if s.hasStopped { // the test has checked the result
 			return
 		}
 		if err := s.stop(); err != nil {
 			t.Error(err)
 		}
 	})
-	if options.Settle == settleAtOnce { // members are published from the first look on, which is a moment away
+	if options.Settle == settleAtOnce { // members are published from the first publication on
 		s.await("settled", func(f Stats) bool { return f.Settled })
 	}
 	return s
 }
 
-// settleAtOnce has a server publish its members as soon as it looks at them.
+// settleAtOnce is a settle time after which a server publishes its members at the first publication.
 const settleAtOnce = time.Nanosecond
 
-// reply is what a call was answered with.
+// reply is a response, with its list if it has one.
 type reply struct {
 	status int
 	header http.Header
@@ -192,7 +192,7 @@
 	list   agent.List
 }
 
-// names are the entries in the order of their names, ~ is draining and - deleted.
+// names returns the sorted names of the entries; ~ marks a draining one and - a deleted one.
 func (r *reply) names() string {
 	var names []string
 	for _, e := range r.list.Endpoints {
@@ -231,14 +231,14 @@
 	return s.do(http.MethodGet, fmt.Sprintf(path, args...), "")
 }
 
-// getAside makes a call that may be held.
-func (s *testServer) getAside(path string, args ...any) <-chan *reply {
+// getAsync sends a request that may be held, and returns a channel for the reply.
+func (s *testServer) getAsync(path string, args ...any) <-chan *reply {
 	answer := make(chan *reply, 1)
 	go func() { answer <- s.get(path, args...) }()
 	return answer
 }
 
-// register registers a scope and is its digest.
+// register registers a scope and returns its digest.
 func (s *testServer) register(partitions ...uint32) string {
 	s.t.Helper()
 	set := ownership.NewSet(partitions...)
@@ -250,12 +250,12 @@
 	return digest
 }
 
-// await waits until the server's figures are as wanted.
-func (s *testServer) await(what string, isSo func(Stats) bool) {
+// await waits until the server's statistics meet a condition.
+func (s *testServer) await(what string, condition func(Stats) bool) {
 	s.t.Helper()
-	for limit := time.Now().Add(20 * time.Second); !isSo(s.snapshotFigures()); time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(20 * time.Second); !condition(s.collectStats()); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			s.t.Fatalf("%s: not so after 20 s: %+v", what, s.snapshotFigures())
+			s.t.Fatalf("%s: condition not met after 20 s: %+v", what, s.collectStats())
 		}
 	}
 }
@@ -270,10 +270,10 @@
 	s.await(fmt.Sprint(n, " watchers"), func(f Stats) bool { return f.Watchers == n })
 }
 
-// partitionOf is the partition of a destination in the tests' layout.
+// partitionOf returns the partition of a destination in the layout of the tests.
 func partitionOf(destination int) uint32 { return testLayout.PartitionOf(destination) }
 
-// captureLogs collects what is logged until the test ends.
+// captureLogs captures the log until the test ends.
 func captureLogs(t *testing.T) *logCapture {
 	logs, before := &logCapture{}, slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(logs, nil)))
--- a/internal/control/listfile.go
+++ b/internal/control/listfile.go
@@ -12,16 +12,17 @@
 	"scaleroute/internal/catalog"
 )
 
-// The file of the list: listMagic, its format's version, the list's index and the highest one before it went back, then entries, each behind a
-// byte of one, and a byte of nought with their number. Numbers are varints, texts have their length in front.
+// The list file consists of listMagic, the version of the format, the index of the list, the highest index before discovery restarted its count,
+// the entries, each preceded by a byte of value 1, and a byte of value 0 followed by the number of entries. Numbers are varints; strings are
+// prefixed with their length.
 const (
-	listMagic   = "scaleroute list\n"
-	listVersion = 1
-	maxFileText = 4 << 10 // bytes of a text
+	listMagic      = "scaleroute list\n"
+	listVersion    = 1
+	maxStringBytes = 4 << 10 // of one string
 )
 
-// errCutOff reports a file that ends too early.
-var errCutOff = errors.New("it is cut off")
+// errTruncated reports that a file ends early.
+var errTruncated = errors.New("unexpected end of file")
 
 func readList(from *bufio.Reader, into *catalog.Catalog) error {
 	if err := readFileHeader(from, listMagic, listVersion); err != nil {
@@ -29,11 +30,11 @@
 	}
 	index, err := binary.ReadUvarint(from)
 	if err != nil || index > math.MaxInt64 {
-		return errors.New("no index can be read")
+		return errors.New("can't read the index")
 	}
 	highest, err := binary.ReadVarint(from)
 	if err != nil {
-		return cutOff(err)
+		return truncatedError(err)
 	}
 	if err := into.Restore(int64(index), highest); err != nil {
 		return err
@@ -48,40 +49,40 @@
 func readFileHeader(from *bufio.Reader, magic string, version uint64) error {
 	head := make([]byte, len(magic))
 	if _, err := io.ReadFull(from, head); err != nil {
-		return cutOff(err)
+		return truncatedError(err)
 	}
 	if string(head) != magic {
-		return fmt.Errorf("it begins with %.20q, not with %.20q", head, magic)
+		return fmt.Errorf("the file begins with %.20q, want %.20q", head, magic)
 	}
 	if got, err := binary.ReadUvarint(from); err != nil {
-		return cutOff(err)
+		return truncatedError(err)
 	} else if got != version {
-		return fmt.Errorf("its format has version %d, and this build reads %d", got, version)
+		return fmt.Errorf("file format has version %d, but this build reads version %d", got, version)
 	}
 	return nil
 }
 
-func cutOff(err error) error {
+func truncatedError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return errCutOff
+		return errTruncated
 	}
 	return err
 }
 
-// readEntries reads entries to their end.
+// readEntries passes each entry to put until the end marker, and verifies the number of entries after it.
 func readEntries(from *bufio.Reader, put func(agent.Endpoint) error) error {
-	texts := textReader{from: from, known: map[string]string{}}
+	texts := stringReader{from: from, interned: map[string]string{}}
 	for count := uint64(0); ; count++ {
 		more, err := from.ReadByte()
 		if err != nil {
-			return cutOff(err)
+			return truncatedError(err)
 		}
 		if more == 0 {
 			return checkCount(from, count)
 		}
 		e, err := readEntry(from, &texts)
 		if err != nil {
-			return cutOff(err)
+			return truncatedError(err)
 		}
 		if err := put(e); err != nil {
 			return err
@@ -92,22 +93,22 @@
 func checkCount(from *bufio.Reader, count uint64) error {
 	want, err := binary.ReadUvarint(from)
 	if err != nil {
-		return cutOff(err)
+		return truncatedError(err)
 	}
 	if want != count {
-		return fmt.Errorf("it has %d entries, not %d", count, want)
+		return fmt.Errorf("file has %d entries, want %d", count, want)
 	}
 	return nil
 }
 
-func readEntry(from *bufio.Reader, texts *textReader) (e agent.Endpoint, err error) {
+func readEntry(from *bufio.Reader, texts *stringReader) (e agent.Endpoint, err error) {
 	for _, field := range []*string{&e.Name, &e.Address} {
 		if *field, err = texts.read(); err != nil {
 			return e, err
 		}
 	}
 	for _, field := range []*string{&e.Zone, &e.Type, &e.Status} {
-		if *field, err = texts.readKnown(); err != nil {
+		if *field, err = texts.readInterned(); err != nil {
 			return e, err
 		}
 	}
@@ -124,7 +125,7 @@
 	return e, nil
 }
 
-// appendFileEntry is an entry as readEntry reads it.
+// appendFileEntry appends an entry in the format that readEntry reads.
 func appendFileEntry(to []byte, e *agent.Endpoint) []byte {
 	for _, text := range []string{e.Name, e.Address, e.Zone, e.Type, e.Status} {
 		to = binary.AppendUvarint(to, uint64(len(text)))
@@ -134,46 +135,47 @@
 	return binary.LittleEndian.AppendUint64(to, math.Float64bits(e.Weight))
 }
 
-// textReader reads texts with their length in front.
-type textReader struct {
-	from  *bufio.Reader
-	bytes []byte
-	known map[string]string // texts that occur often
+// stringReader reads length-prefixed strings.
+type stringReader struct {
+	from     *bufio.Reader
+	bytes    []byte
+	interned map[string]string // one copy of each string that occurs in many entries
 }
 
-func (r *textReader) readBytes() error {
+func (r *stringReader) readBytes() error {
 	length, err := binary.ReadUvarint(r.from)
 	if err != nil {
 		return err
 	}
-	if length > maxFileText {
-		return fmt.Errorf("a text of %d bytes: it is damaged", length)
+	if length > maxStringBytes {
+		return fmt.Errorf("string length of %d bytes exceeds the limit: the file is corrupt", length)
 	}
 	if uint64(cap(r.bytes)) < length {
-		r.bytes = make([]byte, maxFileText)
+		r.bytes = make([]byte, maxStringBytes)
 	}
 	r.bytes = r.bytes[:length]
 	_, err = io.ReadFull(r.from, r.bytes)
 	return err
 }
 
-func (r *textReader) read() (string, error) {
+func (r *stringReader) read() (string, error) {
 	err := r.readBytes()
 	return string(r.bytes), err
 }
 
-// readKnown reads one that is the same in many entries.
-func (r *textReader) readKnown() (string, error) {
+// readInterned reads a string that is the same in many entries and shares one copy of it.
+func (r *stringReader) readInterned() (string, error) {
 	err := r.readBytes()
-	if text, known := r.known[string(r.bytes)]; known || err != nil {
+	if text, known := r.interned[string(r.bytes)]; known || err != nil {
 		return text, err
 	}
 	text := string(r.bytes)
-	r.known[text] = text
+	r.interned[text] = text
 	return text, nil
 }
 
-// writeList writes the list as it is now. It may change meanwhile: what does has a later index than the file, and comes again.
+// writeList writes the current list in chunks, without holding the lock throughout. An entry that changes meanwhile has a later index than the
+// file, so discovery or the changes file delivers it again.
 func (s *Server) writeList(to *bufio.Writer, index, highest int64) error {
 	head := append([]byte(listMagic), listVersion)
 	head = binary.AppendUvarint(head, uint64(index))
@@ -182,16 +184,16 @@
 		return err
 	}
 	count := uint64(0)
-	var piece []byte
+	var chunk []byte
 	for next, more := 0, true; more; {
-		piece = piece[:0]
+		chunk = chunk[:0]
 		s.listMu.RLock()
-		next, more = s.list.VisitSlots(next, slotsAtOnce, func(e agent.Endpoint) {
-			piece = appendFileEntry(append(piece, 1), &e)
+		next, more = s.list.VisitSlots(next, slotsPerLock, func(e agent.Endpoint) {
+			chunk = appendFileEntry(append(chunk, 1), &e)
 			count++
 		})
 		s.listMu.RUnlock()
-		if _, err := to.Write(piece); err != nil {
+		if _, err := to.Write(chunk); err != nil {
 			return err
 		}
 	}
--- a/internal/control/lists.go
+++ b/internal/control/lists.go
@@ -17,24 +17,24 @@
 	"scaleroute/internal/ownership"
 )
 
-// listQuery is what a call for a list asks.
+// listQuery holds the parsed parameters of a list request.
 type listQuery struct {
-	scope        *scope // registered; nil: none is named
+	scope        *scope // the registered scope named in the request; nil: none
 	destinations ownership.Set
-	from         int64 // -1: all that there are
+	from         int64 // index after which changes are requested; -1: a snapshot
 	hold         time.Duration
 }
 
-// wanted is the query's scope in the catalog's terms.
-func (q *listQuery) wanted() catalog.Scope {
-	wanted := catalog.Scope{Destinations: q.destinations}
+// catalogScope returns the scope of the query as the catalog takes it.
+func (q *listQuery) catalogScope() catalog.Scope {
+	scope := catalog.Scope{Destinations: q.destinations}
 	switch {
 	case q.scope != nil:
-		wanted.Partitions = q.scope.partitions
+		scope.Partitions = q.scope.partitions
 	case q.destinations.Len() == 0:
-		wanted.Whole = true
+		scope.Whole = true
 	}
-	return wanted
+	return scope
 }
 
 func (s *Server) parseListQuery(values url.Values) (*listQuery, error) {
@@ -46,15 +46,15 @@
 	if q.hold, err = s.parseHold(values); err != nil {
 		return nil, err
 	}
-	most := api.MaxLookupDestinations
+	maxDestinations := api.MaxLookupDestinations
 	if digest := values.Get("scope"); values.Has("scope") {
 		if q.scope = s.watches.find(digest); q.scope == nil {
 			return nil, errUnknownScope
 		}
-		most = api.MaxExtraDestinations
+		maxDestinations = api.MaxExtraDestinations
 	}
 	if values.Has("destinations") {
-		if q.destinations, err = ownership.ParseSet(values.Get("destinations"), most, math.MaxUint32+1); err != nil {
+		if q.destinations, err = ownership.ParseSet(values.Get("destinations"), maxDestinations, math.MaxUint32+1); err != nil {
 			return nil, badRequest("destinations: %v", err)
 		}
 		if q.scope == nil && q.destinations.Len() == 0 {
@@ -64,7 +64,7 @@
 	return q, nil
 }
 
-var errUnknownScope = &problem{status: http.StatusNotFound, text: api.UnknownScope}
+var errUnknownScope = &httpError{status: http.StatusNotFound, text: api.UnknownScope}
 
 func parseNumber(values url.Values, key string, missing int64) (int64, error) {
 	if !values.Has(key) {
@@ -82,7 +82,7 @@
 	return time.Duration(min(ms, s.options.MaxHold.Milliseconds())) * time.Millisecond, err
 }
 
-// serveScope registers a scope.
+// serveScope registers a scope after it has verified the scope's digest.
 func (s *Server) serveScope(w http.ResponseWriter, r *http.Request) error {
 	var body api.Scope
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxScopeBody)).Decode(&body); err != nil {
@@ -106,24 +106,24 @@
 	return nil
 }
 
-// serveList answers with a part of the list, or with what has changed in it.
+// serveList responds with a snapshot of the requested part of the list, or with the changes in it.
 func (s *Server) serveList(w http.ResponseWriter, r *http.Request) error {
 	q, err := s.parseListQuery(r.URL.Query())
 	if err != nil {
 		return err
 	}
-	wanted := q.wanted()
+	scope := q.catalogScope()
 	if q.from >= 0 && q.hold > 0 {
-		if err := s.holdList(r.Context(), q, &wanted); err != nil {
+		if err := s.awaitListChange(r.Context(), q, &scope); err != nil {
 			return err
 		}
 	}
 	buffer := buffers.Get().(*[]byte)
 	defer putBuffer(buffer)
-	body, err := s.buildList(r.Context(), q.from, &wanted, (*buffer)[:0])
+	body, err := s.buildList(r.Context(), q.from, &scope, (*buffer)[:0])
 	*buffer = body
 	if errors.Is(err, errTooManyEntries) {
-		return s.streamList(w, r, &wanted)
+		return s.streamList(w, r, &scope)
 	}
 	if err != nil {
 		return err
@@ -132,45 +132,46 @@
 	return nil
 }
 
-// buffers are for answers while they are built.
+// buffers holds reusable buffers in which responses are built.
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
 func putBuffer(buffer *[]byte) {
-	if cap(*buffer) <= maxKeptBuffer {
+	if cap(*buffer) <= maxPooledBuffer {
 		buffers.Put(buffer)
 	}
 }
 
-// errTooManyEntries reports that an answer is not built in memory, but sent piece by piece.
-var errTooManyEntries = errors.New("too many entries to hold them")
+// errTooManyEntries reports that a snapshot is too large to be built in memory and has to be streamed.
+var errTooManyEntries = errors.New("too many entries to build the response in memory")
 
-// holdList returns when something in the scope has changed since q.from, when the time is over, or when there is no use in waiting.
-func (s *Server) holdList(ctx context.Context, q *listQuery, wanted *catalog.Scope) error {
-	each := s.watches.begin(q.scope, q.destinations, wanted.Whole)
-	if each == nil {
+// awaitListChange returns when something in the scope has changed since q.from, when the hold time has expired, when the server stops, or when
+// the catalog can't answer from this index. An error means that the request fails.
+func (s *Server) awaitListChange(ctx context.Context, q *listQuery, scope *catalog.Scope) error {
+	waiter := s.watches.add(q.scope, q.destinations, scope.Whole)
+	if waiter == nil {
 		return unavailable(time.Second, "more than %d single destinations are watched here", maxWatchedDestinations)
 	}
-	defer s.watches.end(each)
+	defer s.watches.remove(waiter)
 	timeout := time.NewTimer(q.hold)
 	defer timeout.Stop()
 	for isWaiting := false; ; {
-		if q.scope != nil && !s.watches.isKnown(q.scope) {
+		if q.scope != nil && !s.watches.isRegistered(q.scope) {
 			return errUnknownScope
 		}
 		s.listMu.RLock()
-		changed, err := s.list.HasChanged(wanted, q.from)
+		changed, err := s.list.HasChanged(scope, q.from)
 		s.listMu.RUnlock()
 		if changed || err != nil {
 			return nil
 		}
-		if !isWaiting { // whatever changes from now on wakes it
+		if !isWaiting { // the watch was registered before the check, so every later change wakes it
 			isWaiting = true
-			s.figures.watchers.Add(1)
-			defer s.figures.watchers.Add(-1)
+			s.counters.watchers.Add(1)
+			defer s.counters.watchers.Add(-1)
 		}
 		select {
-		case <-each.wake:
-			s.figures.wakeUps.Add(1)
+		case <-waiter.wake:
+			s.counters.wakeUps.Add(1)
 		case <-timeout.C:
 			return nil
 		case <-s.stopping:
@@ -181,56 +182,57 @@
 	}
 }
 
-// buildList builds an answer: what has changed since an index, or a snapshot.
-func (s *Server) buildList(ctx context.Context, from int64, wanted *catalog.Scope, body []byte) ([]byte, error) {
+// buildList appends a response to body: the changes since the index from, or a snapshot if there is no such index or the log does not reach back
+// to it.
+func (s *Server) buildList(ctx context.Context, from int64, scope *catalog.Scope, body []byte) ([]byte, error) {
 	select {
-	case s.building <- struct{}{}:
-		defer func() { <-s.building }()
+	case s.buildSlots <- struct{}{}:
+		defer func() { <-s.buildSlots }()
 	case <-ctx.Done():
 		return body, ctx.Err()
 	}
 	s.listMu.RLock()
 	defer s.listMu.RUnlock()
 	if from >= 0 {
-		answer, err := s.appendChanges(body, from, wanted)
+		answer, err := s.appendDelta(body, from, scope)
 		if !errors.Is(err, catalog.ErrSnapshotNeeded) {
-			return answer, s.explain(err, from)
+			return answer, s.toHTTPError(err, from)
 		}
 	}
-	if s.list.Index() >= 0 && s.expectedEntries(wanted) > s.options.MaxBufferedEntries {
+	if s.list.Index() >= 0 && s.estimateEntries(scope) > s.options.MaxBufferedEntries {
 		return body, errTooManyEntries
 	}
 	body = appendListHeader(body, s.list.Index(), true)
 	first := true
-	err := s.list.VisitScope(wanted, func(e agent.Endpoint) {
+	err := s.list.VisitScope(scope, func(e agent.Endpoint) {
 		body = appendEntry(body, &e, first)
 		first = false
 	})
-	s.figures.snapshots.Add(1)
-	return append(body, closeList...), s.explain(err, from)
+	s.counters.snapshots.Add(1)
+	return append(body, listEnd...), s.toHTTPError(err, from)
 }
 
-func (s *Server) appendChanges(body []byte, from int64, wanted *catalog.Scope) ([]byte, error) {
+func (s *Server) appendDelta(body []byte, from int64, scope *catalog.Scope) ([]byte, error) {
 	body = appendListHeader(body, s.list.Index(), false)
 	first := true
-	err := s.list.VisitChanges(wanted, from, func(e agent.Endpoint) {
+	err := s.list.VisitChanges(scope, from, func(e agent.Endpoint) {
 		body = appendEntry(body, &e, first)
 		first = false
 	})
-	s.figures.deltas.Add(1)
-	return append(body, closeList...), err
+	s.counters.deltas.Add(1)
+	return append(body, listEnd...), err
 }
 
-// expectedEntries is how many entries a scope has, if they are spread evenly.
-func (s *Server) expectedEntries(wanted *catalog.Scope) int {
-	if wanted.Whole {
+// estimateEntries returns how many entries a scope has if entries are spread evenly over partitions.
+func (s *Server) estimateEntries(scope *catalog.Scope) int {
+	if scope.Whole {
 		return math.MaxInt
 	}
-	return int(int64(wanted.Partitions.Len()) * int64(s.list.Len()) / int64(s.options.Layout.Partitions))
+	return int(int64(scope.Partitions.Len()) * int64(s.list.Len()) / int64(s.options.Layout.Partitions))
 }
 
-// explain is an error of the catalog as an answer.
-func (s *Server) explain(err error, from int64) error {
+// toHTTPError converts an error of the catalog to one that is sent to the client.
+func (s *Server) toHTTPError(err error, from int64) error {
 	switch {
 	case errors.Is(err, catalog.ErrNoList):
 		return unavailable(time.Second, "this server has no list yet: ask another one")
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -9,13 +9,14 @@
 	"scaleroute/internal/control/api"
 )
 
-// members is who belongs to the fleet: the leases that are held here, and those that other control servers hold. It has no lock and no clock.
+// members is the membership of the fleet: the leases that this server holds and those that its peers hold. It is not safe for concurrent use and
+// reads no clock.
 type members struct {
-	lease time.Duration
-	own   map[string]ownLease
-	peers map[string]*peerLeases // by the peer's address
-	all   memberView             // sent to forwarders: the members of this server and its peers
-	held  memberView             // sent to peers: those whose lease is held here
+	lease     time.Duration
+	own       map[string]ownLease
+	peers     map[string]*peerLeases // by the peer's address
+	fleetView memberView             // sent to forwarders: the members with a lease at this server or a peer
+	ownView   memberView             // sent to peers: the members with a lease at this server
 }
 
 type ownLease struct {
@@ -23,17 +24,17 @@
 	expires time.Time
 }
 
-// peerLeases is what another control server has said last.
+// peerLeases is the last known state of another control server.
 type peerLeases struct {
-	zones    map[string]string // of the members whose lease it holds
-	answered time.Time
+	zones      map[string]string // by name, of the members whose lease the peer holds
+	lastAnswer time.Time
 }
 
 func newMembers(lease time.Duration) *members {
-	return &members{lease: lease, own: map[string]ownLease{}, peers: map[string]*peerLeases{}, all: newMemberView(), held: newMemberView()}
+	return &members{lease: lease, own: map[string]ownLease{}, peers: map[string]*peerLeases{}, fleetView: newMemberView(), ownView: newMemberView()}
 }
 
-// renew gives a member a lease from now on; false where there are too many.
+// renew grants or extends a member's lease from now on. It returns false if the member is new and the limit is reached.
 func (m *members) renew(name, zone string, now time.Time) bool {
 	if _, known := m.own[name]; !known && len(m.own) >= maxMembers {
 		return false
@@ -42,17 +43,17 @@
 	return true
 }
 
-// leave ends a lease at once.
+// leave ends a member's lease immediately.
 func (m *members) leave(name string) { delete(m.own, name) }
 
-// applyPeerAnswer takes over a peer's answer.
+// applyPeerAnswer applies a peer's snapshot or delta.
 func (m *members) applyPeerAnswer(address string, answer *api.Members, now time.Time) {
 	peer := m.peers[address]
 	if peer == nil || answer.Snapshot {
 		peer = &peerLeases{zones: map[string]string{}}
 		m.peers[address] = peer
 	}
-	peer.answered = now
+	peer.lastAnswer = now
 	for _, each := range answer.Members {
 		if each.Status == api.Deleted {
 			delete(peer.zones, each.Name)
@@ -62,35 +63,35 @@
 	}
 }
 
-// publish drops what has expired, and updates both views. A peer that is silent keeps its members for one lease.
+// publish removes expired leases and updates both views. The members of a peer that does not respond are kept for the duration of one lease.
 func (m *members) publish(now time.Time) (changed bool) {
-	held := map[string]string{}
+	own := map[string]string{}
 	for name, lease := range m.own {
 		if !now.Before(lease.expires) {
 			delete(m.own, name)
 			continue
 		}
-		held[name] = lease.zone
+		own[name] = lease.zone
 	}
 	all := map[string]string{}
 	for address, peer := range m.peers {
-		if now.Sub(peer.answered) > m.lease {
+		if now.Sub(peer.lastAnswer) > m.lease {
 			delete(m.peers, address)
 			continue
 		}
 		maps.Copy(all, peer.zones)
 	}
-	maps.Copy(all, held) // whoever holds the lease knows the zone best
-	changedHeld := m.held.replace(held)
-	return m.all.replace(all) || changedHeld
+	maps.Copy(all, own) // the server that holds the lease has the latest zone
+	ownChanged := m.ownView.replace(own)
+	return m.fleetView.replace(all) || ownChanged
 }
 
-// memberView is a list of members with an index and a bounded log.
+// memberView is a list of members with an index and a bounded log of changes.
 type memberView struct {
-	index  int64
-	zones  map[string]string
-	log    []memberChange // by index
-	oldest int64          // the index from which on the log is whole
+	index    int64
+	zones    map[string]string
+	log      []memberChange // by index
+	logStart int64          // the log is complete for changes after this index
 }
 
 type memberChange struct {
@@ -100,7 +101,7 @@
 
 func newMemberView() memberView { return memberView{zones: map[string]string{}} }
 
-// replace makes another list the view's; false where it is the same.
+// replace replaces the members and logs the difference. It returns false if there is none.
 func (v *memberView) replace(zones map[string]string) bool {
 	var changed []string
 	for name, zone := range zones {
@@ -123,18 +124,18 @@
 		v.log = append(v.log, memberChange{index: v.index, name: name})
 	}
 	if over := len(v.log) - maxMemberChanges; over > 0 {
-		v.oldest = v.log[over-1].index
+		v.logStart = v.log[over-1].index
 		v.log = slices.Clone(v.log[over:])
 	}
 	return true
 }
 
-// covers reports whether the changes since an index are known.
+// covers reports whether the log has all changes since an index.
 func (v *memberView) covers(index int64) bool {
-	return index >= v.oldest && index >= 0 && index <= v.index
+	return index >= v.logStart && index >= 0 && index <= v.index
 }
 
-// changedSince is what has changed since an index that is covered.
+// changedSince returns the current state of each member that changed since an index that the log covers.
 func (v *memberView) changedSince(index int64) []api.Member {
 	begin, _ := slices.BinarySearchFunc(v.log, index+1, func(c memberChange, index int64) int { return cmp.Compare(c.index, index) })
 	list := []api.Member{}
@@ -148,7 +149,7 @@
 	return list
 }
 
-func (v *memberView) everybody() []api.Member {
+func (v *memberView) allMembers() []api.Member {
 	list := make([]api.Member, 0, len(v.zones))
 	for _, name := range slices.Sorted(maps.Keys(v.zones)) {
 		list = append(list, v.member(name))
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -16,14 +16,14 @@
 	"scaleroute/internal/control/api"
 )
 
-// fleetMembers is what tests know of a fleet from a server's answers, as a forwarder does.
+// fleetMembers holds the members of a fleet as a forwarder learns them from a server's responses.
 type fleetMembers struct {
 	epoch string
 	index int64
 	zones map[string]string
 }
 
-func (f *fleetMembers) take(answer *api.Members) {
+func (f *fleetMembers) apply(answer *api.Members) {
 	if answer.Snapshot {
 		f.zones = map[string]string{}
 	}
@@ -39,16 +39,17 @@
 
 var testStart = time.Unix(1_000_000, 0)
 
-// TestLeases: a lease lasts as long as it is renewed, ends at once when its member leaves, and members of a silent peer are kept for one lease.
+// TestLeases checks that a lease lasts as long as it is renewed and ends immediately when its member leaves, and that the members of an
+// unresponsive peer are kept for the duration of one lease.
 func TestLeases(t *testing.T) {
 	m := newMembers(30 * time.Second)
 	at := func(second int) time.Time { return testStart.Add(time.Duration(second) * time.Second) }
-	check := func(second int, all, held string) {
+	check := func(second int, fleet, own string) {
 		t.Helper()
 		m.publish(at(second))
 		names := func(v *memberView) string { return strings.Join(slices.Sorted(maps.Keys(v.zones)), " ") }
-		if names(&m.all) != all || names(&m.held) != held {
-			t.Errorf("after %d s: all %q, held here %q; want %q, %q", second, names(&m.all), names(&m.held), all, held)
+		if names(&m.fleetView) != fleet || names(&m.ownView) != own {
+			t.Errorf("after %d s: fleet %q, own %q; want %q, %q", second, names(&m.fleetView), names(&m.ownView), fleet, own)
 		}
 	}
 	check(0, "", "")
@@ -56,12 +57,12 @@
 	m.renew("b", "z1", at(0))
 	m.applyPeerAnswer("peer", &api.Members{Snapshot: true, Members: []api.Member{{Name: "c", Status: api.Serving}, {Name: "a", Zone: "old", Status: api.Serving}}}, at(1))
 	check(1, "a b c", "a b")
-	if m.all.zones["a"] != "z1" {
-		t.Error("a peer knows the zone better than the server that holds the lease")
+	if m.fleetView.zones["a"] != "z1" {
+		t.Error("the zone of a peer overrides that of the server that holds the lease")
 	}
 	m.renew("b", "z2", at(20))
 	check(29, "a b c", "a b")
-	check(30, "a b c", "b") // the peer still holds a lease of it
+	check(30, "a b c", "b") // the peer still holds a lease of member a
 	m.applyPeerAnswer("peer", &api.Members{Members: []api.Member{{Name: "a", Status: api.Deleted}}}, at(31))
 	check(31, "b c", "b")
 	m.leave("b")
@@ -73,18 +74,18 @@
 	check(71, "e", "")
 }
 
-// TestMembersAreBounded: there are so many leases at most; who has one is renewed all the same.
-func TestMembersAreBounded(t *testing.T) {
+// TestMemberLimit checks that a new member is rejected at the limit while an existing lease can still be renewed.
+func TestMemberLimit(t *testing.T) {
 	m := newMembers(time.Minute)
 	for i := range maxMembers {
 		m.renew(fmt.Sprint("m-", i), "", testStart)
 	}
 	if m.renew("one more", "", testStart) || !m.renew("m-7", "", testStart) {
-		t.Error("the bound does not hold")
+		t.Error("a member above the limit got a lease, or an existing lease was not renewed")
 	}
 }
 
-// TestMemberChanges: whatever a client missed, it has the members after one answer, also where the log does not go back so far.
+// TestMemberChanges checks that one response brings a client up to date whatever it has missed, also if the log does not reach back to its index.
 func TestMemberChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, client := newMemberView(), &fleetMembers{index: -1, zones: map[string]string{}}
@@ -92,17 +93,17 @@
 			zones := rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.SampledFrom([]string{"z1", "z2"}), 0, 5).Draw(t, "zones")
 			before := v.index
 			if changed := v.replace(zones); changed != (v.index > before) {
-				t.Fatal("the index does not change with it")
+				t.Fatal("the index and the members did not change together")
 			}
-			if rapid.Bool().Draw(t, "forgets") {
-				v.oldest, v.log = v.index, nil
+			if rapid.Bool().Draw(t, "truncates the log") {
+				v.logStart, v.log = v.index, nil
 			}
-			if rapid.Bool().Draw(t, "asks") {
+			if rapid.Bool().Draw(t, "requests") {
 				answer := &api.Members{Index: v.index, Snapshot: !v.covers(client.index)}
-				if answer.Members = v.everybody(); !answer.Snapshot {
+				if answer.Members = v.allMembers(); !answer.Snapshot {
 					answer.Members = v.changedSince(client.index)
 				}
-				client.take(answer)
+				client.apply(answer)
 				if !maps.Equal(client.zones, zones) {
 					t.Fatalf("has %v, want %v", client.zones, zones)
 				}
@@ -111,7 +112,7 @@
 	})
 }
 
-// memberCall makes one call of a forwarder, as the answer to the last one says.
+// memberCall sends one members request of a forwarder, with the epoch and index of the last response.
 func (s *testServer) memberCall(name string, f *fleetMembers, hold time.Duration) {
 	s.t.Helper()
 	got := s.get("/v1/members?name=%s&zone=z1&epoch=%s&from=%d&hold_ms=%d", name, f.epoch, max(f.index, 0), hold.Milliseconds())
@@ -122,10 +123,10 @@
 	if err := json.Unmarshal([]byte(got.text), &answer); err != nil {
 		s.t.Fatal(err)
 	}
-	f.take(&answer)
+	f.apply(&answer)
 }
 
-// awaitMembers calls until a forwarder sees the members.
+// awaitMembers repeats the request until a forwarder sees the wanted members.
 func (s *testServer) awaitMembers(name string, f *fleetMembers, want string) {
 	s.t.Helper()
 	for limit := time.Now().Add(20 * time.Second); ; {
@@ -138,7 +139,8 @@
 	}
 }
 
-// TestMembersOfPeers: two servers publish the members of both; one that leaves is gone at both, and one server's end takes nobody out for a lease.
+// TestMembersOfPeers checks that two servers publish the members of both, that a member that leaves disappears from both, and that the end of one
+// server removes no member before its lease expires.
 func TestMembersOfPeers(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	listeners := make([]net.Listener, 2)
@@ -168,15 +170,15 @@
 	if err := servers[1].stop(); err != nil {
 		t.Error(err)
 	}
-	servers[0].memberCall("f2", &fleetMembers{index: -1}, 0) // goes on there
+	servers[0].memberCall("f2", &fleetMembers{index: -1}, 0) // f2 continues at the other server
 	for range 3 {
 		if servers[0].memberCall("f1", first, 50*time.Millisecond); first.names() != "f1 f2" {
-			t.Errorf("members after the end of a server: %s", first.names())
+			t.Errorf("members after one server has stopped: %s", first.names())
 		}
 	}
 }
 
-// TestRestartKeepsMembers: a server that restarts publishes the members it had, under another epoch, before anyone has called again.
+// TestRestartKeepsMembers checks that a restarted server publishes its previous members under a new epoch before any member has called again.
 func TestRestartKeepsMembers(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	options := testOptions(t, d.address())
@@ -189,7 +191,7 @@
 	if err := s.stop(); err != nil {
 		t.Fatal(err)
 	}
-	options.Settle = time.Hour // which is for a first start
+	options.Settle = time.Hour // applies only if no leases were restored
 	s = startServer(t, options)
 	s.await("settled", func(f Stats) bool { return f.Settled })
 	epoch := f.epoch
@@ -199,8 +201,8 @@
 	}
 }
 
-// TestGathering: on a first start members are not published before all had the time to call; their calls count meanwhile.
-func TestGathering(t *testing.T) {
+// TestSettleTime checks that on a first start no members are published before the settle time is over, and that requests until then renew leases.
+func TestSettleTime(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	options := testOptions(t, d.address())
 	options.Settle = 500 * time.Millisecond
@@ -213,16 +215,17 @@
 	s.await("settled", func(f Stats) bool { return f.Settled })
 	f := &fleetMembers{index: -1}
 	if s.memberCall("f0", f, 0); f.names() != "f0 f1 f2 f3 f4" {
-		t.Errorf("the first answer has %q", f.names())
+		t.Errorf("the first response has members %q", f.names())
 	}
 }
 
-// TestManyGoneAtOnce: 523 of 700 forwarders leave within one publication and come back within another; a watcher gets few answers, and the log few lines.
-func TestManyGoneAtOnce(t *testing.T) {
+// TestMassLeaveAndRejoin checks that a watcher gets one response for each publication and the log few lines when 523 of 700 forwarders leave within
+// one publication and rejoin within another.
+func TestMassLeaveAndRejoin(t *testing.T) {
 	logs := captureLogs(t)
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	options := testOptions(t, d.address())
-	options.PublishEvery = time.Hour // publications are the test's
+	options.PublishEvery = time.Hour // the test calls publishOnce itself
 	s := startServer(t, options)
 	s.await("settled", func(f Stats) bool { return f.Settled })
 	call := func(from, to int, query string) {
@@ -244,15 +247,15 @@
 		}
 	}
 	if answers != 2 {
-		t.Errorf("%d answers for two changes", answers)
+		t.Errorf("%d responses for two publications", answers)
 	}
 	if n := strings.Count(logs.String(), "\n"); n > 12 {
 		t.Errorf("%d log lines:\n%s", n, logs.String())
 	}
 }
 
-// TestSilentPeer: one line says that a peer does not answer, however often it is asked, and one that it is back.
-func TestSilentPeer(t *testing.T) {
+// TestUnresponsivePeer checks that the log has one line when a peer stops responding, however often requests to it fail, and one when it is back.
+func TestUnresponsivePeer(t *testing.T) {
 	logs := captureLogs(t)
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -15,10 +15,10 @@
 	"scaleroute/internal/control/api"
 )
 
-// memberQuery is what a call for the members asks.
+// memberQuery holds the parsed parameters of a members request.
 type memberQuery struct {
 	name, zone string
-	peer       string // a control server that asks; then name is empty
+	peer       string // name of the control server that sends the request; name is empty then
 	leave      bool
 	epoch      string
 	from       int64
@@ -40,11 +40,11 @@
 	if q.hold, err = s.parseHold(values); err != nil {
 		return nil, err
 	}
-	q.hold = min(q.hold, s.options.Lease/3) // so that the next call comes within the lease
+	q.hold = min(q.hold, s.options.Lease/3) // the next request must arrive within the lease
 	return q, nil
 }
 
-// serveMembers renews a lease and watches the members.
+// serveMembers renews the caller's lease and responds with the members, after a change of them if the request is held.
 func (s *Server) serveMembers(w http.ResponseWriter, r *http.Request) error {
 	q, err := s.parseMemberQuery(r.URL.Query())
 	if err != nil {
@@ -65,37 +65,37 @@
 	return nil
 }
 
-// memberAnswer is an answer as it is sent. Thousands get the same one when members change, or when a server has restarted.
+// memberAnswer is an encoded response. Thousands of forwarders get the same one when members change or after a server has restarted.
 type memberAnswer struct {
 	plain, compressed []byte
-	isNews            bool // it has members, or is a snapshot
+	hasContent        bool // it is a snapshot or has changed members
 }
 
-// memberAnswerKey is what an answer depends on, as long as nothing is published.
+// memberAnswerKey identifies a cached response until the next publication.
 type memberAnswerKey struct {
 	isPeer bool
 	from   int64 // -1: a snapshot
 }
 
-// maxMemberAnswers bounds the answers that are kept until the next publication.
+// maxMemberAnswers bounds the responses that are cached until the next publication.
 const maxMemberAnswers = 64
 
-// encodeMembers is the answer to a query, built once for all who ask the same. The lock is held.
+// encodeMembers returns the response to a query. It is built once and shared by all equal queries. The caller holds memberMu.
 func (s *Server) encodeMembers(q *memberQuery) (*memberAnswer, error) {
-	view := &s.members.all
+	view := &s.members.fleetView
 	if q.peer != "" {
-		view = &s.members.held
+		view = &s.members.ownView
 	}
 	key := memberAnswerKey{isPeer: q.peer != "", from: -1}
 	if q.epoch == s.epoch && view.covers(q.from) {
 		key.from = q.from
 	}
-	if known := s.memberAnswers[key]; known != nil {
-		return known, nil
+	if cached := s.memberAnswers[key]; cached != nil {
+		return cached, nil
 	}
 	body := &api.Members{Epoch: s.epoch, Index: view.index, Snapshot: key.from < 0, LeaseMS: s.options.Lease.Milliseconds()}
 	if body.Snapshot {
-		body.Members = view.everybody()
+		body.Members = view.allMembers()
 	} else {
 		body.Members = view.changedSince(key.from)
 	}
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := &memberAnswer{plain: text, compressed: compress(text), isNews: body.Snapshot || len(body.Members) > 0}
+	answer := &memberAnswer{plain: text, compressed: compress(text), hasContent: body.Snapshot || len(body.Members) > 0}
 	if len(s.memberAnswers) >= maxMemberAnswers {
 		clear(s.memberAnswers)
 	}
@@ -127,13 +127,13 @@
 	return nil
 }
 
-// awaitMembers waits for a change of the members, or for the end of the time.
+// awaitMembers returns a response once the members have changed, the hold time has expired, or the server stops.
 func (s *Server) awaitMembers(ctx context.Context, q *memberQuery) (*memberAnswer, error) {
 	timeout := time.NewTimer(q.hold)
 	defer timeout.Stop()
 	for isOver := q.hold <= 0; ; {
 		answer, published, err := s.membersSince(q)
-		if err != nil || isOver || answer.isNews {
+		if err != nil || isOver || answer.hasContent {
 			return answer, err
 		}
 		select {
@@ -148,7 +148,7 @@
 	}
 }
 
-// membersSince is an answer as of now, and what is closed when there is another one.
+// membersSince returns the current response to a query, and a channel that is closed at the next publication.
 func (s *Server) membersSince(q *memberQuery) (*memberAnswer, <-chan struct{}, error) {
 	s.memberMu.Lock()
 	defer s.memberMu.Unlock()
@@ -156,7 +156,7 @@
 	return answer, s.published, err
 }
 
-// publishMembers makes public what has changed, from time to time: many changes at once are one answer for each who waits.
+// publishMembers publishes membership changes at a fixed interval, so that many simultaneous changes cost one response per waiting request.
 func (s *Server) publishMembers(ctx context.Context) {
 	tick := time.NewTicker(s.options.PublishEvery)
 	defer tick.Stop()
@@ -173,14 +173,14 @@
 func (s *Server) publishOnce(now time.Time) {
 	s.memberMu.Lock()
 	defer s.memberMu.Unlock()
-	before := len(s.members.all.zones)
+	before := len(s.members.fleetView.zones)
 	changed := s.members.publish(now)
 	isSettled := s.settled || s.hasSettled(now)
 	if changed {
 		clear(s.memberAnswers)
-		s.membersToSave = true
+		s.membersDirty = true
 		if isSettled {
-			slog.Info("the members have changed", "members", len(s.members.all.zones), "before", before, "leases_here", len(s.members.held.zones), "index", s.members.all.index)
+			slog.Info("fleet members changed", "members", len(s.members.fleetView.zones), "before", before, "leases_here", len(s.members.ownView.zones), "index", s.members.fleetView.index)
 		}
 	}
 	if changed || isSettled != s.settled {
@@ -190,38 +190,38 @@
 	}
 }
 
-// hasSettled reports whether the members that are known are all that there are, as far as can be known.
+// hasSettled reports whether the members may be published: leases were restored and every peer has responded, or the settle time is over.
 func (s *Server) hasSettled(now time.Time) bool {
 	return s.restored && len(s.peersAnswered) == len(s.options.Peers) || now.Sub(s.started) >= s.options.Settle
 }
 
-// Waits between two calls to a peer that fail.
+// Bounds of the back-off after a failed request to a peer, and the time a response may take in addition to its hold time.
 const (
-	firstPeerPause = 100 * time.Millisecond
-	maxPeerPause   = 2 * time.Second
-	peerMargin     = 5 * time.Second // what an answer may take beside its hold
+	minPeerBackoff    = 100 * time.Millisecond
+	maxPeerBackoff    = 2 * time.Second
+	peerTimeoutMargin = 5 * time.Second
 )
 
-// followPeer watches whose leases another control server holds.
+// followPeer keeps the leases held by another control server up to date until the context ends.
 func (s *Server) followPeer(ctx context.Context, address string) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	epoch, index, pause, isSilent := "", int64(-1), time.Duration(0), false
 	for ctx.Err() == nil {
-		answer, err := s.askPeer(ctx, client, address, epoch, index)
+		answer, err := s.fetchPeerMembers(ctx, client, address, epoch, index)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			if !isSilent {
-				slog.Warn("a control server does not answer: its members are kept for one lease", "peer", address, "lease", s.options.Lease, "err", err)
+				slog.Warn("peer control server does not answer: keeping its members for the duration of one lease", "peer", address, "lease", s.options.Lease, "err", err)
 			}
-			isSilent, pause = true, min(maxPeerPause, max(firstPeerPause, 2*pause))
+			isSilent, pause = true, min(maxPeerBackoff, max(minPeerBackoff, 2*pause))
 			sleep(ctx, time.Duration((0.5+rand.Float64()/2)*float64(pause)))
 			continue
 		}
 		if isSilent {
-			slog.Info("a control server answers again", "peer", address)
+			slog.Info("peer control server answers again", "peer", address)
 		}
 		isSilent, pause = false, 0
 		epoch, index = answer.Epoch, answer.Index
@@ -232,9 +232,9 @@
 	}
 }
 
-func (s *Server) askPeer(ctx context.Context, client *http.Client, address, epoch string, index int64) (*api.Members, error) {
+func (s *Server) fetchPeerMembers(ctx context.Context, client *http.Client, address, epoch string, index int64) (*api.Members, error) {
 	hold := s.options.Lease / 3
-	ctx, cancel := context.WithTimeout(ctx, hold+peerMargin)
+	ctx, cancel := context.WithTimeout(ctx, hold+peerTimeoutMargin)
 	defer cancel()
 	query := url.Values{"peer": {s.options.Name}}
 	if index >= 0 {
@@ -260,12 +260,12 @@
 		return nil, err
 	}
 	if answer.Epoch == "" {
-		return nil, errors.New("an answer without an epoch: is that a control server?")
+		return nil, errors.New("response has no epoch: check that the peer address is that of a control server")
 	}
 	return &answer, nil
 }
 
-// sleep waits so long, or until the context ends.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -1,5 +1,6 @@
-// Package control is the I/O of a control server: it watches discovery's list, keeps it whole in a catalog and in a folder, serves each forwarder
-// the part that it asks for, and keeps the leases of the fleet's members. docs/ownership.md fixes its calls, docs/control-server.md is for operators.
+// Package control implements the I/O of a control server. The server watches discovery's endpoint list, stores all of it in a catalog and in a state
+// folder, serves each forwarder the part that it requests, and holds the leases of the fleet's members. docs/ownership.md specifies the requests;
+// docs/control-server.md is for operators.
 package control
 
 import (
@@ -14,42 +15,42 @@
 	"scaleroute/internal/ownership"
 )
 
-// Options are the settings of a server. A number or time that is 0 has its default.
+// Options are the settings of a server. A number or duration of 0 means the default.
 type Options struct {
-	Name     string // of this server, for its peers
+	Name     string // identifies this server to its peers
 	Upstream string // host:port of discovery
-	StateDir string // where the list is kept
+	StateDir string // state folder: the list and the leases are persisted in it
 	Layout   ownership.Layout
 	Peers    []string // host:port of the other control servers
 
-	Lease              time.Duration // of a member
-	Settle             time.Duration // how long members are gathered before they are published, where none are known from before
-	PublishEvery       time.Duration // between two publications of the members
-	SaveEvery          time.Duration // the list is written, if it has changed
-	MaxHold            time.Duration // a watch is held
-	MaxRequests        int           // at the same time, held ones included
+	Lease              time.Duration // how long a member stays in the fleet after its last request
+	Settle             time.Duration // how long the server waits for members to call before it publishes them, unless it has stored leases and all peers have responded
+	PublishEvery       time.Duration // interval of the publications of members
+	SaveEvery          time.Duration // interval of list snapshots, if the list has changed
+	MaxHold            time.Duration // longest time for which a request is held
+	MaxRequests        int           // served at the same time, held ones included
 	MaxScopes          int
-	MaxScopePartitions int // in all scopes together
-	MaxBufferedEntries int // entries of a snapshot that is built in memory; a larger one is sent piece by piece
+	MaxScopePartitions int // partitions in all registered scopes together
+	MaxBufferedEntries int // entries of the largest snapshot that is built in memory; a larger one is streamed
 	Limits             catalog.Limits
 	Stream             agent.StreamLimits
 }
 
-// Bounds that are not set by operators.
+// Limits that operators can't set.
 const (
 	maxMembers             = 1 << 16
 	maxMemberChanges       = 1 << 14
-	maxNameLen             = 256         // of a member or a zone
-	maxScopeBody           = 8 << 20     // bytes
-	maxWholeLists          = 4           // sent at the same time
-	maxWatchedDestinations = 1 << 20     // single ones, in all watches that are held
-	maxPeers               = 16          //
+	maxNameLen             = 256     // of a member, a peer or a zone
+	maxScopeBody           = 8 << 20 // bytes
+	maxStreamedLists       = 4       // streamed at the same time
+	maxWatchedDestinations = 1 << 20 // single destinations watched in all held requests together
+	maxPeers               = 16
 	maxPeerAnswer          = 64 << 20    // bytes
-	minCompressed          = 1 << 10     // bytes: a shorter answer is sent as it is
-	maxKeptBuffer          = 4 << 20     // bytes of a buffer that is used again
-	slotsAtOnce            = 512         // of the list, under one lock
-	maxHeaderBytes         = 64 << 10    //
-	writeTime              = time.Minute // for an answer, or a piece of the whole list
+	minCompressedBytes     = 1 << 10     // a shorter response is sent uncompressed
+	maxPooledBuffer        = 4 << 20     // bytes: a larger buffer is not reused
+	slotsPerLock           = 512         // list slots visited while the lock is held once
+	maxHeaderBytes         = 64 << 10    // bytes
+	writeTimeout           = time.Minute // for a response, or one chunk of a streamed list
 )
 
 func (o *Options) setDefaults() {
@@ -79,19 +80,19 @@
 	}
 }
 
-// Validate says what is wrong with the options, with the remedy.
+// Validate returns an error that names the invalid option and its remedy.
 func (o *Options) Validate() error {
 	if o.Name == "" || len(o.Name) > maxNameLen {
-		return fmt.Errorf("name: %d bytes; give each control server a name of its own, of 1 to %d bytes", len(o.Name), maxNameLen)
+		return fmt.Errorf("name: has %d bytes; give each control server a unique name of 1 to %d bytes", len(o.Name), maxNameLen)
 	}
 	if o.StateDir == "" {
-		return errors.New("state: name a folder in which the list is kept over a restart")
+		return errors.New("state: set a folder in which the list is stored across restarts")
 	}
 	if err := checkAddress("upstream", o.Upstream); err != nil {
 		return err
 	}
 	if len(o.Peers) > maxPeers {
-		return fmt.Errorf("peers: %d, at most %d", len(o.Peers), maxPeers)
+		return fmt.Errorf("peers: %d given, at most %d are allowed", len(o.Peers), maxPeers)
 	}
 	for _, peer := range o.Peers {
 		if err := checkAddress("peers", peer); err != nil {
@@ -99,17 +100,17 @@
 		}
 	}
 	if o.Lease < 0 || o.Lease > time.Hour || o.Lease != 0 && o.Lease < 50*time.Millisecond {
-		return fmt.Errorf("lease %v: from 50ms to 1h", o.Lease)
+		return fmt.Errorf("lease %v: must be from 50ms to 1h", o.Lease)
 	}
 	if o.MaxRequests < 0 || o.MaxRequests > math.MaxInt32 {
-		return fmt.Errorf("max-requests %d: from 1 to %d", o.MaxRequests, math.MaxInt32)
+		return fmt.Errorf("max-requests %d: must be from 1 to %d", o.MaxRequests, math.MaxInt32)
 	}
 	return o.Layout.Validate()
 }
 
 func checkAddress(setting, address string) error {
 	if _, port, err := net.SplitHostPort(address); err != nil || port == "" {
-		return fmt.Errorf("%s %.80q: give host:port", setting, address)
+		return fmt.Errorf("%s %.80q: must be host:port", setting, address)
 	}
 	return nil
 }
--- a/internal/control/respond.go
+++ b/internal/control/respond.go
@@ -13,40 +13,40 @@
 	"time"
 )
 
-// problem is an answer that is an error.
-type problem struct {
+// httpError is an error that is sent to the client with its status and, if set, a Retry-After header.
+type httpError struct {
 	status     int
 	text       string
 	retryAfter time.Duration
 }
 
-func (p *problem) Error() string { return p.text }
+func (p *httpError) Error() string { return p.text }
 
 func badRequest(format string, args ...any) error {
-	return &problem{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
+	return &httpError{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
 }
 
 func unavailable(retryAfter time.Duration, format string, args ...any) error {
-	return &problem{status: http.StatusServiceUnavailable, text: fmt.Sprintf(format, args...), retryAfter: retryAfter}
+	return &httpError{status: http.StatusServiceUnavailable, text: fmt.Sprintf(format, args...), retryAfter: retryAfter}
 }
 
-// writeProblem answers with an error in plain text.
-func (s *Server) writeProblem(w http.ResponseWriter, err error) {
-	p := &problem{}
+// writeError responds with an error as plain text. An error that is not an httpError has status 500.
+func (s *Server) writeError(w http.ResponseWriter, err error) {
+	p := &httpError{}
 	if !errors.As(err, &p) {
-		p = &problem{status: http.StatusInternalServerError, text: err.Error()}
+		p = &httpError{status: http.StatusInternalServerError, text: err.Error()}
 	}
 	if p.retryAfter > 0 {
 		seconds := max(1, int64((p.retryAfter+time.Second-1)/time.Second))
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	s.figures.refused.Add(1)
+	s.counters.refused.Add(1)
 	http.Error(w, p.text, p.status)
 }
 
-// compressors are kept: each has a megabyte of its own. They are as many as answers are built at the same time.
+// compressors are pooled, since each allocates a megabyte. There are as many of them as responses are compressed at the same time.
 var compressors = sync.Pool{New: func() any {
-	compressor, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // the level is known
+	compressor, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // NewWriterLevel fails only on an invalid level
 	return compressor
 }}
 
@@ -60,13 +60,13 @@
 	return false
 }
 
-// writeJSON sends an answer that is in memory.
+// writeJSON sends a response body, compressed if it is long enough and the client accepts that.
 func (s *Server) writeJSON(w http.ResponseWriter, r *http.Request, body []byte) {
-	if len(body) < minCompressed || !acceptsGzip(r) {
+	if len(body) < minCompressedBytes || !acceptsGzip(r) {
 		s.writeEncoded(w, r, body, nil)
 		return
 	}
-	beginJSON(w)
+	prepareJSON(w)
 	w.Header().Set("Content-Encoding", "gzip")
 	compressor := compressors.Get().(*gzip.Writer)
 	defer compressors.Put(compressor)
@@ -75,9 +75,9 @@
 	compressor.Close()
 }
 
-// writeEncoded sends an answer of which there may be a compressed form.
+// writeEncoded sends a response of which a compressed form may exist.
 func (s *Server) writeEncoded(w http.ResponseWriter, r *http.Request, plain, compressed []byte) {
-	beginJSON(w)
+	prepareJSON(w)
 	body := plain
 	if compressed != nil && acceptsGzip(r) {
 		body = compressed
@@ -87,15 +87,15 @@
 	w.Write(body)
 }
 
-func beginJSON(w http.ResponseWriter) {
+func prepareJSON(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
-	w.Header()["Date"] = nil // nobody reads it, and it is a tenth of a small answer
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTime))
+	w.Header()["Date"] = nil // no client reads it, and it is a tenth of a small response
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-// compress is the compressed form of an answer that is sent many times; nil where it is too short.
+// compress returns the compressed form of a response that is sent many times, or nil if it is too short to be compressed.
 func compress(text []byte) []byte {
-	if len(text) < minCompressed {
+	if len(text) < minCompressedBytes {
 		return nil
 	}
 	var to bytes.Buffer
--- a/internal/control/scopes.go
+++ b/internal/control/scopes.go
@@ -9,127 +9,129 @@
 	"scaleroute/internal/ownership"
 )
 
-// watches knows the registered scopes and who waits for a change in which, so that a change wakes those alone whose scope it touches.
+// watches holds the registered scopes and the requests that wait for a change in them, so that a change wakes only the requests whose scope it
+// affects.
 type watches struct {
 	layout          ownership.Layout
 	maxScopes       int
-	maxNumbers      int
+	maxPartitions   int
 	maxDestinations int
 
-	mu            sync.Mutex
-	scopes        map[string]*scope
-	used          *list.List // of *scope, the one used last in front
-	numbers       int        // partitions in all scopes
-	partitions    partitionIndex
-	byNumber      []*scope // by scope.number; nil: free
-	freeNumbers   []uint32
-	byDestination map[uint32]map[*watch]struct{}
-	whole         map[*watch]struct{}
-	destinations  int // single ones, in all calls that wait
+	mu               sync.Mutex
+	scopes           map[string]*scope
+	lru              *list.List // of *scope, most recently used first
+	partitionCount   int        // sum over all scopes
+	partitions       partitionIndex
+	scopesByID       []*scope // indexed by scope.id; nil: unused
+	freeIDs          []uint32
+	byDestination    map[uint32]map[*watch]struct{}
+	wholeList        map[*watch]struct{}
+	destinationCount int // single destinations watched in all waiting requests
 }
 
-// scope is a set of partitions that somebody has registered.
+// scope is a set of partitions that a forwarder has registered.
 type scope struct {
 	digest     string
 	partitions ownership.Set
-	number     uint32
-	place      *list.Element
+	id         uint32
+	lruElement *list.Element
 	watches    map[*watch]struct{}
 }
 
-// watch is one call that waits.
+// watch is one request that waits for a change.
 type watch struct {
-	wake         chan struct{} // of one place
+	wake         chan struct{} // has a capacity of 1
 	scope        *scope
 	destinations ownership.Set
-	whole        bool
+	wholeList    bool
 }
 
 func newWatches(layout ownership.Layout, maxScopes, maxNumbers int) *watches {
-	return &watches{layout: layout, maxDestinations: maxWatchedDestinations, maxScopes: maxScopes, maxNumbers: maxNumbers, scopes: map[string]*scope{}, used: list.New(),
-		partitions: newPartitionIndex(layout.Partitions), byDestination: map[uint32]map[*watch]struct{}{}, whole: map[*watch]struct{}{}}
+	return &watches{layout: layout, maxDestinations: maxWatchedDestinations, maxScopes: maxScopes, maxPartitions: maxNumbers, scopes: map[string]*scope{}, lru: list.New(),
+		partitions: newPartitionIndex(layout.Partitions), byDestination: map[uint32]map[*watch]struct{}{}, wholeList: map[*watch]struct{}{}}
 }
 
 var errTooLarge = errors.New("the scope is larger than all scopes together may be")
 
-// register keeps a scope; the ones that were not used for longest leave where there are too many.
+// register adds a scope. If the limits are exceeded, it evicts the least recently used scopes.
 func (w *watches) register(digest string, partitions ownership.Set) error {
-	if partitions.Len() > w.maxNumbers {
+	if partitions.Len() > w.maxPartitions {
 		return errTooLarge
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if known := w.scopes[digest]; known != nil {
-		w.used.MoveToFront(known.place)
+		w.lru.MoveToFront(known.lruElement)
 		return nil
 	}
-	for len(w.scopes) >= w.maxScopes || w.numbers+partitions.Len() > w.maxNumbers {
-		w.forget(w.used.Back().Value.(*scope))
+	for len(w.scopes) >= w.maxScopes || w.partitionCount+partitions.Len() > w.maxPartitions {
+		w.evict(w.lru.Back().Value.(*scope))
 	}
-	s := &scope{digest: digest, partitions: partitions, number: w.takeNumber(), watches: map[*watch]struct{}{}}
-	s.place = w.used.PushFront(s)
-	w.scopes[digest], w.byNumber[s.number] = s, s
-	w.numbers += partitions.Len()
+	s := &scope{digest: digest, partitions: partitions, id: w.allocateID(), watches: map[*watch]struct{}{}}
+	s.lruElement = w.lru.PushFront(s)
+	w.scopes[digest], w.scopesByID[s.id] = s, s
+	w.partitionCount += partitions.Len()
 	for p := range partitions.All() {
-		w.partitions.add(p, s.number)
+		w.partitions.add(p, s.id)
 	}
 	return nil
 }
 
-func (w *watches) takeNumber() uint32 {
-	if last := len(w.freeNumbers) - 1; last >= 0 {
-		number := w.freeNumbers[last]
-		w.freeNumbers = w.freeNumbers[:last]
+func (w *watches) allocateID() uint32 {
+	if last := len(w.freeIDs) - 1; last >= 0 {
+		number := w.freeIDs[last]
+		w.freeIDs = w.freeIDs[:last]
 		return number
 	}
-	w.byNumber = append(w.byNumber, nil)
-	return uint32(len(w.byNumber) - 1)
+	w.scopesByID = append(w.scopesByID, nil)
+	return uint32(len(w.scopesByID) - 1)
 }
 
-// forget drops a scope. Calls that wait in it are woken, and answered that it is unknown.
-func (w *watches) forget(s *scope) {
+// evict removes a scope. Requests that wait for changes in it are woken and fail because the scope is unknown.
+func (w *watches) evict(s *scope) {
 	for p := range s.partitions.All() {
-		w.partitions.remove(p, s.number)
+		w.partitions.remove(p, s.id)
 	}
-	for each := range s.watches {
-		each.notify()
+	for waiter := range s.watches {
+		waiter.notify()
 	}
-	w.used.Remove(s.place)
+	w.lru.Remove(s.lruElement)
 	delete(w.scopes, s.digest)
-	w.byNumber[s.number] = nil
-	w.freeNumbers = append(w.freeNumbers, s.number)
-	w.numbers -= s.partitions.Len()
+	w.scopesByID[s.id] = nil
+	w.freeIDs = append(w.freeIDs, s.id)
+	w.partitionCount -= s.partitions.Len()
 }
 
-// find is a registered scope, nil where there is none.
+// find returns a registered scope and marks it as used, or nil if there is none.
 func (w *watches) find(digest string) *scope {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.scopes[digest]
 	if s != nil {
-		w.used.MoveToFront(s.place)
+		w.lru.MoveToFront(s.lruElement)
 	}
 	return s
 }
 
-// isKnown reports whether a scope is still registered.
-func (w *watches) isKnown(s *scope) bool {
+// isRegistered reports whether a scope is still registered.
+func (w *watches) isRegistered(s *scope) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.scopes[s.digest] == s
 }
 
-// begin has a call woken by changes of a scope, some destinations, or the whole list, until end; nil where too many single destinations are watched.
-func (w *watches) begin(s *scope, destinations ownership.Set, whole bool) *watch {
-	each := &watch{wake: make(chan struct{}, 1), scope: s, destinations: destinations, whole: whole}
+// add starts a watch that is woken by changes of a scope, of single destinations, or of the whole list, until remove. It returns nil if too many
+// single destinations are watched.
+func (w *watches) add(s *scope, destinations ownership.Set, whole bool) *watch {
+	waiter := &watch{wake: make(chan struct{}, 1), scope: s, destinations: destinations, wholeList: whole}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.destinations+destinations.Len() > w.maxDestinations {
+	if w.destinationCount+destinations.Len() > w.maxDestinations {
 		return nil
 	}
-	w.destinations += destinations.Len()
+	w.destinationCount += destinations.Len()
 	if s != nil {
-		s.watches[each] = struct{}{}
+		s.watches[waiter] = struct{}{}
 	}
 	for destination := range destinations.All() {
 		waiting := w.byDestination[destination]
@@ -137,58 +139,58 @@
 			waiting = map[*watch]struct{}{}
 			w.byDestination[destination] = waiting
 		}
-		waiting[each] = struct{}{}
+		waiting[waiter] = struct{}{}
 	}
 	if whole {
-		w.whole[each] = struct{}{}
+		w.wholeList[waiter] = struct{}{}
 	}
-	return each
+	return waiter
 }
 
-func (w *watches) end(each *watch) {
+func (w *watches) remove(waiter *watch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.destinations -= each.destinations.Len()
-	if each.scope != nil {
-		delete(each.scope.watches, each)
+	w.destinationCount -= waiter.destinations.Len()
+	if waiter.scope != nil {
+		delete(waiter.scope.watches, waiter)
 	}
-	for destination := range each.destinations.All() {
+	for destination := range waiter.destinations.All() {
 		waiting := w.byDestination[destination]
-		if delete(waiting, each); len(waiting) == 0 {
+		if delete(waiting, waiter); len(waiting) == 0 {
 			delete(w.byDestination, destination)
 		}
 	}
-	delete(w.whole, each)
+	delete(w.wholeList, waiter)
 }
 
-func (each *watch) notify() {
+func (waiter *watch) notify() {
 	select {
-	case each.wake <- struct{}{}:
-	default: // it is about to wake already
+	case waiter.wake <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// notify wakes those whose scope a list has touched.
+// notify wakes the watches that a committed list affects.
 func (w *watches) notify(touched catalog.ChangedDestinations) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !touched.All && len(touched.Destinations) == 0 {
 		return
 	}
-	for each := range w.whole {
-		each.notify()
+	for waiter := range w.wholeList {
+		waiter.notify()
 	}
 	if touched.All {
 		w.notifyAll()
 		return
 	}
 	for _, group := range touched.Destinations {
-		for each := range w.byDestination[group] {
-			each.notify()
+		for waiter := range w.byDestination[group] {
+			waiter.notify()
 		}
-		for number := range w.partitions.scopes(w.layout.PartitionOf(int(group))) {
-			for each := range w.byNumber[number].watches {
-				each.notify()
+		for number := range w.partitions.scopesOf(w.layout.PartitionOf(int(group))) {
+			for waiter := range w.scopesByID[number].watches {
+				waiter.notify()
 			}
 		}
 	}
@@ -196,71 +198,72 @@
 
 func (w *watches) notifyAll() {
 	for _, s := range w.scopes {
-		for each := range s.watches {
-			each.notify()
+		for waiter := range s.watches {
+			waiter.notify()
 		}
 	}
 	for _, waiting := range w.byDestination {
-		for each := range waiting {
-			each.notify()
+		for waiter := range waiting {
+			waiter.notify()
 		}
 	}
 }
 
-// countScopes is how many scopes are registered.
+// countScopes returns the number of registered scopes.
 func (w *watches) countScopes() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.scopes)
 }
 
-// partitionIndex is which scopes have a partition: chains in one slice, without pointers, as there are some owners for each of millions.
+// partitionIndex maps each partition to the scopes that contain it. The linked lists share one slice without pointers, because there are millions
+// of partitions with several owners each.
 type partitionIndex struct {
-	first []uint32 // by partition: a place in links and one, 0: none
+	heads []uint32 // by partition: index into links plus one; 0: none
 	links []link
-	free  uint32 // a place and one
+	free  uint32 // index into links plus one of the first unused link; 0: none
 }
 
 type link struct {
 	scope uint32
-	next  uint32 // a place and one
+	next  uint32 // index into links plus one; 0: none
 }
 
 func newPartitionIndex(partitions int) partitionIndex {
-	return partitionIndex{first: make([]uint32, partitions)}
+	return partitionIndex{heads: make([]uint32, partitions)}
 }
 
 func (x *partitionIndex) add(p ownership.Partition, scope uint32) {
-	place := x.free
-	if place == 0 {
+	position := x.free
+	if position == 0 {
 		x.links = append(x.links, link{})
-		place = uint32(len(x.links))
+		position = uint32(len(x.links))
 	} else {
-		x.free = x.links[place-1].next
+		x.free = x.links[position-1].next
 	}
-	x.links[place-1] = link{scope: scope, next: x.first[p]}
-	x.first[p] = place
+	x.links[position-1] = link{scope: scope, next: x.heads[p]}
+	x.heads[p] = position
 }
 
 func (x *partitionIndex) remove(p ownership.Partition, scope uint32) {
-	at := &x.first[p]
+	at := &x.heads[p]
 	for *at != 0 && x.links[*at-1].scope != scope {
 		at = &x.links[*at-1].next
 	}
-	place := *at
-	if place == 0 {
+	position := *at
+	if position == 0 {
 		return
 	}
-	*at = x.links[place-1].next
-	x.links[place-1] = link{next: x.free}
-	x.free = place
+	*at = x.links[position-1].next
+	x.links[position-1] = link{next: x.free}
+	x.free = position
 }
 
-// scopes are the numbers of the scopes that have a partition.
-func (x *partitionIndex) scopes(p ownership.Partition) func(yield func(uint32) bool) {
+// scopesOf iterates over the ids of the scopes that contain a partition.
+func (x *partitionIndex) scopesOf(p ownership.Partition) func(yield func(uint32) bool) {
 	return func(yield func(uint32) bool) {
-		for place := x.first[p]; place != 0; place = x.links[place-1].next {
-			if !yield(x.links[place-1].scope) {
+		for position := x.heads[p]; position != 0; position = x.links[position-1].next {
+			if !yield(x.links[position-1].scope) {
 				return
 			}
 		}
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -14,9 +14,9 @@
 	"scaleroute/internal/ownership"
 )
 
-// TestParts: a scope is served its partitions, and destinations beside it; look-ups name what they want; a destination that does not exist has no
-// entries, and neither has a scope without destinations.
-func TestParts(t *testing.T) {
+// TestListRequests checks the entries of snapshots: a scope gets its partitions and the extra destinations of the request, a look-up gets the named
+// destinations, and an unknown destination or an empty scope gets no entries.
+func TestListRequests(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoint("a1", 1), endpoint("a2", 1), endpoint("b", 2), endpoint("c", 3))
 	s := startServer(t, testOptions(t, d.address()))
 	s.awaitIndex(7)
@@ -32,7 +32,7 @@
 	} {
 		got := s.get("%s", path)
 		if path == "/v1/servers" {
-			want = got.names() // in whatever order
+			want = got.names() // the order does not matter
 			if len(got.list.Endpoints) != 4 {
 				t.Errorf("the whole list: %s", got.names())
 			}
@@ -42,12 +42,12 @@
 		}
 	}
 	if got := s.get("/v1/servers?destinations=%s", ownership.NewSet(2)).list.Endpoints[0]; got != endpoint("b", 2) {
-		t.Errorf("an entry has become %+v", got)
+		t.Errorf("the entry was altered: %+v", got)
 	}
 }
 
-// TestRefusedCalls: each call that can't be right is answered with what is wrong.
-func TestRefusedCalls(t *testing.T) {
+// TestInvalidRequests checks that each invalid request gets its status and an error text that names the fault.
+func TestInvalidRequests(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	s := startServer(t, testOptions(t, d.address()))
 	s.awaitIndex(7)
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestNoListYet: without a list there is no answer that could be taken for an empty one.
+// TestNoListYet checks that a server without a list responds with 503 and never with an empty list.
 func TestNoListYet(t *testing.T) {
 	closed := newFakeDiscovery(t, 1)
 	closed.Server.Close()
@@ -102,8 +102,9 @@
 	}
 }
 
-// TestOnlyThoseTouchedAreWoken: a change wakes the watches of its destination's former and new scopes, of the destination itself, and of the whole list.
-func TestOnlyThoseTouchedAreWoken(t *testing.T) {
+// TestChangeWakesAffectedWatches checks that an endpoint that moves to another destination wakes only the watches of its former and new scopes, of
+// the former destination, and of the whole list.
+func TestChangeWakesAffectedWatches(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoints(64)...)
 	s := startServer(t, testOptions(t, d.address()))
 	s.awaitIndex(7)
@@ -114,13 +115,13 @@
 	var idle []<-chan *reply
 	for p := range uint32(64) {
 		if p != partitionOf(former) && p != partitionOf(next) {
-			idle = append(idle, s.getAside("/v1/servers?scope=%s&from=7&hold_ms=60000", s.register(p)))
+			idle = append(idle, s.getAsync("/v1/servers?scope=%s&from=7&hold_ms=60000", s.register(p)))
 		}
 	}
-	left := s.getAside("/v1/servers?scope=%s&from=7&hold_ms=60000", s.register(partitionOf(former)))
-	joined := s.getAside("/v1/servers?scope=%s&from=7&hold_ms=60000", s.register(partitionOf(next), 63))
-	single := s.getAside("/v1/servers?destinations=%s&from=7&hold_ms=60000", ownership.NewSet(uint32(former)))
-	whole := s.getAside("/v1/servers?from=7&hold_ms=60000")
+	left := s.getAsync("/v1/servers?scope=%s&from=7&hold_ms=60000", s.register(partitionOf(former)))
+	joined := s.getAsync("/v1/servers?scope=%s&from=7&hold_ms=60000", s.register(partitionOf(next), 63))
+	single := s.getAsync("/v1/servers?destinations=%s&from=7&hold_ms=60000", ownership.NewSet(uint32(former)))
+	whole := s.getAsync("/v1/servers?from=7&hold_ms=60000")
 	s.awaitWatchers(len(idle) + 4)
 	d.change(endpoint("s-00000", next))
 	for name, c := range map[string]struct {
@@ -131,26 +132,26 @@
 			t.Errorf("%s: %s", name, got.text)
 		}
 	}
-	if f := s.snapshotFigures(); f.WakeUps != 4 || f.Watchers != len(idle) {
-		t.Errorf("%d have been woken, %d wait", f.WakeUps, f.Watchers)
+	if f := s.collectStats(); f.WakeUps != 4 || f.Watchers != len(idle) {
+		t.Errorf("%d watches were woken, %d still wait", f.WakeUps, f.Watchers)
 	}
-	if err := s.stop(); err != nil { // which answers those that still wait
+	if err := s.stop(); err != nil { // stopping responds to the held requests
 		t.Error(err)
 	}
 	for _, answer := range idle {
 		if got := <-answer; got.status != 200 || got.names() != "" || got.list.Index != 8 {
-			t.Fatalf("at the end: status %d, %s", got.status, got.text)
+			t.Fatalf("after the stop: status %d, %s", got.status, got.text)
 		}
 	}
 }
 
-// TestHoldEnds: a watch in which nothing happens ends with the list's index as it is now.
-func TestHoldEnds(t *testing.T) {
+// TestHoldExpires checks that a held request without a change in its scope gets an empty delta with the current index of the list.
+func TestHoldExpires(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	s := startServer(t, testOptions(t, d.address()))
 	s.awaitIndex(7)
 	other := (partitionOf(1) + 1) % 64
-	answer := s.getAside("/v1/servers?scope=%s&from=7&hold_ms=300", s.register(other))
+	answer := s.getAsync("/v1/servers?scope=%s&from=7&hold_ms=300", s.register(other))
 	s.awaitWatchers(1)
 	s.awaitIndex(d.change(draining(endpoint("a", 1))))
 	if got := <-answer; got.list.Index != 8 || got.list.Snapshot || got.names() != "" {
@@ -158,7 +159,7 @@
 	}
 }
 
-// TestEveryEntryChanges: each scope is answered with all that it has.
+// TestEveryEntryChanges checks that each scope gets all of its entries when all of them change at once.
 func TestEveryEntryChanges(t *testing.T) {
 	list := endpoints(2000)
 	d := newFakeDiscovery(t, 7, list...)
@@ -166,7 +167,7 @@
 	s.awaitIndex(7)
 	var answers []<-chan *reply
 	for p := range uint32(64) {
-		answers = append(answers, s.getAside("/v1/servers?scope=%s&from=7&hold_ms=60000", s.register(p)))
+		answers = append(answers, s.getAsync("/v1/servers?scope=%s&from=7&hold_ms=60000", s.register(p)))
 	}
 	s.awaitWatchers(64)
 	for i := range list {
@@ -182,11 +183,12 @@
 		}
 	}
 	if total != len(list) {
-		t.Errorf("%d entries are sent, of %d", total, len(list))
+		t.Errorf("%d of %d entries were sent", total, len(list))
 	}
 }
 
-// TestMissedChanges: who missed 10,000 changes gets these, each endpoint once and as it is now; who missed more than the log has gets a snapshot.
+// TestMissedChanges checks that a client that missed 10,000 changes gets a delta with each endpoint once and in its current state, and that a client
+// that missed more than the log holds gets a snapshot.
 func TestMissedChanges(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoints(100)...)
 	options := testOptions(t, d.address())
@@ -214,23 +216,24 @@
 			names[e.Name] = true
 		}
 		if whole := s.get("/v1/servers?scope=%s", scope); len(whole.list.Endpoints) != len(names) {
-			t.Errorf("round %d: %d entries, and %d in a snapshot", round, len(names), len(whole.list.Endpoints))
+			t.Errorf("round %d: %d entries, but %d in a snapshot", round, len(names), len(whole.list.Endpoints))
 		}
 	}
 }
 
-// TestIndexGoesBack: discovery counts anew; whoever watches from the former count gets a snapshot of the new one, and who is ahead of both is refused.
+// TestIndexGoesBack checks what clients get after discovery has restarted its index at a lower value: a client with an index of the former count
+// gets a snapshot, and a client with an index above both counts gets 503.
 func TestIndexGoesBack(t *testing.T) {
 	d := newFakeDiscovery(t, 100, endpoint("a", 1), endpoint("b", 1))
 	options := testOptions(t, d.address())
 	s := startServer(t, options)
 	s.awaitIndex(100)
 	scope := s.register(partitionOf(1))
-	waits := s.getAside("/v1/servers?scope=%s&from=100&hold_ms=60000", scope)
+	waits := s.getAsync("/v1/servers?scope=%s&from=100&hold_ms=60000", scope)
 	s.awaitWatchers(1)
 	d.restart(3, endpoint("b", 1))
 	if got := <-waits; !got.list.Snapshot || got.list.Index != 3 || got.names() != "b" {
-		t.Errorf("who waited: %s", got.text)
+		t.Errorf("held request: %s", got.text)
 	}
 	check := func(s *testServer) {
 		t.Helper()
@@ -249,8 +252,9 @@
 	check(again)
 }
 
-// TestSpoiltEntries: each is refused alone, and what was known under its name stays; the log names some of them and says how many there are.
-func TestSpoiltEntries(t *testing.T) {
+// TestInvalidEntries checks that an invalid entry is rejected by itself and the previous state of its endpoint is kept, and that the log names some
+// of the rejected entries and their total.
+func TestInvalidEntries(t *testing.T) {
 	logs := captureLogs(t)
 	good := endpoint("good", 1)
 	d := newFakeDiscovery(t, 7, good)
@@ -260,7 +264,7 @@
 	wrong.Address = "nowhere"
 	many := []agent.Endpoint{wrong, endpoint("other", 1)}
 	for i := range 500 {
-		e := endpoint(fmt.Sprint("spoilt-", i), 1)
+		e := endpoint(fmt.Sprint("invalid-", i), 1)
 		e.Weight = -1
 		many = append(many, e)
 	}
@@ -269,16 +273,16 @@
 	if got.names() != "good other" {
 		t.Errorf("%s", got.text)
 	}
-	if f := s.snapshotFigures(); f.RefusedEntries != 501 {
-		t.Errorf("%d are refused", f.RefusedEntries)
+	if f := s.collectStats(); f.RefusedEntries != 501 {
+		t.Errorf("%d entries were rejected", f.RefusedEntries)
 	}
 	text := logs.String()
-	if n := strings.Count(text, "is refused"); n != maxRefusedLines || !strings.Contains(text, "refused=501") {
+	if n := strings.Count(text, "is rejected"); n != maxRejectedLogLines || !strings.Contains(text, "refused=501") {
 		t.Errorf("%d lines:\n%s", n, text)
 	}
 }
 
-// TestOverload: requests over the bound are answered with 503, held ones count, and figures are served all the same.
+// TestOverload checks that requests over the limit get 503, that held requests count towards it, and that GET /v1/figures is still served.
 func TestOverload(t *testing.T) {
 	logs := captureLogs(t)
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
@@ -288,7 +292,7 @@
 	s.awaitIndex(7)
 	var held []<-chan *reply
 	for range 5 {
-		held = append(held, s.getAside("/v1/servers?from=7&hold_ms=60000"))
+		held = append(held, s.getAsync("/v1/servers?from=7&hold_ms=60000"))
 	}
 	s.awaitWatchers(5)
 	for range 50 {
@@ -306,25 +310,25 @@
 		}
 	}
 	if n := strings.Count(logs.String(), "more requests"); n != 1 {
-		t.Errorf("%d lines about 50 refusals", n)
+		t.Errorf("%d log lines about 50 rejected requests", n)
 	}
 }
 
-// TestScopesAreBounded: the scope that was not used for longest leaves, and a watch held in it is answered with 404.
-func TestScopesAreBounded(t *testing.T) {
+// TestScopeEviction checks that the least recently used scope is evicted, and that a request held in it gets 404.
+func TestScopeEviction(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	options := testOptions(t, d.address())
 	options.MaxScopes, options.MaxScopePartitions = 3, 10
 	s := startServer(t, options)
 	s.awaitIndex(7)
 	first := s.register(1)
-	waits := s.getAside("/v1/servers?scope=%s&from=7&hold_ms=60000", first)
+	waits := s.getAsync("/v1/servers?scope=%s&from=7&hold_ms=60000", first)
 	s.awaitWatchers(1)
 	second, third := s.register(2), s.register(1, 2)
 	if s.register(3); (<-waits).status != 404 {
-		t.Error("a scope that has left is still watched")
+		t.Error("a request held in an evicted scope did not get 404")
 	}
-	s.register(1, 2, 3, 4, 5, 6, 7) // has no room beside the three
+	s.register(1, 2, 3, 4, 5, 6, 7) // exceeds MaxScopePartitions together with the others
 	for digest, want := range map[string]int{first: 404, second: 404, third: 200} {
 		if got := s.get("/v1/servers?scope=%s", digest); got.status != want {
 			t.Errorf("scope %s: status %d", digest, got.status)
@@ -332,15 +336,16 @@
 	}
 }
 
-// TestWatchedDestinationsAreBounded: a watch of more single destinations than there is room for is refused, and one that ends makes room.
-func TestWatchedDestinationsAreBounded(t *testing.T) {
+// TestWatchedDestinationLimit checks that a request that would exceed the limit of watched single destinations gets 503, and that a request that
+// ends releases its destinations.
+func TestWatchedDestinationLimit(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoint("a", 1))
 	s := startServer(t, testOptions(t, d.address()))
 	s.awaitIndex(7)
 	s.watches.mu.Lock()
 	s.watches.maxDestinations = 3
 	s.watches.mu.Unlock()
-	held := s.getAside("/v1/servers?destinations=%s&from=7&hold_ms=60000", ownership.NewSet(1, 2))
+	held := s.getAsync("/v1/servers?destinations=%s&from=7&hold_ms=60000", ownership.NewSet(1, 2))
 	s.awaitWatchers(1)
 	if got := s.get("/v1/servers?destinations=%s&from=7&hold_ms=60000", ownership.NewSet(3, 4)); got.status != 503 || !strings.Contains(got.text, "are watched here") {
 		t.Errorf("status %d: %s", got.status, got.text)
@@ -351,12 +356,12 @@
 	}
 	s.awaitWatchers(0)
 	if got := s.get("/v1/servers?destinations=%s&from=8&hold_ms=1", ownership.NewSet(3, 4)); got.status != 200 {
-		t.Errorf("once there is room: status %d", got.status)
+		t.Errorf("after the first request has ended: status %d", got.status)
 	}
 }
 
-// TestLargePart: a part that is sent piece by piece has the same entries as one that is built in memory.
-func TestLargePart(t *testing.T) {
+// TestStreamedPart checks that a streamed part has the same entries as one that is built in memory.
+func TestStreamedPart(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoints(3000)...)
 	options := testOptions(t, d.address())
 	small := startServer(t, options)
@@ -373,14 +378,14 @@
 		answers = append(answers, s.get("/v1/servers?scope=%s&destinations=%s", s.register(half...), extra))
 	}
 	if answers[0].names() != answers[1].names() || len(answers[1].list.Endpoints) < 1000 || !answers[1].list.Snapshot || answers[1].list.Index != 7 {
-		t.Errorf("%d entries in memory, %d in pieces", len(answers[0].list.Endpoints), len(answers[1].list.Endpoints))
+		t.Errorf("%d entries built in memory, %d streamed", len(answers[0].list.Endpoints), len(answers[1].list.Endpoints))
 	}
-	if a, b := small.snapshotFigures().StreamedLists, large.snapshotFigures().StreamedLists; a != 0 || b != 1 {
-		t.Errorf("%d and %d are sent piece by piece", a, b)
+	if a, b := small.collectStats().StreamedLists, large.collectStats().StreamedLists; a != 0 || b != 1 {
+		t.Errorf("%d and %d lists were streamed, want 0 and 1", a, b)
 	}
 }
 
-// TestCompression: an answer over a kilobyte is compressed where the caller accepts that, a smaller one is not.
+// TestCompression checks that a response over a kilobyte is compressed if the client accepts that, and that a smaller one is not.
 func TestCompression(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoints(200)...)
 	s := startServer(t, testOptions(t, d.address()))
@@ -419,7 +424,8 @@
 	}
 }
 
-// TestOlderBuild: a build that knows no scopes watches the whole list at a control server as it does at discovery.
+// TestOlderBuild checks that a forwarder of an older build, which knows no scopes, can watch the whole list at a control server as it does at
+// discovery.
 func TestOlderBuild(t *testing.T) {
 	d := newFakeDiscovery(t, 7, endpoints(3000)...)
 	s := startServer(t, testOptions(t, d.address()))
@@ -442,7 +448,7 @@
 	}
 }
 
-// TestOptions: what can't be right is refused with the setting's name.
+// TestOptions checks that an invalid option is rejected with an error that names it.
 func TestOptions(t *testing.T) {
 	for want, change := range map[string]func(*Options){
 		"name":       func(o *Options) { o.Name = "" },
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -11,58 +11,58 @@
 	"scaleroute/internal/ownership"
 )
 
-// streamList sends a snapshot piece by piece: the list may change meanwhile, and whatever does has a later index than the answer.
-func (s *Server) streamList(w http.ResponseWriter, r *http.Request, wanted *catalog.Scope) error {
+// streamList sends a snapshot in chunks. The list may change meanwhile; an entry that changes has a later index than the response.
+func (s *Server) streamList(w http.ResponseWriter, r *http.Request, scope *catalog.Scope) error {
 	select {
-	case s.wholeLists <- struct{}{}:
-		defer func() { <-s.wholeLists }()
+	case s.streamSlots <- struct{}{}:
+		defer func() { <-s.streamSlots }()
 	default:
-		return unavailable(5*time.Second, "large lists are sent to %d callers already", maxWholeLists)
+		return unavailable(5*time.Second, "large lists are sent to %d callers already", maxStreamedLists)
 	}
-	s.figures.wholeLists.Add(1)
+	s.counters.streamedLists.Add(1)
 	w.Header().Set("Content-Type", "application/json")
 	connection := http.NewResponseController(w)
 	if !acceptsGzip(r) {
-		s.writePieces(connection, w, s.piecesOf(wanted))
+		s.writeChunks(connection, w, s.chunksOf(scope))
 		return nil
 	}
 	w.Header().Set("Content-Encoding", "gzip")
 	compressor := compressors.Get().(*gzip.Writer)
 	defer compressors.Put(compressor)
 	compressor.Reset(w)
-	s.writePieces(connection, compressor, s.piecesOf(wanted))
+	s.writeChunks(connection, compressor, s.chunksOf(scope))
 	compressor.Close()
 	return nil
 }
 
-// nextPiece visits some entries more, under the list's lock; more is false at the end.
-type nextPiece func(visit catalog.EndpointVisitor) (more bool)
+// nextChunk visits the next entries. The caller holds the list's lock. more is false after the last chunk.
+type nextChunk func(visit catalog.EndpointVisitor) (more bool)
 
-// piecesOf goes over a scope.
-func (s *Server) piecesOf(wanted *catalog.Scope) nextPiece {
-	if wanted.Whole {
+// chunksOf returns an iterator over the entries of a scope.
+func (s *Server) chunksOf(scope *catalog.Scope) nextChunk {
+	if scope.Whole {
 		next, more := 0, true
 		return func(visit catalog.EndpointVisitor) bool {
-			next, more = s.list.VisitSlots(next, slotsAtOnce, visit)
+			next, more = s.list.VisitSlots(next, slotsPerLock, visit)
 			return more
 		}
 	}
-	rest, single := wanted.Partitions, wanted.DestinationsOutsidePartitions(s.options.Layout)
+	remaining, single := scope.Partitions, scope.DestinationsOutsidePartitions(s.options.Layout)
 	return func(visit catalog.EndpointVisitor) bool {
-		count := max(1, slotsAtOnce*s.options.Layout.Partitions/(s.list.Len()+1))
-		var piece ownership.Set
-		piece, rest = rest.Split(count)
-		if piece.Len() == 0 {
-			s.list.VisitDestinations(single, visit) // there is a list
+		count := max(1, slotsPerLock*s.options.Layout.Partitions/(s.list.Len()+1))
+		var chunk ownership.Set
+		chunk, remaining = remaining.Split(count)
+		if chunk.Len() == 0 {
+			s.list.VisitDestinations(single, visit) // it can't fail: a list has been received
 			return false
 		}
-		s.list.VisitScope(&catalog.Scope{Partitions: piece}, visit) // there is a list
+		s.list.VisitScope(&catalog.Scope{Partitions: chunk}, visit) // it can't fail: a list has been received
 		return true
 	}
 }
 
-// writePieces writes until the end, or until the caller is gone.
-func (s *Server) writePieces(connection *http.ResponseController, to io.Writer, next nextPiece) {
+// writeChunks writes all chunks, or stops at a write error because the client has disconnected.
+func (s *Server) writeChunks(connection *http.ResponseController, to io.Writer, next nextChunk) {
 	text := appendListHeader(nil, s.index(), true)
 	first := true
 	for more := true; more; {
@@ -73,9 +73,9 @@
 		})
 		s.listMu.RUnlock()
 		if !more {
-			text = append(text, closeList...)
+			text = append(text, listEnd...)
 		}
-		connection.SetWriteDeadline(time.Now().Add(writeTime))
+		connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := to.Write(text); err != nil {
 			return
 		}
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -7,17 +7,17 @@
 	"scaleroute/internal/agent"
 )
 
-// maxRefusedLines bounds the log lines about entries of one list.
-const maxRefusedLines = 10
+// maxRejectedLogLines limits the log lines about rejected entries of one list.
+const maxRejectedLogLines = 10
 
-// upstreamSink puts what discovery says into the catalog, and wakes the watches that it touches.
+// upstreamSink applies discovery's list and its changes to the catalog and wakes the watches that they affect.
 type upstreamSink struct {
 	server   *Server
 	began    time.Time
 	index    int64
 	snapshot bool
 	entries  int
-	refused  int
+	rejected int
 }
 
 func (u *upstreamSink) Begin(index int64, snapshot bool) error {
@@ -40,9 +40,9 @@
 	if err == nil {
 		return
 	}
-	u.server.figures.refusedEntries.Add(1)
-	if u.refused++; u.refused <= maxRefusedLines {
-		slog.Warn("an entry of discovery's list is refused: what was known of it stays", "index", u.index, "entry", u.entries-1, "name", shorten(e.Name), "err", err)
+	u.server.counters.refusedEntries.Add(1)
+	if u.rejected++; u.rejected <= maxRejectedLogLines {
+		slog.Warn("an entry of discovery's list is rejected: keeping its previous state", "index", u.index, "entry", u.entries-1, "name", truncateName(e.Name), "err", err)
 	}
 }
 
@@ -54,19 +54,19 @@
 	after, entries := s.list.Index(), s.list.Len()
 	s.listMu.Unlock()
 	if err != nil {
-		slog.Error("a list was not taken over", "index", u.index, "err", err)
+		slog.Error("can't apply a list of discovery", "index", u.index, "err", err)
 		return
 	}
 	s.watches.notify(touched)
-	if u.refused > maxRefusedLines {
-		slog.Warn("more entries of discovery's list are refused", "index", u.index, "refused", u.refused)
+	if u.rejected > maxRejectedLogLines {
+		slog.Warn("more entries of discovery's list are rejected", "index", u.index, "refused", u.rejected)
 	}
 	if u.snapshot || after < before {
 		slog.Info("the whole list is taken over", "index", after, "index_before", before, "entries", entries,
-			"refused", u.refused, "changed", len(touched.Destinations), "all_changed", touched.All, "took", time.Since(u.began).Round(time.Millisecond))
+			"refused", u.rejected, "changed", len(touched.Destinations), "all_changed", touched.All, "took", time.Since(u.began).Round(time.Millisecond))
 	}
-	s.noteChange(before, touched)
+	s.persistChange(before, touched)
 }
 
-// shorten bounds a name in a log line.
-func shorten(name string) string { return name[:min(len(name), 80)] }
+// truncateName limits the length of a name in a log line.
+func truncateName(name string) string { return name[:min(len(name), 80)] }
