--- a/cmd/scaleroute-control/main.go
+++ b/cmd/scaleroute-control/main.go
@@ -1,5 +1,5 @@
-// Command scaleroute-control is a control server: it holds discovery's list whole and serves each forwarder the part that it owns. docs/control-server.md
-// is for operators.
+// Command scaleroute-control is a control server: it holds discovery's full endpoint list and serves each forwarder the part that it owns.
+// docs/control-server.md is for operators.
 package main
 
 import (
@@ -21,23 +21,23 @@
 )
 
 type flags struct {
-	Listen      string        `required:"" help:"host:port to serve at; port 0 takes a free one, which the log names."`
+	Listen      string        `required:"" help:"host:port to listen on; port 0 selects a free port, which is logged."`
 	Upstream    string        `required:"" help:"host:port of discovery."`
-	State       string        `required:"" help:"Folder of this server alone, in which it keeps the list and its leases."`
-	Name        string        `required:"" help:"Name of this server among its peers."`
-	Peers       []string      `help:"host:port of each other control server, with commas between them."`
-	Partitions  int           `default:"2097152" help:"Partitions of the destinations: a power of two, the same for the whole fleet."`
-	Replicas    int           `default:"3" help:"Owners of each partition, the same for the whole fleet."`
-	Lease       time.Duration `default:"30s" help:"A forwarder that has not called for so long is no member any more."`
-	Settle      time.Duration `default:"3s" help:"How long members are gathered after a first start before they are published."`
-	Publish     time.Duration `default:"1s" help:"Changes of the members within this time are published together."`
-	Save        time.Duration `default:"5m" help:"Time between two snapshots of the list in the state folder."`
-	MaxRequests int           `default:"16384" help:"Requests at the same time, held ones included; more get 503."`
-	Gc          int           `default:"25" help:"Share of the memory in use that may be garbage, in per cent (as GOGC)."`
-	LogLevel    string        `default:"info" enum:"debug,info,warn,error" help:"Lines of less weight are not written."`
+	State       string        `required:"" help:"Folder for the list and leases of this server; not shared with another server."`
+	Name        string        `required:"" help:"Name of this server, unique among its peers."`
+	Peers       []string      `help:"host:port of each other control server, separated by commas."`
+	Partitions  int           `default:"2097152" help:"Number of partitions of the destinations: a power of two, the same for the whole fleet."`
+	Replicas    int           `default:"3" help:"Number of owners of each partition, the same for the whole fleet."`
+	Lease       time.Duration `default:"30s" help:"A forwarder that has sent no request for this time is removed from the members."`
+	Settle      time.Duration `default:"3s" help:"Time to wait for members to call after a first start before they are published."`
+	Publish     time.Duration `default:"1s" help:"Interval at which changes of the members are published."`
+	Save        time.Duration `default:"5m" help:"Interval of snapshots of the list in the state folder."`
+	MaxRequests int           `default:"16384" help:"Limit of concurrent requests, held ones included; further requests get 503."`
+	Gc          int           `default:"25" help:"Garbage collection target in percent of the live heap, as GOGC."`
+	LogLevel    string        `default:"info" enum:"debug,info,warn,error" help:"Lowest level of log lines that are written."`
 }
 
-// statusFailed is the exit status of a server that could not serve; a wrong command line has commandline.StatusNotDone.
+// statusFailed is the exit status if the server fails to start or to serve. An invalid command line exits with commandline.StatusNotDone.
 const statusFailed = 1
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -47,7 +47,7 @@
 	return tool.Run(&flags{}, args)
 }
 
-// errServing marks errors that came after the command line was read.
+// errServing wraps errors that occur after the command line was parsed.
 type errServing struct{ error }
 
 func statusOf(err error) (status int, isFinding bool) {
@@ -55,7 +55,7 @@
 	return statusFailed, errors.As(err, &serving)
 }
 
-// Run serves until the process gets SIGTERM.
+// Run serves until the process receives SIGTERM or SIGINT.
 func (f *flags) Run() error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(f.LogLevel)); err != nil {
@@ -63,7 +63,7 @@
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 	if err := serve(f); err != nil {
-		slog.Error("control server has ended", "err", err)
+		slog.Error("control server failed", "err", err)
 		return errServing{err}
 	}
 	return nil
--- a/cmd/scaleroute-control/main_test.go
+++ b/cmd/scaleroute-control/main_test.go
@@ -25,7 +25,7 @@
 	"scaleroute/internal/ownership"
 )
 
-// processMarker has the test binary be the program, so that tests can kill a real process.
+// processMarker is an environment variable that makes the test binary run the program, so that tests can kill a real process.
 const processMarker = "SCALEROUTE_CONTROL_TEST_MAIN"
 
 func TestMain(m *testing.M) {
@@ -35,24 +35,24 @@
 	os.Exit(m.Run())
 }
 
-// discovery is a fake of it with a list of endpoints that drains one after another.
-type discovery struct {
+// fakeDiscovery is a fake of the discovery service: each increment of its index sets the next endpoint to draining.
+type fakeDiscovery struct {
 	*httptest.Server
-	entries int
-	index   atomic.Int64 // as many as its index have begun to drain
-	silent  atomic.Bool
+	entries     int
+	index       atomic.Int64 // also the number of draining endpoints
+	unavailable atomic.Bool
 }
 
-func newDiscovery(t *testing.T, entries int) *discovery {
-	d := &discovery{entries: entries}
+func newFakeDiscovery(t *testing.T, entries int) *fakeDiscovery {
+	d := &fakeDiscovery{entries: entries}
 	d.Server = httptest.NewServer(d)
 	t.Cleanup(d.Close)
 	return d
 }
 
-func (d *discovery) address() string { return d.Listener.Addr().String() }
+func (d *fakeDiscovery) address() string { return d.Listener.Addr().String() }
 
-func (d *discovery) endpoint(i int, index int64) agent.Endpoint {
+func (d *fakeDiscovery) endpoint(i int, index int64) agent.Endpoint {
 	e := agent.Endpoint{Name: fmt.Sprintf("endpoint-%07d", i), Address: fmt.Sprintf("10.0.%d.%d:80", i>>8&255, i&255), Zone: "z1", Type: "std", Group: i, Status: agent.Serving, Weight: 1}
 	if int64(i) < index {
 		e.Status = agent.Draining
@@ -60,8 +60,8 @@
 	return e
 }
 
-func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if d.silent.Load() {
+func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if d.unavailable.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -80,10 +80,10 @@
 	json.NewEncoder(w).Encode(answer)
 }
 
-// process is a control server of its own process.
+// process is a control server that runs in a separate process.
 type process struct {
 	t       *testing.T
-	program string // empty: the test binary
+	program string // path of the binary; empty: the test binary
 	command *exec.Cmd
 	address string
 	args    []string
@@ -108,7 +108,7 @@
 	return b.text.String()
 }
 
-// freeAddress is an address that is free now: peers must know each other's before they start.
+// freeAddress returns an address that is currently free. Peers need each other's addresses before they start.
 func freeAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -150,7 +150,7 @@
 	<-p.ended
 }
 
-// get makes a call; an error is one of the connection.
+// get sends a request. The error is one of the connection; HTTP errors are in status.
 func (p *process) get(path string) (status int, text string, err error) {
 	response, err := http.Get("http://" + p.address + path)
 	if err != nil {
@@ -161,25 +161,25 @@
 	return response.StatusCode, string(body), err
 }
 
-func (p *process) figures() (f control.Stats) {
+func (p *process) stats() (f control.Stats) {
 	if _, text, err := p.get("/v1/figures"); err == nil {
 		json.Unmarshal([]byte(text), &f)
 	}
 	return f
 }
 
-func (p *process) await(what string, isSo func(control.Stats) bool) {
+func (p *process) await(what string, condition func(control.Stats) bool) {
 	p.t.Helper()
-	for limit := time.Now().Add(60 * time.Second); !isSo(p.figures()); time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(60 * time.Second); !condition(p.stats()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			p.t.Fatalf("%s: not so after a minute: %+v\n%s", what, p.figures(), p.logs)
+			p.t.Fatalf("%s: condition not met after a minute: %+v\n%s", what, p.stats(), p.logs)
 		}
 	}
 }
 
-func (p *process) awaitKept(index int64) {
+func (p *process) awaitPersisted(index int64) {
 	p.t.Helper()
-	p.await(fmt.Sprint("index ", index, " is kept"), func(f control.Stats) bool { return f.Name != "" && f.Index == index && f.PersistedIndex == index })
+	p.await(fmt.Sprint("index ", index, " is persisted"), func(f control.Stats) bool { return f.Name != "" && f.Index == index && f.PersistedIndex == index })
 }
 
 // register registers a scope of one partition.
@@ -196,7 +196,7 @@
 	return layout.Digest(set)
 }
 
-// members calls as a forwarder and returns the names it sees.
+// members sends a members request as a forwarder and returns the names in the response, or the status and error if it failed.
 func (p *process) members(name string) string {
 	status, text, err := p.get("/v1/members?name=" + name)
 	if err != nil || status != http.StatusOK {
@@ -213,7 +213,7 @@
 	return strings.Join(names, " ")
 }
 
-// awaitMembers has a forwarder call at each server until all of them see each other.
+// awaitMembers sends requests of one forwarder to each server until each forwarder sees all of them.
 func awaitMembers(t *testing.T, servers []*process) {
 	t.Helper()
 	var want []string
@@ -235,15 +235,15 @@
 	}
 }
 
-// TestKilledInAnAnswer: a server is killed while it sends the whole list. Its client sees that the answer is cut off; the server comes back with the
-// list as it was, while discovery is silent, and scopes are to be registered anew.
-func TestKilledInAnAnswer(t *testing.T) {
-	d := newDiscovery(t, 30_000)
+// TestKillDuringResponse kills a server while it sends the whole list. The client must notice that the response is truncated. The restarted server
+// must serve the same list while discovery is unavailable, and clients must register their scopes again.
+func TestKillDuringResponse(t *testing.T) {
+	d := newFakeDiscovery(t, 30_000)
 	d.index.Store(5)
 	p := startProcess(t, freeAddress(t), "--name=a", "--upstream="+d.address(), "--state="+t.TempDir())
-	p.awaitKept(5)
+	p.awaitPersisted(5)
 	d.index.Store(9)
-	p.awaitKept(9)
+	p.awaitPersisted(9)
 	scope := p.register(7)
 	_, before, err := p.get("/v1/servers?scope=" + scope)
 	if err != nil {
@@ -260,29 +260,29 @@
 	}
 	p.kill()
 	if _, err := io.Copy(io.Discard, response.Body); err == nil {
-		t.Error("the answer of a killed server has an end")
+		t.Error("the response of a killed server ended without an error")
 	}
 	response.Body.Close()
 
-	d.silent.Store(true)
+	d.unavailable.Store(true)
 	p.start()
-	p.awaitKept(9)
+	p.awaitPersisted(9)
 	if status, text, err := p.get("/v1/servers?scope=" + scope); status != http.StatusNotFound || !strings.Contains(text, api.UnknownScope) {
-		t.Errorf("a scope of the process before: status %d, %s, %v", status, text, err)
+		t.Errorf("a scope registered at the previous process: status %d, %s, %v", status, text, err)
 	}
 	p.register(7)
 	if status, after, err := p.get("/v1/servers?scope=" + scope); err != nil || status != http.StatusOK || !sameEntries(t, before, after) {
-		t.Errorf("after the restart: status %d, %v, %d bytes, and %d before", status, err, len(after), len(before))
+		t.Errorf("after the restart: status %d, %v, %d bytes, but %d before", status, err, len(after), len(before))
 	}
 	if status, _, _ := p.get("/v1/servers?from=10"); status != http.StatusServiceUnavailable {
-		t.Errorf("who is ahead: status %d", status)
+		t.Errorf("request with an index ahead of the server's: status %d", status)
 	}
-	d.silent.Store(false)
+	d.unavailable.Store(false)
 	d.index.Store(10)
-	p.awaitKept(10)
+	p.awaitPersisted(10)
 }
 
-// sameEntries compares two lists, whatever their order.
+// sameEntries reports whether two lists have the same index and entries, in any order.
 func sameEntries(t *testing.T, a, b string) bool {
 	t.Helper()
 	var lists [2]agent.List
@@ -303,10 +303,10 @@
 	return lists[0].Index == lists[1].Index && len(lists[0].Endpoints) == len(lists[1].Endpoints)
 }
 
-// TestServersDie: of three servers two are killed, and the one that is left goes on, with all members; then all are, and come back while discovery is
-// silent, with list and members as they were.
-func TestServersDie(t *testing.T) {
-	d := newDiscovery(t, 1000)
+// TestServersKilled kills two of three servers: the remaining one must continue to serve all members. Then it kills that one too and restarts all
+// while discovery is unavailable: they must restore the list and the members.
+func TestServersKilled(t *testing.T) {
+	d := newFakeDiscovery(t, 1000)
 	d.index.Store(1)
 	var addresses []string
 	for range 3 {
@@ -325,15 +325,15 @@
 	}
 	awaitMembers(t, servers)
 	for _, p := range servers {
-		p.awaitKept(1)
+		p.awaitPersisted(1)
 	}
 	last := servers[2]
 	for _, p := range servers[:2] {
 		p.kill()
 	}
 	d.index.Store(2)
-	last.awaitKept(2)
-	for _, name := range []string{"f0", "f1", "f2"} { // which go on there within their leases
+	last.awaitPersisted(2)
+	for _, name := range []string{"f0", "f1", "f2"} { // they continue at the remaining server before their leases expire
 		if got := last.members(name); got != "f0 f1 f2" {
 			t.Errorf("%s sees %q with one server left", name, got)
 		}
@@ -341,34 +341,34 @@
 	if status, text, err := last.get("/v1/servers?destinations=" + ownership.NewSet(1).String()); err != nil || status != http.StatusOK || !strings.Contains(text, agent.Draining) {
 		t.Errorf("with one server left: status %d, %s, %v", status, text, err)
 	}
-	last.await("the leases are kept", func(f control.Stats) bool {
+	last.await("the leases are persisted", func(f control.Stats) bool {
 		return f.PersistedLeases == 3
 	})
 	last.kill()
 	if _, _, err := last.get("/v1/figures"); err == nil {
-		t.Error("a killed server answers")
+		t.Error("a killed server responds")
 	}
-	d.silent.Store(true)
+	d.unavailable.Store(true)
 	for i, p := range servers {
 		p.start()
-		p.awaitKept(map[bool]int64{true: 2, false: 1}[i == 2]) // two of them missed a change, and answer 503 to a client that has it
+		p.awaitPersisted(map[bool]int64{true: 2, false: 1}[i == 2]) // the first two missed a change and respond with 503 to a client that has it
 	}
 	awaitMembers(t, servers)
 	if status, _, _ := servers[0].get("/v1/servers?from=2"); status != http.StatusServiceUnavailable {
-		t.Errorf("a server that is behind: status %d", status)
+		t.Errorf("a server with an older index than the client: status %d", status)
 	}
-	d.silent.Store(false)
+	d.unavailable.Store(false)
 	for _, p := range servers {
-		p.awaitKept(2)
+		p.awaitPersisted(2)
 	}
 }
 
-// TestTermination: SIGTERM answers held watches at once, keeps the list, and ends with status 0.
+// TestTermination checks that a server responds to held requests immediately on SIGTERM, and exits with status 0.
 func TestTermination(t *testing.T) {
-	d := newDiscovery(t, 100)
+	d := newFakeDiscovery(t, 100)
 	d.index.Store(3)
 	p := startProcess(t, freeAddress(t), "--name=a", "--upstream="+d.address(), "--state="+t.TempDir())
-	p.awaitKept(3)
+	p.awaitPersisted(3)
 	answers := make(chan string, 2)
 	for _, path := range []string{"/v1/servers?from=3&hold_ms=60000", "/v1/servers?scope=" + p.register(7) + "&from=3&hold_ms=60000"} {
 		go func() {
@@ -376,19 +376,20 @@
 			answers <- fmt.Sprint(status, " ", strings.TrimSpace(text), err)
 		}()
 	}
-	p.await("both wait", func(f control.Stats) bool { return f.Watchers == 2 })
+	p.await("two held requests", func(f control.Stats) bool { return f.Watchers == 2 })
 	p.command.Process.Signal(syscall.SIGTERM)
 	for range 2 {
 		if got := <-answers; got != `200 {"index":3,"snapshot":false,"endpoints":[]}<nil>` {
-			t.Errorf("a held watch: %s", got)
+			t.Errorf("a held request: %s", got)
 		}
 	}
 	if err := <-p.ended; err != nil {
-		t.Errorf("ended with %v:\n%s", err, p.logs)
+		t.Errorf("the process exited with %v:\n%s", err, p.logs)
 	}
 }
 
-// TestUsage: what can't be right is named, with status 2 for the command line and 1 for what shows only later.
+// TestUsage checks that an invalid setting is named in the output, and that the exit status is 2 for an invalid command line and 1 for a setting
+// that fails later.
 func TestUsage(t *testing.T) {
 	folder := t.TempDir()
 	for _, c := range []struct {
@@ -397,7 +398,7 @@
 		text   string
 	}{
 		{"", 2, "--listen"},
-		{"--help", 0, "Folder of this server alone"},
+		{"--help", 0, "Folder for the list and leases of this server"},
 		{"--listen=127.0.0.1:0 --upstream=x --state=" + folder + " --name=a", 1, "upstream"},
 		{"--listen=127.0.0.1:0 --upstream=127.0.0.1:1 --state=" + folder + " --name=a --partitions=100", 1, "a power of two"},
 		{"--listen=nowhere --upstream=127.0.0.1:1 --state=" + folder + " --name=a", 1, "listen"},
--- a/cmd/scaleroute-control/scale_test.go
+++ b/cmd/scaleroute-control/scale_test.go
@@ -25,29 +25,29 @@
 	"scaleroute/internal/ownership"
 )
 
-// The plan's size: the figures of docs/control-server.md.
+// The size of the planned fleet, for the measurements in docs/control-server.md.
 const (
 	planEntries    = 2_200_000
 	planPartitions = 1 << 21
-	planPart       = 970 // partitions of one forwarder: 2^21 x 3 / 6,800, with some more
+	planPart       = 970 // partitions of one forwarder: 2^21 x 3 / 6,800, rounded up with a margin
 	scaleWatches   = 2000
 	scaleChanges   = 500
 	scaleParts     = 1000
 )
 
-// planDiscovery sends planEntries entries as a stream, and changes of single ones.
+// planDiscovery is a fake of the discovery service that streams planEntries entries, and changes of single entries or of all.
 type planDiscovery struct {
 	*httptest.Server
-	index  atomic.Int64
-	all    atomic.Int64 // the index that has changed every entry
-	silent atomic.Bool
+	index        atomic.Int64
+	allChangedAt atomic.Int64 // the last index at which every entry changed
+	unavailable  atomic.Bool
 }
 
-// changedBy is the destination that an index has changed.
+// changedBy returns the destination whose entry changes at an index.
 func changedBy(index int64) int { return int(index*7919) % planEntries }
 
 func (d *planDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if d.silent.Load() {
+	if d.unavailable.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -66,7 +66,7 @@
 			separator, i, i>>16, i>>8&255, i&255, i%13, i, weight)
 		separator = ","
 	}
-	if all := d.all.Load(); err != nil || from < all {
+	if all := d.allChangedAt.Load(); err != nil || from < all {
 		for i := range planEntries {
 			entry(i, 1.5+float64(all))
 		}
@@ -78,13 +78,13 @@
 	to.WriteString("]}")
 }
 
-// usage is what a process has used so far.
+// usage holds the processor time and memory that a process has used so far.
 type usage struct {
-	seconds         float64 // of processor time
-	memory, highest float64 // resident, MB
+	seconds      float64 // processor time
+	memory, peak float64 // resident memory in MB
 }
 
-const clockTicks = 100 // of /proc, a second
+const clockTicks = 100 // per second, unit of the times in /proc/PID/stat
 
 func (p *process) usage() (u usage) {
 	folder := fmt.Sprintf("/proc/%d/", p.command.Process.Pid)
@@ -107,14 +107,15 @@
 			u.memory, _ = strconv.ParseFloat(fields[1], 64)
 			u.memory /= 1e3
 		case "VmHWM:":
-			u.highest, _ = strconv.ParseFloat(fields[1], 64)
-			u.highest /= 1e3
+			u.peak, _ = strconv.ParseFloat(fields[1], 64)
+			u.peak /= 1e3
 		}
 	}
 	return u
 }
 
-// TestScale measures one real process with the plan's 2.2 million entries. It is run by hand, SCALEROUTE_SCALE=1, and makes no assertion on speed.
+// TestScale measures one real process with the 2.2 million entries of the planned fleet. It runs only if SCALEROUTE_SCALE is set, and asserts nothing
+// about speed.
 func TestScale(t *testing.T) {
 	if os.Getenv("SCALEROUTE_SCALE") == "" {
 		t.Skip("set SCALEROUTE_SCALE=1 to measure: it takes some minutes and a gigabyte")
@@ -138,7 +139,7 @@
 	m.load()
 	m.registerScopes()
 	m.partSnapshots()
-	m.calmWatches()
+	m.idleWatches()
 	m.changes()
 	m.everyEntry()
 	m.memberCalls()
@@ -146,7 +147,7 @@
 	m.restart()
 }
 
-// measurement prints one row after another.
+// measurement runs the steps of TestScale and logs one row for each.
 type measurement struct {
 	t         *testing.T
 	process   *process
@@ -155,16 +156,16 @@
 	scopes    []string
 }
 
-// row measures what a step has used, and divides it by how often it did something.
+// row runs a step and logs the resources it used, in total and divided by the number of operations in the step.
 func (m *measurement) row(name string, times int, step func()) {
 	m.t.Helper()
-	before, figures, began := m.process.usage(), m.process.figures(), time.Now()
+	before, statsBefore, began := m.process.usage(), m.process.stats(), time.Now()
 	step()
 	took := time.Since(began)
-	after, now := m.process.usage(), m.process.figures()
-	sent := float64(now.BytesSent - figures.BytesSent)
+	after, now := m.process.usage(), m.process.stats()
+	sent := float64(now.BytesSent - statsBefore.BytesSent)
 	m.t.Logf("%-28s %8d times: %8.3f s of processor, %9.1f us each; %8.2f s wall; sent %8.1f kB, %7.0f B each; resident %4.0f MB, highest %4.0f MB",
-		name, times, after.seconds-before.seconds, 1e6*(after.seconds-before.seconds)/float64(times), took.Seconds(), sent/1e3, sent/float64(times), after.memory, after.highest)
+		name, times, after.seconds-before.seconds, 1e6*(after.seconds-before.seconds)/float64(times), took.Seconds(), sent/1e3, sent/float64(times), after.memory, after.peak)
 }
 
 func (m *measurement) load() {
@@ -172,14 +173,14 @@
 		m.process.await("the list", func(f control.Stats) bool { return f.Index == 1 })
 	})
 	m.row("write the snapshot", planEntries, func() {
-		m.process.await("the list is kept", func(f control.Stats) bool { return f.PersistedIndex == 1 })
+		m.process.await("the list is persisted", func(f control.Stats) bool { return f.PersistedIndex == 1 })
 	})
 	if info, err := os.Stat(filepath.Join(strings.TrimPrefix(m.process.args[3], "--state="), "list")); err == nil {
-		m.t.Logf("the file of the list has %.1f MB", float64(info.Size())/1e6)
+		m.t.Logf("the list file has %.1f MB", float64(info.Size())/1e6)
 	}
 }
 
-// registerScopes registers the parts of scaleWatches forwarders, drawn at random.
+// registerScopes registers randomly drawn parts for scaleWatches forwarders.
 func (m *measurement) registerScopes() {
 	layout, random := ownership.Layout{Partitions: planPartitions, Replicas: 3}, rand.New(rand.NewPCG(1, 2))
 	m.row("register a scope", scaleWatches, func() {
@@ -229,7 +230,7 @@
 	})
 }
 
-// watchAll has all forwarders watch, so many times, and waits for the last answer.
+// watchAll sends a held request for each scope, repeats that for the given number of rounds, and waits for the last response.
 func (m *measurement) watchAll(rounds, holdMS int) {
 	var waiting sync.WaitGroup
 	for _, scope := range m.scopes {
@@ -242,16 +243,17 @@
 	waiting.Wait()
 }
 
-func (m *measurement) calmWatches() {
-	m.watchAll(1, 1000) // connects
+func (m *measurement) idleWatches() {
+	m.watchAll(1, 1000) // establishes the connections
 	m.row("watch without a change", 5*scaleWatches, func() { m.watchAll(5, 4000) })
 }
 
-// changes has single entries change while all watch: what is left after the cost of the same watches without changes is that of the changes.
+// changes changes single entries while all scopes are watched. The cost of the changes is the measured cost minus that of the same watches without
+// changes.
 func (m *measurement) changes() {
 	var watching sync.WaitGroup
 	watching.Go(func() { m.watchAll(1, 20_000) })
-	m.process.await("all watch", func(f control.Stats) bool { return f.Watchers == scaleWatches })
+	m.process.await("all requests are held", func(f control.Stats) bool { return f.Watchers == scaleWatches })
 	m.row("change of an entry", scaleChanges, func() {
 		for range scaleChanges {
 			m.discovery.index.Add(1)
@@ -259,27 +261,27 @@
 		}
 		m.process.await("the last change", func(f control.Stats) bool { return f.Index == m.discovery.index.Load() })
 	})
-	m.t.Logf("%d watches were woken by %d changes", m.process.figures().WakeUps, scaleChanges)
+	m.t.Logf("%d watches were woken by %d changes", m.process.stats().WakeUps, scaleChanges)
 	watching.Wait()
 }
 
-// everyEntry has all entries change while all watch, and ends when the last of them has its part.
+// everyEntry changes all entries while all scopes are watched, and waits until the last response has been received.
 func (m *measurement) everyEntry() {
 	var watching sync.WaitGroup
 	watching.Go(func() { m.watchAll(1, 60_000) })
-	m.process.await("all watch", func(f control.Stats) bool { return f.Watchers == scaleWatches })
+	m.process.await("all requests are held", func(f control.Stats) bool { return f.Watchers == scaleWatches })
 	m.row("change of every entry", scaleWatches, func() {
 		next := m.discovery.index.Load() + 1
-		m.discovery.all.Store(next)
+		m.discovery.allChangedAt.Store(next)
 		m.discovery.index.Store(next)
 		watching.Wait()
 	})
 	m.row("its snapshot", planEntries, func() {
-		m.process.await("it is kept", func(f control.Stats) bool { return f.PersistedIndex == m.discovery.index.Load() })
+		m.process.await("the snapshot is persisted", func(f control.Stats) bool { return f.PersistedIndex == m.discovery.index.Load() })
 	})
 }
 
-// memberCalls has all forwarders join, and then one leave while the others watch.
+// memberCalls makes all forwarders join, and then one of them leave while the others wait for a change.
 func (m *measurement) memberCalls() {
 	name := func(i int) string { return fmt.Sprintf("name=forwarder-%04d&zone=zone-%02d", i, i%13) }
 	m.row("first call of a member", scaleWatches, func() {
@@ -296,14 +298,14 @@
 			}
 		}
 	})
-	before := m.process.figures().Requests
+	before := m.process.stats().Requests
 	var watching sync.WaitGroup
 	for i := range scaleWatches - 1 {
 		watching.Go(func() {
 			m.get(fmt.Sprintf("/v1/members?%s&epoch=%s&from=%d&hold_ms=9000", name(i), last.Epoch, last.Index))
 		})
 	}
-	m.process.await("all watch", func(f control.Stats) bool { return f.Requests >= before+scaleWatches-1 })
+	m.process.await("all requests are held", func(f control.Stats) bool { return f.Requests >= before+scaleWatches-1 })
 	m.row("one member leaves, for each", scaleWatches-1, func() {
 		request, _ := http.NewRequest(http.MethodGet, "http://"+m.process.address+"/v1/members?leave=1&"+name(scaleWatches-1), nil)
 		m.send(request, http.StatusNoContent)
@@ -315,13 +317,13 @@
 	m.row("whole list, gzip", planEntries, func() { m.get("/v1/servers") })
 }
 
-// restart ends the process and starts it with its folder, while discovery is silent.
+// restart stops the process and starts it again with the same state folder while discovery is unavailable.
 func (m *measurement) restart() {
 	began := time.Now()
 	m.process.command.Process.Signal(syscall.SIGTERM)
 	<-m.process.ended
-	m.t.Logf("ended %.2f s after SIGTERM", time.Since(began).Seconds())
-	m.discovery.silent.Store(true)
+	m.t.Logf("exited %.2f s after SIGTERM", time.Since(began).Seconds())
+	m.discovery.unavailable.Store(true)
 	began = time.Now()
 	m.process.start()
 	for {
@@ -331,5 +333,5 @@
 		time.Sleep(time.Millisecond)
 	}
 	after := m.process.usage()
-	m.t.Logf("serves from its folder %.2f s after its start, with %.2f s of processor, %.0f MB resident", time.Since(began).Seconds(), after.seconds, after.memory)
+	m.t.Logf("served the stored list %.2f s after its start, with %.2f s of processor time, %.0f MB resident", time.Since(began).Seconds(), after.seconds, after.memory)
 }
