--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -69,7 +69,7 @@
 	for _, c := range []struct {
 		file, name string
 		want       float64
-	}{{"../straggler/straggler.go", "mostMembers", limits.Members}, {"../control/options.go", "maxMembers", limits.ControlMembers}, {"../agent/agent.go", "maxList", limits.ListAnswerBytes}} {
+	}{{"../straggler/straggler.go", "mostMembers", limits.Members}, {"../control/options.go", "maxMembers", limits.ControlMembers}, {"../agent/agent.go", "maxListBytes", limits.ListAnswerBytes}} {
 		if got := constantIn(t, c.file, c.name); got != c.want {
 			t.Errorf("%s: %s is %v, and the plan's limits say %v", c.file, c.name, got, c.want)
 		}
